--- a/internal/batch/appender.go
+++ b/internal/batch/appender.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// proposalQueue bounds the proposals that wait for their append.
-	proposalQueue = 1024
-	// appendMaxBytes bounds what one append gathers.
+	// proposalQueueSize bounds the proposals that wait to be appended.
+	proposalQueueSize = 1024
+	// appendMaxBytes bounds the records that are collected for one append.
 	appendMaxBytes = 768 << 10
-	// chunkBytes is the size of the records of a submission that is too large for one.
+	// chunkBytes is the size of the records of a submission that is too large for one record.
 	chunkBytes = 512 << 10
 )
 
-// proposal is a run of records that belong together; the last one counts.
+// proposal is a sequence of records that belong together; they take effect with the last one.
 type proposal struct {
 	records []ledger.Record
 	bytes   int
-	// done takes nil once all records are durable and the state has them, or the error.
+	// done receives nil once all records are durable and applied to the state, or the error.
 	done chan error
 }
 
@@ -34,7 +34,7 @@
 	return made
 }
 
-func recordOf(kind ledger.RecordKind, message proto.Message) ledger.Record {
+func newRecord(kind ledger.RecordKind, message proto.Message) ledger.Record {
 	payload, err := proto.Marshal(message)
 	if err != nil {
 		panic("encode record: " + err.Error())
@@ -42,9 +42,8 @@
 	return ledger.Record{Kind: kind, Payload: payload}
 }
 
-// propose makes records durable, also where only the stores' reserve is left: submissions are refused before. It waits
-// until the state has them. NotRun means that the last one is not in the log and
-// never will be.
+// propose makes records durable, even if only the stores' reserve is left: new submissions are refused before that point. It waits
+// until the records are applied to the state. NotRun means that the last record is not in the log and never will be.
 func (p *partition) propose(ctx context.Context, records ...ledger.Record) error {
 	request := newProposal(records...)
 	if err := p.enqueue(ctx, request); err != nil {
@@ -53,7 +52,7 @@
 	return p.await(ctx, request)
 }
 
-// enqueue puts a proposal behind those that wait.
+// enqueue adds a proposal to the queue of the appender.
 func (p *partition) enqueue(ctx context.Context, request *proposal) error {
 	select {
 	case p.proposals <- request:
@@ -77,20 +76,20 @@
 	}
 }
 
-// runAppender appends what waits, one batch at a time, and applies it to the state in the log's order.
+// runAppender appends the queued proposals, one batch at a time, and applies them to the state in the order of the log.
 func (p *partition) runAppender() {
 	for {
 		select {
 		case first := <-p.proposals:
-			p.appendAll(p.gather(first))
+			p.appendAll(p.collect(first))
 		case <-p.ctx.Done():
 			return
 		}
 	}
 }
 
-// gather takes what waits behind first, within the bound of one append.
-func (p *partition) gather(first *proposal) []*proposal {
+// collect returns first and the proposals queued after it, within the bound of one append.
+func (p *partition) collect(first *proposal) []*proposal {
 	batch := []*proposal{first}
 	bytes := first.bytes
 	for bytes < appendMaxBytes {
@@ -105,8 +104,8 @@
 	return batch
 }
 
-// appendAll appends the proposals. The ledger waits until each append is decided or the ownership is lost, so an error
-// other than the loss is of an append that is surely not in the log.
+// appendAll appends the proposals. The ledger waits until each append is decided or the ownership is lost, so an error other than
+// the loss means that the append is certainly not in the log.
 func (p *partition) appendAll(batch []*proposal) {
 	var records []ledger.Record
 	for _, request := range batch {
@@ -114,7 +113,7 @@
 	}
 	var failure error
 	for len(records) > 0 && failure == nil {
-		part := firstPart(records)
+		part := fitOneAppend(records)
 		failure = p.appendPart(part)
 		records = records[len(part):]
 	}
@@ -123,8 +122,8 @@
 	}
 }
 
-// firstPart returns the leading records that fit into one append, at least one.
-func firstPart(records []ledger.Record) []ledger.Record {
+// fitOneAppend returns the leading records that fit into one append, at least one.
+func fitOneAppend(records []ledger.Record) []ledger.Record {
 	bytes := 0
 	for index, record := range records {
 		bytes += len(record.Payload)
@@ -144,10 +143,10 @@
 		}
 		return err
 	}
-	p.confirmed.Store(int64(began))
+	p.confirmedAt.Store(int64(began))
 	p.mutex.Lock()
 	for index, record := range records {
-		if err := p.state.step(first+ledger.Position(index), record); err != nil {
+		if err := p.state.apply(first+ledger.Position(index), record); err != nil {
 			p.logger.Error().Err(err).Msg("record_not_applied")
 		}
 	}
--- a/internal/batch/backlog.go
+++ b/internal/batch/backlog.go
@@ -8,19 +8,19 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// backlog is the work that the replicas of some services have before a new job, and what that job adds.
+// backlog is the work queued at the replicas of some services before a new job, and the work that the job adds.
 type backlog struct {
-	// waiting and added are the times at replicas that accepted items and the new job's still need, by estimate.
+	// waiting and added are the estimated times at replicas that accepted items and the new job's items still need.
 	waiting, added time.Duration
-	// slots are all that these replicas have, those that callers' requests use among them.
+	// slots counts all slots of these replicas, including those in use by callers' requests.
 	slots int
-	// retention is the time after which an item of the new job may be given up; 0 is never.
+	// retention is the time after which an item of the new job may be given up; 0 means never.
 	retention time.Duration
 }
 
-// excess returns how much later than its retention the new job would be done at the earliest, if all slots were free for items from now on and
-// what was accepted before it came first; 0 or less where it could be done. Who sends such a job is better served by a refusal at once than by
-// an acceptance of which nothing comes.
+// excess returns by how much the new job would exceed its retention at best, if all slots were free for items from now on and all
+// earlier work was done first; 0 or less if it could be done in time. It is better for the caller to be refused at once than to have
+// a job accepted of which nothing will be done.
 func (b backlog) excess() time.Duration {
 	if b.retention <= 0 || b.slots <= 0 {
 		return 0
@@ -28,9 +28,8 @@
 	return (b.waiting+b.added)/time.Duration(b.slots) - b.retention
 }
 
-// refuseHopeless returns why a job is refused of which it is known that it cannot be done before it may be given up; nil where it could be.
-// The mutex is held.
-func (p *partition) refuseHopeless(submission *batchpb.Submission) error {
+// checkBacklog returns an error if the job certainly cannot be done before it may be given up. The mutex is held.
+func (p *partition) checkBacklog(submission *batchpb.Submission) error {
 	table := p.service.routes.Table()
 	if table == nil || len(submission.Items) == 0 {
 		return nil
@@ -54,11 +53,11 @@
 		return found
 	}
 	for _, item := range submission.Items {
-		found.added += pace.left(item.Tokens, 0)
+		found.added += pace.remaining(item.Tokens, 0)
 	}
-	for _, each := range p.state.order {
-		if each.open() {
-			found.waiting += p.workLeft(each)
+	for _, job := range p.state.order {
+		if job.open() {
+			found.waiting += p.remainingWork(job)
 		}
 	}
 	view := p.service.directory.View()
@@ -68,13 +67,13 @@
 	return found
 }
 
-// workLeft returns the time at replicas that the unlisted items of a job still need. The mutex is held.
-func (p *partition) workLeft(of *job) time.Duration {
-	pace := p.state.paceOf(of.submission.Route)
+// remainingWork returns the estimated time at replicas that the unlisted items of a job still need. The mutex is held.
+func (p *partition) remainingWork(job *jobState) time.Duration {
+	pace := p.state.paceOf(job.submission.Route)
 	left := time.Duration(0)
-	for number, item := range of.submission.Items {
-		if !of.items[number].listed {
-			left += pace.left(item.Tokens, p.madeText(of, itemKey{job: of.submission.JobId, number: number}))
+	for number, item := range job.submission.Items {
+		if !job.items[number].listed {
+			left += pace.remaining(item.Tokens, p.textSize(job, itemKey{job: job.submission.JobId, number: number}))
 		}
 	}
 	return left
--- a/internal/batch/check.go
+++ b/internal/batch/check.go
@@ -7,8 +7,8 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Check tells whether a submission can be taken as it is: its items are told apart by their ids, and the tokens that count for the quota
-// are no fewer than none, nor too many to be added up.
+// Check returns an error if a submission cannot be accepted: the job and its items must have IDs, those of the items must be unique,
+// and no token count may be negative or overflow the sum that counts for the quota.
 func Check(submission *batchpb.Submission) error {
 	if submission.JobId == "" {
 		return invalid("a job without an id")
--- a/internal/batch/checkpoint.go
+++ b/internal/batch/checkpoint.go
@@ -9,24 +9,24 @@
 	"github.com/sloelift/sloelift/internal/pause"
 )
 
-// checkpointInterval is how often what running items have made goes into the log, so that a successor goes on from there. The
-// record of an item's result holds only what the log lacks, so that no text is logged twice.
+// checkpointInterval is how often the text of running items is appended to the log, so that a successor resumes there. The record of
+// an item's result contains only what the log lacks, so that no text is logged twice.
 const checkpointInterval = 1500 * time.Millisecond
 
 func (p *partition) runCheckpoints() {
 	pause.Every(p.ctx, checkpointInterval, func(time.Time) { p.checkpoint(p.ctx) })
 }
 
-// checkpoint logs what the items have made since the last one.
+// checkpoint logs the text that the items have generated since the last checkpoint.
 func (p *partition) checkpoint(ctx context.Context) {
-	p.textOrder.Lock()
+	p.textMutex.Lock()
 	keys, records := p.unloggedProgress()
 	request := newProposal(records...)
 	var err error
 	if len(records) > 0 {
 		err = p.enqueue(ctx, request)
 	}
-	p.textOrder.Unlock()
+	p.textMutex.Unlock()
 	if len(records) == 0 {
 		return
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// unloggedProgress returns records of what the log lacks and counts it as logged.
+// unloggedProgress returns records of the text that the log lacks, and counts it as logged.
 func (p *partition) unloggedProgress() ([]itemKey, []ledger.Record) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -50,7 +50,7 @@
 			continue
 		}
 		keys = append(keys, key)
-		records = append(records, recordOf(ledger.KindBatchProgress, &batchpb.Progress{
+		records = append(records, newRecord(ledger.KindBatchProgress, &batchpb.Progress{
 			JobId: key.job, Item: uint32(key.number), LastEvent: run.lastEvent, Offset: uint64(run.logged), Text: string(run.text[run.logged:]),
 		}))
 		run.logged = len(run.text)
@@ -58,14 +58,14 @@
 	return keys, records
 }
 
-// forgetUnlogged counts as logged only what the log has.
+// forgetUnlogged resets the logged length of items to what the log has.
 func (p *partition) forgetUnlogged(keys []itemKey) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, key := range keys {
 		owner, run := p.state.jobs[key.job], p.runs[key]
 		if owner != nil && run != nil {
-			run.logged = len(owner.items[key.number].made())
+			run.logged = len(owner.items[key.number].loggedText())
 		}
 	}
 }
--- a/internal/batch/cold_test.go
+++ b/internal/batch/cold_test.go
@@ -87,9 +87,9 @@
 		cold bool
 		sent int
 	}{
-		{"cold, at once", leaveWithin, true, 1},
-		{"cold, late", leaveWithin + time.Millisecond, true, 0},
-		{"warm, late", leaveWithin + time.Millisecond, false, 1},
+		{"cold, at once", admissionValidFor, true, 1},
+		{"cold, late", admissionValidFor + time.Millisecond, true, 0},
+		{"warm, late", admissionValidFor + time.Millisecond, false, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -131,7 +131,7 @@
 		for began := time.Now(); time.Since(began) < span; time.Sleep(10 * time.Millisecond) {
 			owner.wake()
 		}
-		if asked, most := limiter.asked.Load(), int64(span/pauseWhileSuspected)+1; asked == 0 || asked > most {
+		if asked, most := limiter.asked.Load(), int64(span/suspectedRetryDelay)+1; asked == 0 || asked > most {
 			t.Errorf("a replica was chosen %d times in %s, want 1 to %d", asked, span, most)
 		}
 		limiter.open.Store(1)
--- a/internal/batch/dispatch_view.go
+++ b/internal/batch/dispatch_view.go
@@ -8,30 +8,30 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// observeCapacity notes the slots that items may use now at the services of batch routes. A node that owns no partition does so too, so
-// that it can plan from the moment at which it owns one. While their begin is held back after a
-// start, that tells nothing of the times to come.
+// observeCapacity records the number of slots that items may use now at the services of batch routes. A node that owns no partition
+// records it too, so that it can plan as soon as it owns one. While the start of items is ramped up after a start, the number does
+// not represent later capacity and is not recorded.
 func (s *Service) observeCapacity(table *route.Table, now time.Time) {
 	if table == nil || s.ramp(now) < 1 {
 		return
 	}
 	slots, all := 0, 0
 	for _, service := range batchServices(table) {
-		begin, _, _ := s.room(service, now)
+		begin, _, _ := s.itemLimits(service, now)
 		slots += begin
 		all += s.directory.View().Slots(service)
 	}
 	s.capacity.observe(slots, all, now)
 }
 
-// batchServices returns the services of all batch routes, each once.
+// batchServices returns the services of all batch routes without duplicates.
 func batchServices(table *route.Table) []string {
 	var found []string
-	for _, each := range table.Routes {
-		if each.Kind != route.Batch {
+	for _, entry := range table.Routes {
+		if entry.Kind != route.Batch {
 			continue
 		}
-		for _, backend := range each.Backends {
+		for _, backend := range entry.Backends {
 			if !slices.Contains(found, backend.Service) {
 				found = append(found, backend.Service)
 			}
@@ -40,14 +40,14 @@
 	return found
 }
 
-// report logs what runs and what waits, by service.
+// report logs the running and the waiting items, by service.
 func (p *partition) report() {
 	p.mutex.RLock()
 	waiting, late, running := 0, 0, map[string]int{}
 	kept := p.state.bytes
-	for _, each := range p.state.order {
-		if each.open() {
-			waiting += len(each.items) - len(each.listed)
+	for _, job := range p.state.order {
+		if job.open() {
+			waiting += len(job.items) - len(job.listed)
 		}
 	}
 	for _, run := range p.runs {
@@ -63,17 +63,17 @@
 	p.mutex.RUnlock()
 	now := clock.Now()
 	for service, count := range running {
-		begin, keep, _ := p.service.room(service, now)
+		begin, keep, _ := p.service.itemLimits(service, now)
 		p.logger.Info().Str("service", service).Int("waiting", waiting).Int("running", count).Int("begin", begin).Int("keep", keep).
-			Int("online", p.service.fleet.Others(service, now).Online()).Int("late", late).Float64("capacity", capacity).Int64("kept_bytes", kept).Int64("yielded", p.yields.Load()).Msg("batch_state")
+			Int("online", p.service.fleet.Others(service, now).Online()).Int("late", late).Float64("capacity", capacity).Int64("kept_bytes", kept).Int64("yielded", p.preemptions.Load()).Msg("batch_state")
 	}
 }
 
-// askLoads asks the replicas of all batch routes for their load.
-func (p *partition) askLoads() {
+// pollLoads asks the replicas of all batch routes for their load.
+func (p *partition) pollLoads() {
 	for _, service := range batchServices(p.service.routes.Table()) {
 		for _, handle := range p.service.directory.View().Of(service) {
-			p.service.ask(p.ctx, handle)
+			p.service.pollLoad(p.ctx, handle)
 		}
 	}
 }
--- a/internal/batch/dispatcher.go
+++ b/internal/batch/dispatcher.go
@@ -14,83 +14,86 @@
 )
 
 const (
-	// dispatchInterval is how often it is looked for room while items wait, idleInterval while none does.
+	// dispatchInterval is how often room for items is checked while items wait, idleInterval while none does.
 	dispatchInterval = 40 * time.Millisecond
 	idleInterval     = time.Second
-	// askInterval is how often replicas are asked for their load while items wait; askTimeout bounds one answer.
-	askInterval = 300 * time.Millisecond
-	askTimeout  = 500 * time.Millisecond
-	// unprovedLimit is how long items run on at an owner that cannot prove its ownership.
-	unprovedLimit = 2500 * time.Millisecond
+	// loadPollInterval is how often replicas are asked for their load while items wait; loadPollTimeout bounds one answer.
+	loadPollInterval = 300 * time.Millisecond
+	loadPollTimeout  = 500 * time.Millisecond
+	// unconfirmedRunLimit is how long items continue to run at an owner that cannot prove its ownership.
+	unconfirmedRunLimit = 2500 * time.Millisecond
 	// reportInterval is how often the state of a partition with work is logged.
 	reportInterval = time.Second
-	// maxOccupancy is the share of a replica's slots in use up to which items are sent there.
+	// maxOccupancy is the share of a replica's slots in use up to which items are sent to it.
 	maxOccupancy = 0.9
-	// itemZoneWeight makes a replica of another zone cost less than for an online request: an item runs for long.
+	// itemZoneWeight makes a replica in another zone cost less than for an online request: an item runs for long.
 	itemZoneWeight = 0.5
-	// routeGoneAfter is how long an item's route is missing before the item is given up.
-	routeGoneAfter = 5 * time.Second
+	// routeMissingTimeout is how long an item's route may be missing before the item is given up.
+	routeMissingTimeout = 5 * time.Second
 )
 
-// itemKey names an item of a partition.
+// itemKey identifies an item of a partition: its job's ID and its index in the job.
 type itemKey struct {
 	job    string
 	number int
 }
 
-// itemRun is what is known of an unlisted item beyond the log.
+// itemRun is the state of an unlisted item that is not in the log.
 type itemRun struct {
 	running bool
 	stop    context.CancelFunc
-	// handle is where the item runs, began since when.
-	handle *replica.Handle
-	began  time.Duration
-	// yielded says that the run was cut off to make room.
-	yielded bool
-	// acceptedAt is when the job was accepted, in milliseconds since 1970; route is the one by which the item was last sent.
+	// handle is the replica of the current run, startedAt the start of that run, since the partition's start.
+	handle    *replica.Handle
+	startedAt time.Duration
+	// interrupted is true once this process has cut off the current run.
+	interrupted bool
+	// acceptedAt is when the job was accepted, in milliseconds since 1970; route is the route by which the item was last sent.
 	acceptedAt int64
 	route      *route.Route
-	// begins counts the attempts that this owner began, ran is the time of its ended runs; startedWithText says that an earlier
-	// owner had made a part of the text. late is the latest plan's mark, hopeless says that the item will be late even if it runs on.
-	begins          int
-	ran             time.Duration
+	// attempts counts the attempts of this owner, runTime is the total time of its ended runs; startedWithText is true if an earlier
+	// owner had received a part of the text. late is the mark of the latest plan; certainlyLate is true if the item will be late
+	// even if it continues.
+	attempts        int
+	runTime         time.Duration
 	startedWithText bool
 	late            bool
-	hopeless        bool
-	// atReplica says that the item was sent and that its run has not ended yet.
+	certainlyLate   bool
+	// atReplica is true while the item is at a replica: it was sent and its run has not ended.
 	atReplica bool
-	// text and lastEvent are what the item has made; a further run goes on behind lastEvent. progressAt is when it last made something here, since
-	// the partition's start; 0 where it has made nothing.
+	// text is what the item has generated, lastEvent the ID of the event after which a further run resumes. progressAt is when this
+	// owner last received text, since the partition's start; 0 if it has received none.
 	text       []byte
 	lastEvent  string
 	progressAt time.Duration
-	// logged is the length of the part of text that is in the log or on its way there.
+	// logged is the length of the part of text that is in the log or being appended.
 	logged int
-	// finishing says that the item's result is on its way to the log.
+	// finishing is true while the item's result is being appended.
 	finishing bool
-	// failures counts the runs that a replica answered with a failure of its own, those under earlier owners among them.
+	// failures counts the runs that a replica answered with a failure of its own, including those under earlier owners.
 	failures int
-	// message names what the item sends; zero until it is first to be sent.
+	// message identifies what the item sends; zero until the item is first considered for sending.
 	message quarantine.Key
-	// apart says that the present run is that of a suspected message.
+	// apart is true if the current run is that of a suspected message.
 	apart bool
-	// crashes counts the replicas that ended under the item here; while it is suspected it is not sent before apartFrom.
-	crashes   int
-	apartFrom time.Duration
-	// deciding says that the item is sent to no replica any more if one ends under the present run; deferred that the log line about the wait for it was written.
-	deciding bool
-	deferred bool
-	// heldBack says that the log line about it was written.
-	heldBack bool
-	// notBefore is when the item may be sent again, and routeGone since when its route is missing, both since the
-	// partition's start; routeGone is 0 while there is a route.
-	notBefore time.Duration
-	routeGone time.Duration
+	// crashes counts the replicas that ended under the item at this owner. A suspected item is not sent before apartNotBefore, since
+	// the partition's start.
+	crashes        int
+	apartNotBefore time.Duration
+	// deciding is true if the item is sent to no replica any more if the replica ends under the current run; deferralLogged is true
+	// once the deferral of that run was logged.
+	deciding       bool
+	deferralLogged bool
+	// holdBackLogged is true once it was logged that the item is kept from replicas.
+	holdBackLogged bool
+	// notBefore is when the item may be sent again, routeMissingSince when its route was first found missing, both since the
+	// partition's start; routeMissingSince is 0 while there is a route.
+	notBefore         time.Duration
+	routeMissingSince time.Duration
 }
 
-// yield cuts the run off; what it has made is kept.
-func (r *itemRun) yield() {
-	r.yielded = true
+// interrupt cuts off the run; the text received so far is kept.
+func (r *itemRun) interrupt() {
+	r.interrupted = true
 	r.stop()
 }
 
@@ -102,7 +105,7 @@
 	for {
 		waiting := p.dispatch()
 		p.checkOwnership()
-		p.checkHomes()
+		p.interruptOutsideHomes()
 		if now := p.elapsed(); now-reported >= reportInterval {
 			reported = now
 			p.report()
@@ -114,9 +117,9 @@
 		pause := idleInterval
 		if waiting {
 			pause = dispatchInterval
-			if now := p.elapsed(); now-asked >= askInterval {
+			if now := p.elapsed(); now-asked >= loadPollInterval {
 				asked = now
-				p.askLoads()
+				p.pollLoads()
 			}
 		}
 		timer.Reset(pause)
@@ -129,7 +132,7 @@
 	}
 }
 
-// dispatch sends what there is room for, the most urgent items first. It returns whether items wait.
+// dispatch sends the items that there is room for, the most urgent first. It reports whether items wait.
 func (p *partition) dispatch() bool {
 	table := p.service.routes.Table()
 	if table == nil {
@@ -142,7 +145,7 @@
 	}
 	now := p.elapsed()
 	if !p.confirmedSince(now - confirmWindow/2) {
-		p.proveSoon()
+		p.confirmSoon()
 	}
 	if !p.confirmedSince(now - confirmWindow) {
 		return true
@@ -151,63 +154,64 @@
 	return true
 }
 
-// dispatchAll sends what there is room for; once a route's replicas have none in an item's homes, further such items are passed over.
+// dispatchAll sends the items that there is room for. Once a route's replicas in an item's homes have no room, further items for the
+// same target are skipped.
 func (p *partition) dispatchAll(candidates []candidate, table *route.Table) {
 	full := map[target]bool{}
-	for _, each := range candidates {
-		if each.route == nil {
-			p.routeMissing(each, table.Version)
+	for _, item := range candidates {
+		if item.route == nil {
+			p.routeMissing(item, table.Version)
 			continue
 		}
-		if full[each.target()] {
+		if full[item.target()] {
 			continue
 		}
-		verdict := p.verdictOn(each)
+		verdict := p.checkQuarantine(item)
 		if verdict == quarantine.Rejected {
-			p.holdBack(each)
+			p.holdBack(item)
 			continue
 		}
 		if verdict == quarantine.Apart {
-			p.startApart(each)
+			p.startApart(item)
 			continue
 		}
-		handle := p.pick(each, maxOccupancy, nil)
+		handle := p.pick(item, maxOccupancy, nil)
 		if handle == nil {
-			full[each.target()] = true
-			p.replaceLate(each)
+			full[item.target()] = true
+			p.preemptLateRun(item)
 			continue
 		}
-		if !p.service.mayStart(handle) {
+		if !p.service.takeColdStart(handle) {
 			continue
 		}
-		p.start(each, handle)
+		p.start(item, handle)
 	}
 }
 
-// checkOwnership has an owner with running items prove its ownership now and then, and cut them off where it cannot: a
-// successor may run them by now.
+// checkOwnership has an owner with running items prove its ownership regularly, and interrupts the items if it cannot: a successor
+// may already run them.
 func (p *partition) checkOwnership() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.elapsed()
-	unproved := !p.confirmedSince(now - unprovedLimit)
+	unproved := !p.confirmedSince(now - unconfirmedRunLimit)
 	busy := false
 	for _, run := range p.runs {
 		if !run.running || run.handle == nil {
 			continue
 		}
 		busy = true
-		if unproved && !run.yielded {
-			run.yield()
+		if unproved && !run.interrupted {
+			run.interrupt()
 		}
 	}
 	if busy && !p.confirmedSince(now-confirmWindow/2) {
-		p.proveSoon()
+		p.confirmSoon()
 	}
 }
 
-// proveSoon proves ownership by an append in the background, unless one is waiting.
-func (p *partition) proveSoon() {
+// confirmSoon proves the ownership by an append in the background, unless another append is queued.
+func (p *partition) confirmSoon() {
 	if len(p.proposals) > 0 {
 		return
 	}
@@ -217,12 +221,12 @@
 	}
 }
 
-// pick chooses a replica in the item's homes with room for it, of whose slots no larger share than occupancy is in use.
-func (p *partition) pick(each candidate, occupancy float64, excluded []*replica.Handle) *replica.Handle {
+// pick chooses a replica in the item's homes with room for it and with at most the share occupancy of its slots in use.
+func (p *partition) pick(item candidate, occupancy float64, excluded []*replica.Handle) *replica.Handle {
 	now := clock.Now()
-	matched := each.route
+	matched := item.route
 	wanted := balance.Request{
-		Service: matched.PickService(), Zone: p.service.options.Zone, MaxOccupancy: occupancy, ZoneWeight: itemZoneWeight, Homes: each.homes, Excluded: excluded,
+		Service: matched.PickService(), Zone: p.service.options.Zone, MaxOccupancy: occupancy, ZoneWeight: itemZoneWeight, Homes: item.homes, Excluded: excluded,
 	}
 	if p.service.hasRoom(wanted.Service, now) {
 		if handle := p.service.picker.Pick(&wanted, now); handle != nil {
@@ -241,41 +245,41 @@
 	return nil
 }
 
-// routeMissing gives up an item whose route has been missing for long in the configuration of that version. One that is older than the configuration by which
-// the item was accepted says nothing: this owner is behind.
-func (p *partition) routeMissing(each candidate, version int64) {
-	key := each.key
+// routeMissing gives up an item whose route has been missing for routeMissingTimeout from the configuration of the given version. A
+// version older than the one by which the item was accepted does not count: this owner has not received the newer one yet.
+func (p *partition) routeMissing(item candidate, version int64) {
+	key := item.key
 	p.mutex.Lock()
-	run := p.runOf(key)
+	run := p.ensureRun(key)
 	now := p.elapsed()
-	if version < each.submission.ConfigurationVersion {
+	if version < item.submission.ConfigurationVersion {
 		run.notBefore = now + time.Second
 		p.mutex.Unlock()
 		return
 	}
-	if run.routeGone == 0 {
-		run.routeGone = now
+	if run.routeMissingSince == 0 {
+		run.routeMissingSince = now
 	}
-	gone := now-run.routeGone >= routeGoneAfter
+	gone := now-run.routeMissingSince >= routeMissingTimeout
 	run.notBefore = now + time.Second
 	run.running = gone
 	p.mutex.Unlock()
 	if gone {
-		p.running.Go(func() { p.finish(key, batchpb.State_STATE_DEAD_LETTER, "", "route_gone") })
+		p.background.Go(func() { p.finish(key, batchpb.State_STATE_DEAD_LETTER, "", "route_gone") })
 	}
 }
 
-// runOf returns what is known of an item. The mutex is held.
-func (p *partition) runOf(key itemKey) *itemRun {
+// ensureRun returns the run state of an item, and creates it if there is none. The mutex is held.
+func (p *partition) ensureRun(key itemKey) *itemRun {
 	run := p.runs[key]
 	if run != nil {
 		return run
 	}
 	run = &itemRun{}
-	if owner := p.state.jobs[key.job]; owner != nil {
-		// An owner that counted from 0 would send a failing item as often again as each owner before it.
-		run.failures = owner.items[key.number].failures
-		if progress := owner.items[key.number].progress; progress != nil {
+	if job := p.state.jobs[key.job]; job != nil {
+		// An owner that started to count at 0 would send a failing item as often again as each owner before it.
+		run.failures = job.items[key.number].failures
+		if progress := job.items[key.number].progress; progress != nil {
 			run.text, run.lastEvent, run.logged = []byte(progress.Text), progress.LastEvent, len(progress.Text)
 		}
 	}
@@ -284,29 +288,29 @@
 }
 
 // start runs an item at a replica in the background.
-func (p *partition) start(each candidate, handle *replica.Handle) {
+func (p *partition) start(item candidate, handle *replica.Handle) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	owner := p.state.jobs[each.key.job]
-	run := p.runOf(each.key)
-	if p.quiesced || owner == nil || !owner.open() || owner.items[each.key.number].listed || run.running {
+	job := p.state.jobs[item.key.job]
+	run := p.ensureRun(item.key)
+	if p.quiesced || job == nil || !job.open() || job.items[item.key.number].listed || run.running {
 		return
 	}
 	ctx, stop := context.WithCancel(p.ctx)
-	run.acceptedAt, run.route = each.acceptedAt, each.route
-	run.running, run.stop, run.handle, run.began, run.yielded = true, stop, handle, p.elapsed(), false
-	run.noteBegin()
-	p.countBegin(each.late)
+	run.acceptedAt, run.route = item.acceptedAt, item.route
+	run.running, run.stop, run.handle, run.startedAt, run.interrupted = true, stop, handle, p.elapsed(), false
+	run.countAttempt()
+	p.countStart(item.late)
 	attempt := &itemAttempt{
-		partition: p, key: each.key, sent: each.submission.Items[each.key.number], host: each.submission.Host, tenant: each.submission.Tenant,
-		route: each.route, handle: handle, admittedAt: clock.Now(), text: run.text, lastEvent: run.lastEvent,
+		partition: p, key: item.key, item: item.submission.Items[item.key.number], host: item.submission.Host, tenant: item.submission.Tenant,
+		route: item.route, handle: handle, admittedAt: clock.Now(), text: run.text, lastEvent: run.lastEvent,
 	}
 	release := handle.Acquire()
-	p.running.Go(func() {
+	p.background.Go(func() {
 		defer stop()
 		verdict := p.runGuarded(ctx, attempt)
 		release()
-		p.took(attempt, verdict)
+		p.handleAttemptEnd(attempt, verdict)
 	})
 }
 
--- a/internal/batch/door.go
+++ b/internal/batch/door.go
@@ -25,24 +25,25 @@
 )
 
 const (
-	// submitTimeout, readTimeout and endTimeout bound the search for an owner that answers.
+	// submitTimeout, readTimeout and endTimeout bound the whole call, including retries until an owner answers.
 	submitTimeout = 2500 * time.Millisecond
 	readTimeout   = 1500 * time.Millisecond
 	endTimeout    = 3 * time.Second
-	// tryTimeout bounds each further try; the time that a read may wait is added.
+	// tryTimeout bounds each try but the first of a submission; for a read, the time that it may wait is added.
 	tryTimeout = 900 * time.Millisecond
-	// firstTryTimeout bounds the first try of a submission, so that another way can still be in time. The owner takes the job once.
+	// firstTryTimeout bounds the first try of a submission, so that a try by another path can still succeed in time. The owner
+	// accepts the job only once.
 	firstTryTimeout = 350 * time.Millisecond
-	// leastTry is the time that must be left for a further try: one that the end cuts off may have had an effect, though the tries before
-	// it are known to have had none.
-	leastTry = 20 * time.Millisecond
-	// longestRetryWait bounds the wait between tries.
-	longestRetryWait = 150 * time.Millisecond
-	// retryAfterOwner is when a caller may come back after no owner answered.
+	// minTryTime is the time that must be left for a further try. A try that the deadline cuts off may have had an effect, and would
+	// hide that the tries before it are known to have had none.
+	minTryTime = 20 * time.Millisecond
+	// maxRetryWait bounds the wait between tries.
+	maxRetryWait = 150 * time.Millisecond
+	// retryAfterOwner is the retry time sent to a caller if no owner answered.
 	retryAfterOwner = 300 * time.Millisecond
 )
 
-// Door takes calls about jobs at an edge and brings them to the owner of the job's partition. It is safe for concurrent use.
+// Door receives calls about jobs at an edge and forwards them to the owner of the job's partition. It is safe for concurrent use.
 type Door struct {
 	locator   ledger.Locator
 	homes     ledger.Homes
@@ -52,26 +53,26 @@
 	logger    zerolog.Logger
 }
 
-// NewDoor returns a Door and registers its method.
+// NewDoor returns a Door and registers its relay method.
 func NewDoor(locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer, logger zerolog.Logger) *Door {
 	door := &Door{
-		locator: locator, homes: homes, caller: caller, viewer: viewer, unreached: unreached.NewPeers(unreachedFor),
+		locator: locator, homes: homes, caller: caller, viewer: viewer, unreached: unreached.NewPeers(unreachableWindow),
 		logger: logger.With().Str(logging.FieldSlice, "batch").Logger(),
 	}
 	transport.Handle(registrar, methodRelay, func() *batchpb.RelayRequest { return &batchpb.RelayRequest{} }, door.serveRelay)
 	return door
 }
 
-// Caller is who calls about a job: jobs of one tenant do not exist for the others.
+// Caller identifies who calls about a job. The jobs of one tenant are invisible to all others.
 type Caller struct {
-	// Host is the host that the call names.
+	// Host is the host named in the call.
 	Host string
-	// Tenant is the name of the caller's tenant; empty where no tenants are declared or the route is public.
+	// Tenant is the name of the caller's tenant; empty if no tenants are declared or the route is public.
 	Tenant string
 }
 
-// jobName returns the name that a job has in the ledger; two tenants' jobs of one id have different names. A name without a slash is of
-// no tenant.
+// jobName returns the name of a job in the ledger. Jobs of two tenants with the same ID have different names. A name without a slash
+// belongs to no tenant.
 func (c Caller) jobName(jobID string) string {
 	if c.Tenant == "" {
 		return url.PathEscape(jobID)
@@ -79,16 +80,16 @@
 	return url.PathEscape(c.Tenant) + "/" + jobID
 }
 
-// Submit has a job accepted whose data may be in regions alone; the submission's tenant is its caller's. The error is an *outcome.Error: NotRun means that no item will run
-// on account of this call, with
-// ReasonRateLimited where the job does not fit; Indeterminate promises nothing.
+// Submit gets a job accepted whose data may be stored in regions only; the submission's tenant is that of its caller. The error is
+// an *outcome.Error: NotRun means that no item will run because of this call, with ReasonRateLimited if the job exceeds the quota;
+// with Indeterminate the job may or may not run.
 func (d *Door) Submit(ctx context.Context, submission *batchpb.Submission, matched *route.Route, regions region.Set) error {
 	if err := Check(submission); err != nil {
 		return err
 	}
 	submission.Route = matched.Name
 	submission.JobId = Caller{Host: submission.Host, Tenant: submission.Tenant}.jobName(submission.JobId)
-	partition, accepted, err := d.place(ctx, submission, regions)
+	partition, accepted, err := d.placeJob(ctx, submission, regions)
 	if err != nil {
 		d.logger.Info().Str(logging.FieldJob, submission.JobId).Stringer("regions", regions).Err(err).Msg("job_not_placed")
 		return err
@@ -108,18 +109,18 @@
 	return nil
 }
 
-// Read returns the results of a job from a position on; it waits up to wait for the first.
+// Read returns the results of a job from a position on; it waits for the first one for at most wait.
 func (d *Door) Read(ctx context.Context, caller Caller, jobID string, since uint32, wait time.Duration) (*batchpb.ReadResponse, error) {
-	return search(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.ReadResponse, error) {
+	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.ReadResponse, error) {
 		request := &batchpb.ReadRequest{Partition: partition, JobId: caller.jobName(jobID), Since: since, WaitMicros: uint64(wait.Microseconds())}
 		response := &batchpb.ReadResponse{}
 		return response, d.call(ctx, methodRead, request, response, readTimeout+wait, tryTimeout+wait)
 	})
 }
 
-// Body returns the body of an item that is not listed.
+// Body returns the body of an item that is not listed yet.
 func (d *Door) Body(ctx context.Context, caller Caller, jobID, itemID string) (*batchpb.BodyResponse, error) {
-	return search(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.BodyResponse, error) {
+	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.BodyResponse, error) {
 		request := &batchpb.BodyRequest{Partition: partition, JobId: caller.jobName(jobID), ItemId: itemID}
 		response := &batchpb.BodyResponse{}
 		return response, d.call(ctx, methodBody, request, response, readTimeout, tryTimeout)
@@ -128,19 +129,19 @@
 
 // End ends a job.
 func (d *Door) End(ctx context.Context, caller Caller, jobID string) (*batchpb.EndResponse, error) {
-	return search(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.EndResponse, error) {
+	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.EndResponse, error) {
 		request := &batchpb.EndRequest{Partition: partition, JobId: caller.jobName(jobID)}
 		response := &batchpb.EndResponse{}
 		return response, d.call(ctx, methodEnd, request, response, endTimeout, tryTimeout)
 	})
 }
 
-// call brings request to the owner, and to another one while none answers; all requests can be served twice. The error is an
-// *outcome.Error that is NotRun only where no try can have had an effect.
+// call sends request to the owner of its partition, and retries while no owner answers; all requests are idempotent. The error is an
+// *outcome.Error that is NotRun only if no try can have had an effect.
 func (d *Door) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, longest, try time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
-	waits := platform.NewBackoffUpTo(longestRetryWait)
+	waits := platform.NewBackoffUpTo(maxRetryWait)
 	mayHaveRun := false
 	bound := try
 	if method == methodSubmit {
@@ -153,10 +154,10 @@
 			return nil
 		}
 		mayHaveRun = mayHaveRun || failure.Outcome != outcome.NotRun
-		if !worthRetry(failure) {
+		if !retryable(failure) {
 			return failure
 		}
-		if !pause.Sleep(ctx, waits.Next()) || !timeFor(ctx, leastTry) {
+		if !pause.Sleep(ctx, waits.Next()) || !hasTimeLeft(ctx, minTryTime) {
 			result := outcome.NotRun
 			if mayHaveRun {
 				result = outcome.Indeterminate
@@ -166,13 +167,13 @@
 	}
 }
 
-// timeFor says that ctx lasts that much longer.
-func timeFor(ctx context.Context, least time.Duration) bool {
+// hasTimeLeft reports whether ctx has at least that much time left before its deadline.
+func hasTimeLeft(ctx context.Context, least time.Duration) bool {
 	deadline, bounded := ctx.Deadline()
 	return !bounded || time.Until(deadline) >= least
 }
 
-// try makes one try, through another edge where the owner did not answer this one a short while ago.
+// try makes a single try, through another edge if the owner recently did not answer this one.
 func (d *Door) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, longest time.Duration) *outcome.Error {
 	ctx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
@@ -181,7 +182,7 @@
 		return failure
 	}
 	if d.unreached.Recent(owner, clock.Now()) {
-		if edge, found := d.otherEdge(ledger.PartitionID(request.GetPartition())); found {
+		if edge, found := d.pickRelayEdge(ledger.PartitionID(request.GetPartition())); found {
 			return failureOrNil(d.relay(ctx, edge, method, request, response))
 		}
 	}
@@ -192,7 +193,7 @@
 	return failureOrNil(err)
 }
 
-// owner returns the address of the partition's owner as far as it is known.
+// owner returns the address of the partition's owner as far as this node knows it.
 func (d *Door) owner(partition ledger.PartitionID) (netip.AddrPort, *outcome.Error) {
 	address, known := d.locator.Owner(partition)
 	if !known {
@@ -212,8 +213,8 @@
 	return transport.OutcomeOf(err)
 }
 
-// worthRetry tells whether another try may end otherwise.
-func worthRetry(failure *outcome.Error) bool {
+// retryable reports whether another try may succeed.
+func retryable(failure *outcome.Error) bool {
 	switch failure.Reason {
 	case outcome.ReasonNotOwner, outcome.ReasonUnavailable, outcome.ReasonDeadline, outcome.ReasonInternal:
 		return true
--- a/internal/batch/door_homes.go
+++ b/internal/batch/door_homes.go
@@ -11,8 +11,9 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// partitions returns all partitions in which jobs of host may be: that of jobs which may be anywhere, and those of the host's homes, of which
-// there are none in a deployment that confines no jobs. The configuration may have changed the homes since a job was accepted.
+// partitions returns all partitions that may contain jobs of host: the one for jobs that are not confined, and those in the host's
+// homes, of which a deployment that confines no jobs has none. The configuration may have changed the homes since a job was
+// accepted.
 func (d *Door) partitions(host string) []uint32 {
 	found := []uint32{uint32(d.locator.PartitionOf(host))}
 	for _, partition := range d.homes.PartitionsWithin(route.HostName(host)) {
@@ -21,9 +22,9 @@
 	return found
 }
 
-// place returns the partition that takes a submission whose data may be in regions alone. accepted says that the job is in another one,
-// which took it before the homes changed.
-func (d *Door) place(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
+// placeJob returns the partition for a submission whose data may be stored in regions only. accepted is true if another partition
+// already accepted the job before the homes changed.
+func (d *Door) placeJob(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
 	partition = uint32(d.locator.PartitionOf(submission.Host))
 	if regions.Limited() {
 		within, err := d.homes.PartitionWithin(route.HostName(submission.Host), regions)
@@ -36,28 +37,28 @@
 	return partition, accepted, err
 }
 
-// acceptedElsewhere says that another partition has the job. It is asked only for a while after homes have changed, in which jobs come again
-// that were accepted before.
+// acceptedElsewhere reports whether another partition has the job. It asks only for a while after the homes have changed, when jobs
+// may be resubmitted that were accepted before.
 func (d *Door) acceptedElsewhere(ctx context.Context, submission *batchpb.Submission, partition uint32) (bool, error) {
 	if !d.homes.Settling() {
 		return false, nil
 	}
 	var others []uint32
-	for _, each := range d.partitions(submission.Host) {
-		if each != partition {
-			others = append(others, each)
+	for _, other := range d.partitions(submission.Host) {
+		if other != partition {
+			others = append(others, other)
 		}
 	}
 	if len(others) == 0 {
 		return false, nil
 	}
-	response, err := search(ctx, others, func(ctx context.Context, other uint32) (*batchpb.ReadResponse, error) {
+	response, err := searchPartitions(ctx, others, func(ctx context.Context, other uint32) (*batchpb.ReadResponse, error) {
 		request := &batchpb.ReadRequest{Partition: other, JobId: submission.JobId, Since: math.MaxUint32}
 		response := &batchpb.ReadResponse{}
 		return response, d.call(ctx, methodRead, request, response, readTimeout, tryTimeout)
 	})
 	if err != nil {
-		// Nothing was begun: whether the job is there is not known, and it must not be in two places.
+		// Nothing was started. Whether the other partition has the job is unknown, and it must not be in two places.
 		return false, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "a former home of the job does not answer").After(retryAfterOwner)
 	}
 	if response.Found {
@@ -66,12 +67,12 @@
 	return response.Found, nil
 }
 
-// finding is an answer that says whether its partition has what was asked for.
-type finding interface{ GetFound() bool }
+// foundResponse is an answer that tells whether its partition has the requested object.
+type foundResponse interface{ GetFound() bool }
 
-// search asks all partitions at once and returns the first answer that found something. Only where all have answered that they have
-// nothing is that the answer; else the error of one is.
-func search[Response finding](ctx context.Context, partitions []uint32, ask func(ctx context.Context, partition uint32) (Response, error)) (Response, error) {
+// searchPartitions asks all partitions concurrently and returns the first answer that found something. If none did, it returns an
+// answer without a find only if all partitions answered, otherwise one of the errors.
+func searchPartitions[Response foundResponse](ctx context.Context, partitions []uint32, ask func(ctx context.Context, partition uint32) (Response, error)) (Response, error) {
 	if len(partitions) == 1 {
 		return ask(ctx, partitions[0])
 	}
--- a/internal/batch/door_test.go
+++ b/internal/batch/door_test.go
@@ -104,12 +104,12 @@
 		view := fixedView{&membership.View{Self: self.ID, Members: members}}
 		made.doors = append(made.doors, NewDoor(fixedLocator{made.owner}, made.homes, edge, edge, view, zerolog.Nop()))
 	}
-	for _, each := range transports {
-		each.Start()
+	for _, started := range transports {
+		started.Start()
 	}
 	made.stop = func() {
-		for _, each := range transports {
-			each.Stop()
+		for _, started := range transports {
+			started.Stop()
 		}
 	}
 	return made
--- a/internal/batch/evacuation_test.go
+++ b/internal/batch/evacuation_test.go
@@ -54,7 +54,7 @@
 				view.Find("a").Acquire()
 			}
 			service.directory.SetEvacuated(test.zones)
-			begin, keep, running := service.room("s", now)
+			begin, keep, running := service.itemLimits("s", now)
 			if begins := begin > running; begins != test.begins {
 				t.Errorf("%d may begin, %d run", begin, running)
 			}
@@ -149,7 +149,7 @@
 		service.directory.SetEvacuated(map[string]bool{"other": true})
 		owner := newPartition(0, service)
 		owner.ctx = t.Context()
-		owner.askLoads()
+		owner.pollLoads()
 		synctest.Wait()
 		if got := len(network.Requests()); got != 1 {
 			t.Errorf("%d replicas were asked, want the one that is left", got)
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -147,8 +147,8 @@
 	node.transport.Start()
 	node.manager.Start()
 	var confined []ledger.Confined
-	for _, each := range c.routes.Table().BatchHomes() {
-		confined = append(confined, ledger.Confined{Key: each.Host, Regions: each.Regions})
+	for _, batchHome := range c.routes.Table().BatchHomes() {
+		confined = append(confined, ledger.Confined{Key: batchHome.Host, Regions: batchHome.Regions})
 	}
 	node.manager.SetConfined(confined)
 	node.running = true
--- a/internal/batch/housekeeping.go
+++ b/internal/batch/housekeeping.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// housekeepingInterval is how often it is looked for jobs to forget.
+	// housekeepingInterval is how often the partition is searched for jobs to forget.
 	housekeepingInterval = 5 * time.Second
-	// keepLonger is added to the time for which results must stay readable, since the time of day may jump.
-	keepLonger = time.Minute
+	// retentionMargin is added to the time for which results must stay readable, since the wall clock may jump.
+	retentionMargin = time.Minute
 )
 
-// runHousekeeping forgets jobs that nobody may ask for any more.
+// runHousekeeping forgets jobs whose results need not stay readable any longer, and drops the run state of items that no longer need
+// it.
 func (p *partition) runHousekeeping() {
 	pause.Every(p.ctx, housekeepingInterval, func(time.Time) {
 		p.forgetOldJobs()
@@ -25,35 +26,35 @@
 }
 
 func (p *partition) forgetOldJobs() {
-	for _, jobID := range p.forgettable() {
-		if err := p.propose(p.ctx, recordOf(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: jobID})); err != nil {
+	for _, jobID := range p.expiredJobs() {
+		if err := p.propose(p.ctx, newRecord(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: jobID})); err != nil {
 			return
 		}
 		p.logger.Info().Str(logging.FieldJob, jobID).Msg("job_forgotten")
 	}
 }
 
-// forgettable returns the finished jobs that are older than the time for which results are kept.
-func (p *partition) forgettable() []string {
-	oldest := p.now().Add(-p.service.options.KeepResults - keepLonger).UnixMilli()
+// expiredJobs returns the finished jobs that are older than the time for which results are kept.
+func (p *partition) expiredJobs() []string {
+	oldest := p.now().Add(-p.service.options.KeepResults - retentionMargin).UnixMilli()
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
 	var found []string
-	for _, each := range p.state.order {
-		if each.acceptedAt < oldest && !each.open() {
-			found = append(found, each.submission.JobId)
+	for _, job := range p.state.order {
+		if job.acceptedAt < oldest && !job.open() {
+			found = append(found, job.submission.JobId)
 		}
 	}
 	return found
 }
 
-// dropStaleRuns drops what is known of items that no longer run and are listed, ended or forgotten.
+// dropStaleRuns drops the run state of items that do not run any more and are listed, or whose job has ended or is forgotten.
 func (p *partition) dropStaleRuns() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for key, run := range p.runs {
-		owner := p.state.jobs[key.job]
-		if !run.running && (owner == nil || !owner.open() || owner.items[key.number].listed) {
+		job := p.state.jobs[key.job]
+		if !run.running && (job == nil || !job.open() || job.items[key.number].listed) {
 			delete(p.runs, key)
 		}
 	}
--- a/internal/batch/item_attempt.go
+++ b/internal/batch/item_attempt.go
@@ -21,86 +21,87 @@
 )
 
 const (
-	// itemSilence is how long a replica may send nothing before the item goes on elsewhere.
-	itemSilence = 3 * time.Second
+	// silenceTimeout is how long a replica may send nothing before the attempt is ended and the item continues at another replica.
+	silenceTimeout = 3 * time.Second
 	// pauseAfterRefusal and pauseAfterFailure are how long an item waits before it is sent again.
 	pauseAfterRefusal = 60 * time.Millisecond
 	pauseAfterFailure = 250 * time.Millisecond
-	// maxErrorBody bounds what is read of an answer that is no stream.
-	maxErrorBody = 64 << 10
-	// retryAppend is the wait before a result is appended again.
-	retryAppend = 200 * time.Millisecond
+	// maxErrorBodyBytes bounds how much of the body is read when the answer is not a stream.
+	maxErrorBodyBytes = 64 << 10
+	// appendRetryDelay is the wait before a failed append about an item is retried.
+	appendRetryDelay = 200 * time.Millisecond
 )
 
-var errSilent = errors.New("replica is silent")
+var errSilent = errors.New("replica sent nothing within the silence timeout")
 
-// itemVerdict is how one attempt at an item ended.
+// itemVerdict is the result of one attempt at an item.
 type itemVerdict int
 
 const (
-	// itemDone: the text is whole.
+	// itemDone: the whole text was received.
 	itemDone itemVerdict = iota
-	// itemImpossible: no replica can ever do it.
+	// itemImpossible: no replica can process the item.
 	itemImpossible
-	// itemFailed: the replica ran it and failed.
+	// itemFailed: the replica ran the item and answered with a failure.
 	itemFailed
-	// itemRefused: the replica did not run it.
+	// itemRefused: the replica did not run the item.
 	itemRefused
-	// itemCut: the stream ended early; the text so far stands.
-	itemCut
-	// itemNotSent: it was not sent, since its replica is cold and has no room for it now.
+	// itemInterrupted: the stream ended early; the text received so far is kept.
+	itemInterrupted
+	// itemNotSent: the item was not sent, since its replica is cold and cannot take another run now, or its deciding run was
+	// deferred.
 	itemNotSent
-	// itemRejected: it was not sent, since replicas ended under its message, and no further run was granted.
+	// itemRejected: the item was not sent, since replicas ended under its message and the quarantine granted no further run.
 	itemRejected
 )
 
 var itemVerdictNames = map[itemVerdict]string{
-	itemDone: "done", itemImpossible: "impossible", itemFailed: "failed", itemRefused: "refused", itemCut: "cut", itemNotSent: "not_sent",
+	itemDone: "done", itemImpossible: "impossible", itemFailed: "failed", itemRefused: "refused", itemInterrupted: "cut", itemNotSent: "not_sent",
 	itemRejected: "rejected",
 }
 
-// String returns the verdict's name in the log.
+// String returns the verdict's name as it is logged.
 func (v itemVerdict) String() string { return itemVerdictNames[v] }
 
-// itemAttempt is one send of an item to one replica.
+// itemAttempt is one attempt to run an item at one replica. It lasts one or more leases.
 type itemAttempt struct {
 	partition *partition
 	key       itemKey
-	sent      *batchpb.Item
+	item      *batchpb.Item
 	host      string
-	// tenant is the name of the tenant whose item it is; empty where no tenants are declared.
+	// tenant is the name of the tenant that owns the item; empty where no tenants are declared.
 	tenant string
 	route  *route.Route
 	handle *replica.Handle
-	// admittedAt is when the present send was counted against what a cold replica can take.
+	// admittedAt is when the current send was counted against the limit of a cold replica.
 	admittedAt time.Time
 	text       []byte
 	lastEvent  string
 	status     int
 	err        error
-	// lease is the length of the present lease, which began at leaseBegan; resumed says that another one came before it here and that its
-	// first event has not come yet.
-	lease      time.Duration
-	leaseBegan time.Time
-	resumed    bool
-	// eventsAt is when events came last, gap the time since those before them.
-	eventsAt time.Time
-	gap      time.Duration
+	// leaseLength is the length of the current lease, which started at leaseStartedAt. awaitingResume is true from the start of a
+	// further lease of this attempt until its first event.
+	leaseLength    time.Duration
+	leaseStartedAt time.Time
+	awaitingResume bool
+	// lastEventsAt is when events were last received, eventGap the time between those events and the ones before.
+	lastEventsAt time.Time
+	eventGap     time.Duration
 }
 
-// run runs the item at its replica, one lease after the other, until it is done, fails or is cut off.
+// run runs the item at its replica, one lease after the other, until it is done, fails or is interrupted.
 func (a *itemAttempt) run(ctx context.Context) itemVerdict {
-	a.partition.noteAtReplica(a.key, true)
-	defer a.partition.noteAtReplica(a.key, false)
+	a.partition.setAtReplica(a.key, true)
+	defer a.partition.setAtReplica(a.key, false)
 	for {
-		madeBefore := len(a.text)
+		sizeBefore := len(a.text)
 		verdict := a.runLease(ctx)
-		leaseOver := verdict == itemCut && errors.Is(a.err, errLeaseOver) && ctx.Err() == nil
-		if !leaseOver || len(a.text) == madeBefore || !a.handle.Usable() || !a.admitted() {
+		leaseOver := verdict == itemInterrupted && errors.Is(a.err, errLeaseExpired) && ctx.Err() == nil
+		if !leaseOver || len(a.text) == sizeBefore || !a.handle.Usable() || !a.admitAgain() {
 			return verdict
 		}
 		a.err = nil
-		a.resumed = true
+		a.awaitingResume = true
 	}
 }
 
@@ -108,85 +109,85 @@
 func (a *itemAttempt) runLease(ctx context.Context) itemVerdict {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a.lease = a.partition.leaseOf(a)
-	a.leaseBegan = clock.Now()
-	over := time.AfterFunc(a.lease-leaseMargin, func() { cancel(errLeaseOver) })
+	a.leaseLength = a.partition.nextLease(a)
+	a.leaseStartedAt = clock.Now()
+	over := time.AfterFunc(a.leaseLength-leaseMargin, func() { cancel(errLeaseExpired) })
 	defer over.Stop()
-	silence := time.AfterFunc(itemSilence, func() { cancel(errSilent) })
+	silence := time.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
 	defer silence.Stop()
 	client := a.partition.service.client
-	answer, err := client.Do(ctx, a.handle, a.call(client.Headers()))
+	answer, err := client.Do(ctx, a.handle, a.newCall(client.Headers()))
 	if err != nil {
 		a.err = errors.Join(err, context.Cause(ctx))
-		a.noteFailure()
+		a.reportFailure()
 		if errors.Is(err, replica.ErrNotSent) {
 			return itemRefused
 		}
-		return itemCut
+		return itemInterrupted
 	}
 	a.status = answer.Status
 	if answer.Status != http.StatusOK {
-		_, err := io.CopyN(io.Discard, answer.Body, maxErrorBody)
+		_, err := io.CopyN(io.Discard, answer.Body, maxErrorBodyBytes)
 		answer.Close(errors.Is(err, io.EOF))
-		return a.judge(answer, client.Headers())
+		return a.classifyAnswer(answer, client.Headers())
 	}
 	verdict := a.readStream(ctx, answer, silence)
 	answer.Close(verdict == itemDone)
 	return verdict
 }
 
-// noteEvents takes in that events have come. The first ones of a further lease show what its begin cost: the time beyond the usual one
-// between events.
-func (a *itemAttempt) noteEvents(now time.Time) {
-	if a.resumed {
-		a.resumed = false
-		a.partition.service.leases.observe(max(0, now.Sub(a.leaseBegan)-a.gap))
+// observeEvents notes that events were received. The first events of a further lease show the cost of starting it: the time since
+// its start less the usual gap between events.
+func (a *itemAttempt) observeEvents(now time.Time) {
+	if a.awaitingResume {
+		a.awaitingResume = false
+		a.partition.service.leases.observe(max(0, now.Sub(a.leaseStartedAt)-a.eventGap))
 	} else {
-		a.gap = now.Sub(a.eventsAt)
+		a.eventGap = now.Sub(a.lastEventsAt)
 	}
-	a.eventsAt = now
+	a.lastEventsAt = now
 }
 
-// noteFailure counts against the replica unless this process itself cut the attempt off.
-func (a *itemAttempt) noteFailure() {
+// reportFailure counts a failure against the replica unless this process itself ended the attempt.
+func (a *itemAttempt) reportFailure() {
 	if errors.Is(a.err, replica.ErrEvacuated) {
 		return
 	}
-	if !errors.Is(a.err, errLeaseOver) && !errors.Is(a.err, quarantine.ErrSuspected) && (!errors.Is(a.err, context.Canceled) || errors.Is(a.err, errSilent)) {
+	if !errors.Is(a.err, errLeaseExpired) && !errors.Is(a.err, quarantine.ErrSuspected) && (!errors.Is(a.err, context.Canceled) || errors.Is(a.err, errSilent)) {
 		a.handle.Failed(clock.Now())
 	}
 }
 
-// headerOf returns the fields that an item came with.
-func headerOf(sent *batchpb.Item) http.Header {
-	header := make(http.Header, len(sent.Headers)+4)
-	for _, each := range sent.Headers {
-		header.Add(each.Name, each.Value)
+// itemHeader returns the HTTP header fields that were submitted with an item.
+func itemHeader(item *batchpb.Item) http.Header {
+	header := make(http.Header, len(item.Headers)+4)
+	for _, field := range item.Headers {
+		header.Add(field.Name, field.Value)
 	}
 	return header
 }
 
-// call returns the item's request.
-func (a *itemAttempt) call(names replica.Headers) replica.Call {
-	header := headerOf(a.sent)
+// newCall builds the item's request.
+func (a *itemAttempt) newCall(names replica.Headers) replica.Call {
+	header := itemHeader(a.item)
 	header.Del(names.APIKey)
 	header.Del(names.Tenant)
 	if a.tenant != "" {
 		header.Set(names.Tenant, a.tenant)
 	}
-	header.Set(names.RequestID, a.sent.Id)
+	header.Set(names.RequestID, a.item.Id)
 	header.Set(names.ExpectInstance, a.handle.Info().ID)
-	header.Set(names.Deadline, strconv.FormatInt(a.lease.Milliseconds(), 10))
+	header.Set(names.Deadline, strconv.FormatInt(a.leaseLength.Milliseconds(), 10))
 	if a.lastEvent != "" {
 		header.Set(names.LastEventID, a.lastEvent)
 	}
 	return replica.Call{
-		Method: http.MethodPost, Target: a.sent.Path, Host: a.host, Header: header, Body: a.sent.Body, RequestID: a.sent.Id, AdmittedAt: a.admittedAt,
+		Method: http.MethodPost, Target: a.item.Path, Host: a.host, Header: header, Body: a.item.Body, RequestID: a.item.Id, AdmittedAt: a.admittedAt,
 	}
 }
 
-// judge tells what an answer that is no stream means.
-func (a *itemAttempt) judge(answer *replica.Answer, names replica.Headers) itemVerdict {
+// classifyAnswer returns the verdict for an answer that is not a stream.
+func (a *itemAttempt) classifyAnswer(answer *replica.Answer, names replica.Headers) itemVerdict {
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest, answer.Header.Get(names.NotRun) != "":
 		a.handle.Refused(answer.Status, clock.Now())
@@ -199,20 +200,20 @@
 	}
 }
 
-// readStream collects the events' data. Only an answer that tells its own end can be whole: after any other the item is
-// sent once more behind its last event.
+// readStream collects the data of the events. Only an answer whose framing marks its end can be complete; after any other the item
+// is sent again and resumes after its last event.
 func (a *itemAttempt) readStream(ctx context.Context, answer *replica.Answer, silence *time.Timer) itemVerdict {
 	reader := eventstream.NewReader(answer.Body)
 	for {
 		events, err := reader.Next()
 		if len(events.Bytes) > 0 {
-			silence.Reset(itemSilence)
-			a.noteEvents(clock.Now())
+			silence.Reset(silenceTimeout)
+			a.observeEvents(clock.Now())
 			a.text = eventstream.AppendData(a.text, events.Bytes)
 			if events.LastID != "" {
 				a.lastEvent = events.LastID
 			}
-			a.partition.keepProgress(a)
+			a.partition.recordProgress(a)
 		}
 		if errors.Is(err, io.EOF) && answer.Framed {
 			a.handle.Succeeded()
@@ -220,14 +221,14 @@
 		}
 		if err != nil {
 			a.err = errors.Join(err, context.Cause(ctx))
-			a.noteFailure()
-			return itemCut
+			a.reportFailure()
+			return itemInterrupted
 		}
 	}
 }
 
-// keepProgress notes what a running item has made.
-func (p *partition) keepProgress(attempt *itemAttempt) {
+// recordProgress stores the text and the last event of a running item.
+func (p *partition) recordProgress(attempt *itemAttempt) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if run := p.runs[attempt.key]; run != nil {
@@ -235,39 +236,39 @@
 	}
 }
 
-// took takes in how an attempt ended.
-func (p *partition) took(attempt *itemAttempt, verdict itemVerdict) {
+// handleAttemptEnd lists the item, gives it up or queues it again, as the verdict on the attempt demands.
+func (p *partition) handleAttemptEnd(attempt *itemAttempt, verdict itemVerdict) {
 	if verdict != itemDone {
 		p.logNotDone(attempt, verdict)
 	}
-	p.noteEnd(attempt.key)
+	p.recordRunEnd(attempt.key)
 	switch verdict {
 	case itemDone:
 		p.finish(attempt.key, batchpb.State_STATE_SUCCEEDED, string(attempt.text), "done")
 	case itemImpossible:
 		p.finish(attempt.key, batchpb.State_STATE_DEAD_LETTER, "", "impossible")
 	case itemFailed:
-		p.tookFailure(attempt)
+		p.handleFailure(attempt)
 	case itemRefused:
 		p.requeue(attempt.key, pauseAfterRefusal)
-	case itemCut:
+	case itemInterrupted:
 		p.requeue(attempt.key, 0)
 	case itemNotSent:
-		p.requeue(attempt.key, pauseWhileSuspected)
+		p.requeue(attempt.key, suspectedRetryDelay)
 	case itemRejected:
-		p.tookRejection(attempt)
+		p.handleRejection(attempt)
 	}
 	p.wake()
 }
 
-// logNotDone writes how an attempt ended that did not finish its item, also one that the loss of the ownership ended: which attempt of this
-// owner it was, and how many failures were counted before it.
+// logNotDone logs an attempt that did not finish its item, including one that ended because the ownership was lost: the number of
+// this owner's attempts, and the number of failures counted before this one.
 func (p *partition) logNotDone(attempt *itemAttempt, verdict itemVerdict) {
 	p.mutex.Lock()
-	run := p.runOf(attempt.key)
-	begins, failures := run.begins, run.failures
+	run := p.ensureRun(attempt.key)
+	begins, failures := run.attempts, run.failures
 	p.mutex.Unlock()
-	p.logger.Info().Str(logging.FieldRequest, attempt.sent.Id).Str(logging.FieldJob, attempt.key.job).
+	p.logger.Info().Str(logging.FieldRequest, attempt.item.Id).Str(logging.FieldJob, attempt.key.job).
 		Str(logging.FieldReplica, attempt.handle.Info().ID).Stringer("verdict", verdict).Int("status", attempt.status).
 		Int("begins", begins).Int("failures_before", failures).Bool("owned", p.ctx.Err() == nil).
 		Str("last_event", attempt.lastEvent).Err(attempt.err).Msg("item_not_done")
@@ -276,76 +277,77 @@
 func (p *partition) requeue(key itemKey, pause time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	run := p.runOf(key)
+	run := p.ensureRun(key)
 	run.running, run.notBefore = false, p.elapsed()+pause
 }
 
-// finish lists an item; it tries until that is durable or the ownership is lost. The item counts as running meanwhile.
-func (p *partition) finish(key itemKey, listedAs batchpb.State, text, reason string) {
-	listed := func(of *item) bool { return of.listed }
-	if !p.untilDurable(key, "result_not_listed", listed, func() error { return p.proposeResult(key, listedAs, text) }) {
+// finish lists the result of an item. It retries until the result is durable or the ownership is lost; the item counts as running
+// meanwhile.
+func (p *partition) finish(key itemKey, finalState batchpb.State, text, reason string) {
+	listed := func(item *itemState) bool { return item.listed }
+	if !p.proposeUntilDurable(key, "result_not_listed", listed, func() error { return p.proposeResult(key, finalState, text) }) {
 		return
 	}
 	p.mutex.Lock()
 	delete(p.runs, key)
 	p.mutex.Unlock()
-	if listedAs == batchpb.State_STATE_DEAD_LETTER {
+	if finalState == batchpb.State_STATE_DEAD_LETTER {
 		p.logger.Info().Str(logging.FieldJob, key.job).Int("item", key.number).Str(logging.FieldReason, reason).Msg("item_dead")
 	}
 }
 
-// untilDurable proposes a record about an item until the state has it, as recorded says, or nothing is left to do for the item. It returns false
-// where the ownership is lost before. failed is the message of the log line on each try that fails.
-func (p *partition) untilDurable(key itemKey, failed string, recorded func(of *item) bool, propose func() error) bool {
-	for p.ctx.Err() == nil && !p.hasRecorded(key, recorded) {
+// proposeUntilDurable proposes a record about an item until recorded reports that the state contains it, or the item needs no
+// further records. It returns false if the ownership is lost first. failed is the message logged for each try that fails.
+func (p *partition) proposeUntilDurable(key itemKey, failed string, recorded func(item *itemState) bool, propose func() error) bool {
+	for p.ctx.Err() == nil && !p.isRecorded(key, recorded) {
 		err := propose()
 		if err == nil {
 			continue
 		}
 		p.logger.Warn().Str(logging.FieldJob, key.job).Int("item", key.number).Err(err).Str(logging.FieldReason, string(outcome.As(err).Reason)).Msg(failed)
-		if !pause.Sleep(p.ctx, retryAppend) {
+		if !pause.Sleep(p.ctx, appendRetryDelay) {
 			return false
 		}
 	}
 	return p.ctx.Err() == nil
 }
 
-func (p *partition) proposeResult(key itemKey, listedAs batchpb.State, text string) error {
-	p.textOrder.Lock()
-	request := newProposal(p.resultRecord(key, listedAs, text))
+func (p *partition) proposeResult(key itemKey, finalState batchpb.State, text string) error {
+	p.textMutex.Lock()
+	request := newProposal(p.resultRecord(key, finalState, text))
 	err := p.enqueue(p.ctx, request)
-	p.textOrder.Unlock()
+	p.textMutex.Unlock()
 	if err != nil {
 		return err
 	}
 	return p.await(p.ctx, request)
 }
 
-// resultRecord makes the record that lists an item; of its text it holds what the log lacks.
-func (p *partition) resultRecord(key itemKey, listedAs batchpb.State, text string) ledger.Record {
-	result := &batchpb.Result{JobId: key.job, Item: uint32(key.number), State: listedAs}
-	if listedAs == batchpb.State_STATE_SUCCEEDED {
+// resultRecord returns the record that lists an item. It contains only the part of the text that the log does not have yet.
+func (p *partition) resultRecord(key itemKey, finalState batchpb.State, text string) ledger.Record {
+	result := &batchpb.Result{JobId: key.job, Item: uint32(key.number), State: finalState}
+	if finalState == batchpb.State_STATE_SUCCEEDED {
 		p.mutex.Lock()
-		run := p.runOf(key)
+		run := p.ensureRun(key)
 		if run.finishing {
-			// An earlier try did not list it: what was on its way to the log may not have come there.
-			run.logged = len(p.state.jobs[key.job].items[key.number].made())
+			// An earlier try did not list the item: progress that was being appended may not have reached the log.
+			run.logged = len(p.state.jobs[key.job].items[key.number].loggedText())
 		}
 		run.finishing = true
 		logged := run.logged
 		if !run.startedWithText {
-			result.RanMillis = uint64(run.ran.Milliseconds())
+			result.RanMillis = uint64(run.runTime.Milliseconds())
 		}
 		p.mutex.Unlock()
 		result.Offset, result.Text = uint64(logged), text[logged:]
 	}
-	return recordOf(ledger.KindBatchResult, result)
+	return newRecord(ledger.KindBatchResult, result)
 }
 
-// hasRecorded says that the log has what is asked for of an item, or that nothing is left to do for it.
-func (p *partition) hasRecorded(key itemKey, asked func(of *item) bool) bool {
+// isRecorded reports whether the state satisfies recorded for an item, or the item needs no further records.
+func (p *partition) isRecorded(key itemKey, recorded func(item *itemState) bool) bool {
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
-	owner := p.state.jobs[key.job]
-	return owner == nil || owner.ended || owner.items[key.number].listed || asked(&owner.items[key.number])
+	job := p.state.jobs[key.job]
+	return job == nil || job.ended || job.items[key.number].listed || recorded(&job.items[key.number])
 }
--- a/internal/batch/item_chance_test.go
+++ b/internal/batch/item_chance_test.go
@@ -273,10 +273,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				records := acceptanceRecords(batchOf("j", 1), time.Now().UnixMilli())
 				for number, reached := range test.reached {
-					records = append(records, recordOf(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Replica: uint64(100 + number), Reached: reached}))
+					records = append(records, newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Replica: uint64(100 + number), Reached: reached}))
 				}
 				if test.made > 0 {
-					records = append(records, recordOf(ledger.KindBatchProgress, &batchpb.Progress{JobId: "j", Text: text(test.made), LastEvent: fmt.Sprint(test.made)}))
+					records = append(records, newRecord(ledger.KindBatchProgress, &batchpb.Progress{JobId: "j", Text: text(test.made), LastEvent: fmt.Sprint(test.made)}))
 				}
 				owner := ownBefore(t, newMortalReplicas(12), records...)
 				defer owner.end()
@@ -320,18 +320,18 @@
 func (o *ownerUnderTest) madeEvents(key itemKey) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return eventsIn(o.runOf(key).text)
+	return countEvents(o.ensureRun(key).text)
 }
 
 func (o *ownerUnderTest) messageOf(key itemKey) quarantine.Key {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.runOf(key).message
+	return o.ensureRun(key).message
 }
 
 // yieldRun cuts an item's run off as one that makes room.
 func (o *ownerUnderTest) yieldRun(key itemKey) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.runOf(key).yield()
+	o.ensureRun(key).interrupt()
 }
--- a/internal/batch/item_crash.go
+++ b/internal/batch/item_crash.go
@@ -20,53 +20,55 @@
 )
 
 const (
-	// mostCrashedKept bounds the ended replicas that are recorded for one item: more than that may not end under it.
-	mostCrashedKept = 3
-	// apartPause is how long a suspected item lets the other messages go first that ran at the replica that ended: callers wait for some of
-	// them, and the cause ends the next replica, beside which the item need not be, within some tenths of a second.
-	apartPause = time.Second
-	// pauseWhileSuspected is how long a suspected item waits that was not sent or found no replica, holdPause how long one that is kept from replicas is not
-	// looked at.
-	pauseWhileSuspected = 250 * time.Millisecond
-	holdPause           = time.Second
+	// maxCrashesPerItem bounds the ended replicas that are recorded for one item: no more than this may end under it.
+	maxCrashesPerItem = 3
+	// crashBackoff is how long a suspected item waits for each replica that ended under it. Other messages that ran at such a
+	// replica are retried first: callers wait for some of them, and one that is the cause ends the next replica within some tenths
+	// of a second, while the item is not there.
+	crashBackoff = time.Second
+	// suspectedRetryDelay is how long a suspected item waits if it was not sent or no replica was found for it.
+	// heldBackCheckInterval is how long an item that is kept from replicas is skipped by the dispatcher.
+	suspectedRetryDelay   = 250 * time.Millisecond
+	heldBackCheckInterval = time.Second
 )
 
-// messageOf names what an item sends: its prompt, which items of several jobs share whose bodies differ, or its body where it names none.
-func messageOf(submission *batchpb.Submission, number int, names replica.Headers) quarantine.Key {
-	sent := submission.Items[number]
-	message := quarantine.Message{Method: http.MethodPost, Host: submission.Host, Target: sent.Path, PromptParts: headerOf(sent).Get(names.PromptParts)}
+// messageKey identifies what an item sends: its prompt parts, which items of several jobs with different bodies may share, or its
+// body if it names none.
+func messageKey(submission *batchpb.Submission, number int, names replica.Headers) quarantine.Key {
+	item := submission.Items[number]
+	message := quarantine.Message{Method: http.MethodPost, Host: submission.Host, Target: item.Path, PromptParts: itemHeader(item).Get(names.PromptParts)}
 	if message.PromptParts == "" {
-		message.Body = sent.Body
+		message.Body = item.Body
 	}
 	return message.Key()
 }
 
-// verdictOn says whether an item may be sent.
-func (p *partition) verdictOn(each candidate) quarantine.Verdict {
+// checkQuarantine returns the quarantine's verdict on whether an item may be sent.
+func (p *partition) checkQuarantine(item candidate) quarantine.Verdict {
 	register := p.service.options.Quarantine
 	if register == nil {
 		return quarantine.Allowed
 	}
 	p.mutex.Lock()
-	message := p.runOf(each.key).message
+	message := p.ensureRun(item.key).message
 	p.mutex.Unlock()
 	if message == (quarantine.Key{}) {
-		// The whole body is read for it, and the mutex is held by whoever notes progress or ends an item.
-		message = messageOf(each.submission, each.key.number, p.service.client.Headers())
+		// Hashing reads the whole body, so it is done without the mutex, which is needed to record progress and to finish items.
+		message = messageKey(item.submission, item.key.number, p.service.client.Headers())
 		p.mutex.Lock()
-		p.runOf(each.key).message = message
+		p.ensureRun(item.key).message = message
 		p.mutex.Unlock()
 	}
 	return register.Check(message)
 }
 
-// startApart sends a suspected item where few others run, and no other suspect.
-func (p *partition) startApart(each candidate) {
-	if !p.readyApart(each) {
+// startApart starts a suspected item at a replica where few other items and no other suspected item run.
+func (p *partition) startApart(item candidate) {
+	if !p.mayRunApart(item) {
 		return
 	}
 	p.mutex.Lock()
-	run := p.runOf(each.key)
+	run := p.ensureRun(item.key)
 	message := run.message
 	var occupied []*replica.Handle
 	for _, other := range p.runs {
@@ -76,77 +78,78 @@
 	}
 	p.mutex.Unlock()
 	var others []*replica.Handle
-	for _, backend := range each.route.Backends {
+	for _, backend := range item.route.Backends {
 		all := p.service.directory.View().Of(backend.Service)
 		occupied = append(occupied, quarantine.Failing(all, clock.Now())...)
 		others = append(others, quarantine.NotPreferred(message, all)...)
 	}
 	excluded := slices.Concat(occupied, others)
-	handle := p.pick(each, quarantine.ApartOccupancy, excluded)
+	handle := p.pick(item, quarantine.ApartOccupancy, excluded)
 	if handle == nil {
-		handle = p.pick(each, quarantine.ApartOccupancy, occupied)
+		handle = p.pick(item, quarantine.ApartOccupancy, occupied)
 	}
 	if handle == nil {
-		// No replica is that empty: the item waits no longer than other items do.
-		handle = p.pick(each, maxOccupancy, occupied)
+		// No replica has so few runs: the item is sent under the same limit as other items, so that it waits no longer than they do.
+		handle = p.pick(item, maxOccupancy, occupied)
 	}
-	found := handle != nil && p.service.mayStart(handle)
+	found := handle != nil && p.service.takeColdStart(handle)
 	p.mutex.Lock()
 	run.apart = found
 	if !found {
-		// The choice ranks all replicas for each suspect, and the dispatcher wakes at the end of each run.
-		run.apartFrom = p.elapsed() + pauseWhileSuspected
+		// pick ranks all replicas for each suspected item, and the dispatcher wakes up at the end of each run.
+		run.apartNotBefore = p.elapsed() + suspectedRetryDelay
 	}
 	p.mutex.Unlock()
 	if !found {
 		return
 	}
-	p.start(each, handle)
+	p.start(item, handle)
 }
 
-// holdBack has an item that is kept from replicas wait until its route's retention is over, then lists it as a dead letter.
-func (p *partition) holdBack(each candidate) {
-	mayGiveUp := p.mayGiveUp(each.route, each.acceptedAt)
+// holdBack keeps an item from replicas until its route's retention is over, then lists it as a dead letter.
+func (p *partition) holdBack(item candidate) {
+	mayGiveUp := p.retentionOver(item.route, item.acceptedAt)
 	p.mutex.Lock()
-	run := p.runOf(each.key)
-	run.notBefore = p.elapsed() + holdPause
+	run := p.ensureRun(item.key)
+	run.notBefore = p.elapsed() + heldBackCheckInterval
 	run.running = mayGiveUp
-	first := !run.heldBack
-	run.heldBack = true
+	first := !run.holdBackLogged
+	run.holdBackLogged = true
 	message := run.message
 	p.mutex.Unlock()
 	if first {
-		p.logger.Warn().Str(logging.FieldJob, each.key.job).Int("item", each.key.number).Stringer("digest", message).Msg("item_held_back")
+		p.logger.Warn().Str(logging.FieldJob, item.key.job).Int("item", item.key.number).Stringer("digest", message).Msg("item_held_back")
 	}
 	if mayGiveUp {
-		p.running.Go(func() { p.finish(each.key, batchpb.State_STATE_DEAD_LETTER, "", quarantine.ReasonRejected) })
+		p.background.Go(func() { p.finish(item.key, batchpb.State_STATE_DEAD_LETTER, "", quarantine.ReasonRejected) })
 	}
 }
 
-// mayGiveUp says that the time is over for which an item that no replica gets is kept.
-func (p *partition) mayGiveUp(of *route.Route, acceptedAt int64) bool {
-	return p.keptFor(acceptedAt, of.Retention)
+// retentionOver reports whether an item that no replica may get has exceeded its route's retention.
+func (p *partition) retentionOver(matched *route.Route, acceptedAt int64) bool {
+	return p.olderThan(acceptedAt, matched.Retention)
 }
 
-// keptFor says that an item has been kept for longer than limit; 0 is no limit.
-func (p *partition) keptFor(acceptedAt int64, limit time.Duration) bool {
+// olderThan reports whether an item was accepted longer than limit ago. A limit of 0 is never exceeded.
+func (p *partition) olderThan(acceptedAt int64, limit time.Duration) bool {
 	return limit > 0 && p.now().After(time.UnixMilli(acceptedAt).Add(limit))
 }
 
-// tookRejection has an item wait that was not admitted to its replica. It is given up like one that is held back: a keeper may decide otherwise than this
-// node's register for as long as they know different ends.
-func (p *partition) tookRejection(attempt *itemAttempt) {
+// handleRejection queues an item whose run the quarantine did not grant, or gives it up once its retention is over, as for one that
+// is held back. The keeper of the message may decide differently from this node's register while the two know different ends of
+// replicas.
+func (p *partition) handleRejection(attempt *itemAttempt) {
 	p.mutex.Lock()
-	acceptedAt := p.runOf(attempt.key).acceptedAt
+	acceptedAt := p.ensureRun(attempt.key).acceptedAt
 	p.mutex.Unlock()
-	if p.mayGiveUp(attempt.route, acceptedAt) {
+	if p.retentionOver(attempt.route, acceptedAt) {
 		p.finish(attempt.key, batchpb.State_STATE_DEAD_LETTER, "", quarantine.ReasonRejected)
 		return
 	}
-	p.requeue(attempt.key, pauseWhileSuspected)
+	p.requeue(attempt.key, suspectedRetryDelay)
 }
 
-// runGuarded runs an item at its replica and notes how that ended for its message.
+// runGuarded runs an item at its replica under a permit of the quarantine and reports to it how the run ended.
 func (p *partition) runGuarded(ctx context.Context, attempt *itemAttempt) itemVerdict {
 	register := p.service.options.Quarantine
 	if register == nil {
@@ -160,62 +163,64 @@
 	if permit.Verdict() == quarantine.Rejected {
 		return itemRejected
 	}
-	if permit.Verdict() == quarantine.Apart && p.mustDefer(attempt, message) {
+	if permit.Verdict() == quarantine.Apart && p.mustDeferAttempt(attempt, message) {
 		return itemNotSent
 	}
-	if !attempt.stillAdmitted() {
+	if !attempt.ensureAdmitted() {
 		return itemNotSent
 	}
 	bounded, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	startedBehind, eventsBefore := attempt.lastEvent, eventsIn(attempt.text)
+	resumedAfter, eventsBefore := attempt.lastEvent, countEvents(attempt.text)
 	run := permit.Begin(attempt.handle, func() { cancel(quarantine.ErrSuspected) })
 	verdict := attempt.run(bounded)
-	run.Progress(eventsBefore, eventsIn(attempt.text))
-	replicaEnded := run.End(ctx, attempt.ending(bounded, verdict, startedBehind))
-	p.noteDecision(attempt.key, verdict, replicaEnded)
+	run.Progress(eventsBefore, countEvents(attempt.text))
+	replicaEnded := run.End(ctx, attempt.classifyEnding(bounded, verdict, resumedAfter))
+	p.observeDecidingRun(attempt.key, verdict, replicaEnded)
 	if replicaEnded {
 		p.recordCrash(attempt)
-		p.letOthersFirst(attempt.key)
+		p.backOffAfterCrash(attempt.key)
 	}
 	return verdict
 }
 
-// eventsIn returns the number of events whose data a text holds.
-func eventsIn(text []byte) int {
+// countEvents returns the number of events whose data is contained in text.
+func countEvents(text []byte) int {
 	if len(text) == 0 {
 		return 0
 	}
 	return 1 + bytes.Count(text, []byte("\n"))
 }
 
-// letOthersFirst has an item whose replica ended wait while it is suspected, longer each time.
-func (p *partition) letOthersFirst(key itemKey) {
+// backOffAfterCrash delays the next run of an item whose replica ended, while the item is suspected. The delay grows with each
+// crash.
+func (p *partition) backOffAfterCrash(key itemKey) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	run := p.runOf(key)
+	run := p.ensureRun(key)
 	run.crashes++
-	run.apartFrom = p.elapsed() + time.Duration(run.crashes)*apartPause
+	run.apartNotBefore = p.elapsed() + time.Duration(run.crashes)*crashBackoff
 }
 
-// ending is what the attempt says of the item's message. Only a run from the beginning shows that it is harmless.
-func (a *itemAttempt) ending(ctx context.Context, verdict itemVerdict, startedBehind string) quarantine.Ending {
+// classifyEnding returns what the attempt shows about the item's message. Only a complete run from the beginning shows that the
+// message is harmless.
+func (a *itemAttempt) classifyEnding(ctx context.Context, verdict itemVerdict, resumedAfter string) quarantine.Ending {
 	switch {
-	case verdict == itemDone && startedBehind == "":
+	case verdict == itemDone && resumedAfter == "":
 		return quarantine.Whole
-	case verdict != itemCut:
+	case verdict != itemInterrupted:
 		return quarantine.Other
-	case ctx.Err() != nil, errors.Is(a.err, errSilent), errors.Is(a.err, errLeaseOver):
+	case ctx.Err() != nil, errors.Is(a.err, errSilent), errors.Is(a.err, errLeaseExpired):
 		return quarantine.Left
-	case a.lastEvent != startedBehind:
+	case a.lastEvent != resumedAfter:
 		return quarantine.Interrupted
 	default:
 		return quarantine.Lost
 	}
 }
 
-// recordCrash makes it durable that a replica ended under an item, where that counts: the next owner must know. The item is sent again only
-// then.
+// recordCrash makes it durable that a replica ended under an item, if that counts against the message, so that the next owner knows.
+// The item is not sent again before that.
 func (p *partition) recordCrash(attempt *itemAttempt) {
 	p.mutex.RLock()
 	message := p.runs[attempt.key].message
@@ -223,16 +228,17 @@
 	if !p.service.options.Quarantine.Counts(message) {
 		return
 	}
-	end := quarantine.RecordedEnd{Replica: attempt.handle.Key(), Reached: eventsIn(attempt.text), ReachedKnown: true}
-	crashed := crashedOf(attempt.key, end)
-	recorded := func(of *item) bool { return of.crashRecorded(end) }
-	propose := func() error { return p.propose(p.ctx, recordOf(ledger.KindBatchCrashed, crashed)) }
-	// The next owner would not know of a crash that is not recorded. Nothing follows where the ownership is lost before, which is logged.
-	_ = p.untilDurable(attempt.key, "crash_not_recorded", recorded, propose)
+	end := quarantine.RecordedEnd{Replica: attempt.handle.Key(), Reached: countEvents(attempt.text), ReachedKnown: true}
+	crashed := newCrashed(attempt.key, end)
+	recorded := func(item *itemState) bool { return item.hasCrash(end) }
+	propose := func() error { return p.propose(p.ctx, newRecord(ledger.KindBatchCrashed, crashed)) }
+	// A crash that is not recorded would be unknown to the next owner. The result is false only if the ownership is lost first; that
+	// is logged, and nothing is left to do.
+	_ = p.proposeUntilDurable(attempt.key, "crash_not_recorded", recorded, propose)
 }
 
-// crashedOf returns the record of the end of a replica under an item.
-func crashedOf(key itemKey, end quarantine.RecordedEnd) *batchpb.Crashed {
+// newCrashed returns the record that a replica ended under an item.
+func newCrashed(key itemKey, end quarantine.RecordedEnd) *batchpb.Crashed {
 	crashed := &batchpb.Crashed{JobId: key.job, Item: uint32(key.number), Replica: uint64(end.Replica)}
 	if end.ReachedKnown {
 		crashed.Reached = proto.Uint32(uint32(end.Reached))
@@ -240,16 +246,16 @@
 	return crashed
 }
 
-// recallCrashes gives the register what earlier owners have recorded.
+// recallCrashes passes the crashes that earlier owners recorded to the quarantine's register.
 func (p *partition) recallCrashes() {
 	register := p.service.options.Quarantine
 	if register == nil {
 		return
 	}
-	for _, each := range p.state.order {
-		for number := range each.items {
-			if of := &each.items[number]; len(of.crashed) > 0 && !each.ended {
-				register.Recall(messageOf(each.submission, number, p.service.client.Headers()), of.crashed, eventsIn([]byte(of.made())))
+	for _, job := range p.state.order {
+		for number := range job.items {
+			if item := &job.items[number]; len(item.crashes) > 0 && !job.ended {
+				register.Recall(messageKey(job.submission, number, p.service.client.Headers()), item.crashes, countEvents([]byte(item.loggedText())))
 			}
 		}
 	}
--- a/internal/batch/item_crash_test.go
+++ b/internal/batch/item_crash_test.go
@@ -57,8 +57,8 @@
 func (c *countingRegister) Calm(string) bool { return true }
 
 func (c *countingRegister) Recall(key quarantine.Key, ended []quarantine.RecordedEnd, _ int) {
-	for _, each := range ended {
-		c.note(key, each.Replica)
+	for _, end := range ended {
+		c.note(key, end.Replica)
 	}
 }
 
@@ -219,7 +219,7 @@
 		clearAfter  time.Duration
 		from, until time.Duration
 	}{
-		"still suspected": {time.Hour, apartPause, 2 * apartPause},
+		"still suspected": {time.Hour, crashBackoff, 2 * crashBackoff},
 		"cleared":         {200 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -267,7 +267,7 @@
 	log := newLog(t)
 	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
 	for _, ended := range []uint64{7, 8, 7, 9, 10} {
-		log.add(recordOf(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Item: 1, Replica: ended}))
+		log.add(newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Item: 1, Replica: ended}))
 	}
 	encoded, err := log.state.snapshot()
 	if err != nil {
@@ -277,11 +277,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := restored.jobs["j"].items[1].crashed, []quarantine.RecordedEnd{{Replica: 7}, {Replica: 8}, {Replica: 9}}; !slices.Equal(got, want) {
+	if got, want := restored.jobs["j"].items[1].crashes, []quarantine.RecordedEnd{{Replica: 7}, {Replica: 8}, {Replica: 9}}; !slices.Equal(got, want) {
 		t.Errorf("replicas %v, want %v: each once, and no more than matter", got, want)
 	}
 	log.add(successRecord("j", 1, 0, "a"))
-	if left := log.state.jobs["j"].items[1].crashed; left != nil {
+	if left := log.state.jobs["j"].items[1].crashes; left != nil {
 		t.Errorf("a listed item keeps %v", left)
 	}
 }
--- a/internal/batch/item_deferred.go
+++ b/internal/batch/item_deferred.go
@@ -7,65 +7,68 @@
 )
 
 const (
-	// deferralPart is the part of its route's retention, as its inverse, until the end of which an item's deciding run may wait.
-	deferralPart = 2
-	// mostDecisions bounds the deciding runs of a partition at a time.
-	mostDecisions = 16
+	// deferralDivisor divides the route's retention: an item's deciding run is deferred until the end of that part of it at the
+	// latest.
+	deferralDivisor = 2
+	// maxDecidingRuns bounds the concurrent deciding runs of a partition.
+	maxDecidingRuns = 16
 )
 
-// decisions bounds the deciding runs of a partition at a time, as a slow start does: one at first and after each that ended its replica, one more with each that did not.
-type decisions struct {
-	// beyondFirst is the number allowed besides one.
-	beyondFirst int
+// decidingRunLimit limits the concurrent deciding runs of a partition by a slow start: 1 at first and after a deciding run that
+// ended its replica, one more after each that did not, up to maxDecidingRuns.
+type decidingRunLimit struct {
+	// extraAllowed is the number of concurrent deciding runs allowed in addition to one.
+	extraAllowed int
 }
 
-// admit says whether one more may begin beside those under way.
-func (d *decisions) admit(underWay int) bool { return underWay <= d.beyondFirst }
+// admit reports whether another deciding run may start while inFlight ones are running.
+func (d *decidingRunLimit) admit(inFlight int) bool { return inFlight <= d.extraAllowed }
 
-// note takes in how a deciding run ended.
-func (d *decisions) note(replicaEnded bool) {
+// observe adjusts the limit after a deciding run.
+func (d *decidingRunLimit) observe(replicaEnded bool) {
 	if replicaEnded {
-		d.beyondFirst = 0
+		d.extraAllowed = 0
 		return
 	}
-	d.beyondFirst = min(d.beyondFirst+1, mostDecisions-1)
+	d.extraAllowed = min(d.extraAllowed+1, maxDecidingRuns-1)
 }
 
-// readyApart says that a suspected item need wait no longer, neither for others to go first nor for its deciding run.
-func (p *partition) readyApart(each candidate) bool {
+// mayRunApart reports whether a suspected item need not wait any longer, neither for its backoff to end nor for its deciding run.
+func (p *partition) mayRunApart(item candidate) bool {
 	p.mutex.Lock()
-	run := p.runOf(each.key)
-	message, paused := run.message, p.elapsed() < run.apartFrom
+	run := p.ensureRun(item.key)
+	message, paused := run.message, p.elapsed() < run.apartNotBefore
 	p.mutex.Unlock()
-	return !paused && !p.defers(each.key, message, each.route, each.acceptedAt)
+	return !paused && !p.deferDecidingRun(item.key, message, item.route, item.acceptedAt)
 }
 
-// defers says that an item waits for its deciding run: the one after which it is sent to no replica any more, should one more end under it. It is made while hardly any replica
-// ends for other reasons, but within a part of the route's retention, and while few other such runs are under way here, each of which may end its replica.
-func (p *partition) defers(key itemKey, message quarantine.Key, of *route.Route, acceptedAt int64) bool {
+// deferDecidingRun reports whether an item must wait before its deciding run: the run after which the item is sent to no replica any
+// more if the replica ends under it. The run is made while replicas hardly end for other reasons, or once the deferral is over, and
+// while few other deciding runs are in flight here, since each of them may end its replica.
+func (p *partition) deferDecidingRun(key itemKey, message quarantine.Key, matched *route.Route, acceptedAt int64) bool {
 	register := p.service.options.Quarantine
 	if !register.Decides(message) {
 		return false
 	}
-	calm := p.calmFor(of) || p.deferredLongEnough(of, acceptedAt)
+	calm := p.backendsCalm(matched) || p.deferralOver(matched, acceptedAt)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	run := p.runOf(key)
-	if calm && p.decisions.admit(p.decidingBeside(key)) {
+	run := p.ensureRun(key)
+	if calm && p.decidingRuns.admit(p.otherDecidingRuns(key)) {
 		run.deciding = true
 		return false
 	}
-	if !run.deferred {
-		run.deferred = true
+	if !run.deferralLogged {
+		run.deferralLogged = true
 		p.logger.Info().Str(logging.FieldJob, key.job).Int("item", key.number).Stringer("digest", message).Bool("calm", calm).Msg("item_deferred")
 	}
-	run.apartFrom = p.elapsed() + pauseWhileSuspected
+	run.apartNotBefore = p.elapsed() + suspectedRetryDelay
 	return true
 }
 
-// calmFor says that replicas of all services of a route are calm.
-func (p *partition) calmFor(of *route.Route) bool {
-	for _, backend := range of.Backends {
+// backendsCalm reports whether replicas of all services of a route are calm.
+func (p *partition) backendsCalm(matched *route.Route) bool {
+	for _, backend := range matched.Backends {
 		if !p.service.options.Quarantine.Calm(backend.Service) {
 			return false
 		}
@@ -73,8 +76,8 @@
 	return true
 }
 
-// decidingBeside counts the deciding runs of other items that are under way. The mutex is held.
-func (p *partition) decidingBeside(key itemKey) int {
+// otherDecidingRuns counts the deciding runs of other items that are in flight. The mutex is held.
+func (p *partition) otherDecidingRuns(key itemKey) int {
 	count := 0
 	for other, run := range p.runs {
 		if other != key && run.deciding && run.running {
@@ -84,24 +87,26 @@
 	return count
 }
 
-// deferredLongEnough says that an item's deciding run waits no longer for its replicas to be calm: at the end of the retention it would be given up without one.
-func (p *partition) deferredLongEnough(of *route.Route, acceptedAt int64) bool {
-	return p.keptFor(acceptedAt, of.Retention/deferralPart)
+// deferralOver reports whether an item's deciding run no longer waits for calm replicas: at the end of the retention the item would
+// be given up without that run.
+func (p *partition) deferralOver(matched *route.Route, acceptedAt int64) bool {
+	return p.olderThan(acceptedAt, matched.Retention/deferralDivisor)
 }
 
-// mustDefer says that an item that was about to run apart waits instead: its keeper knew of more ends than this node.
-func (p *partition) mustDefer(attempt *itemAttempt, message quarantine.Key) bool {
+// mustDeferAttempt reports whether an item that was about to run apart must wait for its deciding run after all: the keeper of its
+// message knew of more ended replicas than this node.
+func (p *partition) mustDeferAttempt(attempt *itemAttempt, message quarantine.Key) bool {
 	p.mutex.Lock()
-	acceptedAt := p.runOf(attempt.key).acceptedAt
+	acceptedAt := p.ensureRun(attempt.key).acceptedAt
 	p.mutex.Unlock()
-	return p.defers(attempt.key, message, attempt.route, acceptedAt)
+	return p.deferDecidingRun(attempt.key, message, attempt.route, acceptedAt)
 }
 
-// noteDecision takes in how a deciding run ended. One that was cut off says nothing.
-func (p *partition) noteDecision(key itemKey, verdict itemVerdict, replicaEnded bool) {
+// observeDecidingRun notes the end of a deciding run. A run that was interrupted shows nothing and is ignored.
+func (p *partition) observeDecidingRun(key itemKey, verdict itemVerdict, replicaEnded bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.runOf(key).deciding && (replicaEnded || verdict == itemDone) {
-		p.decisions.note(replicaEnded)
+	if p.ensureRun(key).deciding && (replicaEnded || verdict == itemDone) {
+		p.decidingRuns.observe(replicaEnded)
 	}
 }
--- a/internal/batch/item_deferred_test.go
+++ b/internal/batch/item_deferred_test.go
@@ -140,21 +140,21 @@
 }
 
 func TestDecisionsGrowWhileNoReplicaEnds(t *testing.T) {
-	var tested decisions
+	var tested decidingRunLimit
 	for round, want := range []int{1, 2, 3} {
 		if !tested.admit(want-1) || tested.admit(want) {
 			t.Errorf("after %d good ends not %d runs may be under way", round, want)
 		}
-		tested.note(false)
+		tested.observe(false)
 	}
-	tested.note(true)
+	tested.observe(true)
 	if !tested.admit(0) || tested.admit(1) {
 		t.Error("after the end of a replica not one run may be under way")
 	}
-	for range 2 * mostDecisions {
-		tested.note(false)
+	for range 2 * maxDecidingRuns {
+		tested.observe(false)
 	}
-	if tested.admit(mostDecisions) {
-		t.Errorf("more than %d runs may be under way", mostDecisions)
+	if tested.admit(maxDecidingRuns) {
+		t.Errorf("more than %d runs may be under way", maxDecidingRuns)
 	}
 }
--- a/internal/batch/item_homes.go
+++ b/internal/batch/item_homes.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// target is what items compete for: the replicas of a route in some regions.
+// target identifies what items compete for: the replicas of a route in a set of regions.
 type target struct {
 	route *route.Route
 	homes string
@@ -16,8 +16,9 @@
 
 func (c candidate) target() target { return target{route: c.route, homes: c.homes.String()} }
 
-// checkPlace rejects a new submission that is confined to regions where this partition is not: it comes from an edge that does not know of that yet.
-func (p *partition) checkPlace(submission *batchpb.Submission) error {
+// checkSubmissionHomes rejects a new submission that is confined to certain regions if this partition is not confined. Such a
+// submission comes from an edge with an older configuration.
+func (p *partition) checkSubmissionHomes(submission *batchpb.Submission) error {
 	table := p.service.routes.Table()
 	if table == nil || ledger.IsConfined(p.id) {
 		return nil
@@ -33,9 +34,9 @@
 	return nil
 }
 
-// checkHomes cuts off the runs that a change of the configuration has put outside the regions in which they may run; they go on elsewhere
-// behind what they have made. An item whose route is gone is the dispatcher's.
-func (p *partition) checkHomes() {
+// interruptOutsideHomes interrupts the runs that a change of the configuration has put outside the regions in which they may run;
+// they resume elsewhere after the text that they have. Items whose route is gone are left to the dispatcher.
+func (p *partition) interruptOutsideHomes() {
 	table := p.service.routes.Table()
 	if table == nil || table.Version == p.homesVersion {
 		return
@@ -44,19 +45,19 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for key, run := range p.runs {
-		owner := p.state.jobs[key.job]
-		if owner == nil || !run.running || run.yielded || run.finishing || run.handle == nil {
+		job := p.state.jobs[key.job]
+		if job == nil || !run.running || run.interrupted || run.finishing || run.handle == nil {
 			continue
 		}
-		matched := table.Match(owner.submission.Host, owner.submission.Items[key.number].Path)
+		matched := table.Match(job.submission.Host, job.submission.Items[key.number].Path)
 		if matched == nil {
 			continue
 		}
-		homes := table.HomesOf(matched, owner.submission.Tenant)
+		homes := table.HomesOf(matched, job.submission.Tenant)
 		if p.service.picker.Allowed(homes, run.handle) {
 			continue
 		}
-		run.yield()
+		run.interrupt()
 		p.logger.Info().Str(logging.FieldJob, key.job).Int("item", key.number).Str(logging.FieldReplica, run.handle.Info().ID).
 			Stringer("homes", homes).Int64("version", table.Version).Msg("item_outside_homes")
 	}
--- a/internal/batch/item_lease.go
+++ b/internal/batch/item_lease.go
@@ -8,69 +8,71 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// A replica ends a run at its deadline. Items are run under a short one, a lease: an owner that lives begins the next lease at the
-// same replica before the last one ends, behind the last event; of one that lost power or was cut off, no item holds a slot for longer.
-// Without it the items of a lost owner, which may be in most slots, ran on for as long as they took, unknown to all other nodes.
+// A replica ends a run at its deadline. Items run under a short deadline, a lease: a live owner starts the next lease at the same
+// replica before the current one ends, resuming after the last event. If the owner loses power or is cut off, its items keep their
+// slots no longer than one lease. Without leases the items of a lost owner, which may occupy most slots, would run to their end,
+// unknown to all other nodes.
 const (
-	// leastLease and longestLease bound a lease.
-	leastLease   = 1500 * time.Millisecond
-	longestLease = 10 * time.Second
-	// leaseCost is the part of an item's time at replicas that the begin of leases may take.
-	leaseCost = 0.01
-	// leaseRoom is the part of all slots in use up to which a lease covers all that is left: the slots that a lost owner's items hold then are
-	// needed by nobody.
-	leaseRoom = 0.5
-	// leaseParts is the number of leases of about equal length into which the rest of an item is cut where slots are scarce, and shortRest the
-	// number of least leases up to which the rest is one.
-	leaseParts = 2
-	shortRest  = 4
-	// leaseSpare is what a lease covers beyond the time that is left by estimate, as a part of it.
-	leaseSpare = 1.3
-	// leaseMargin is kept between the end of a lease at its owner and at the replica: a machine that has spent its processor time stands
-	// still for up to 0.1 s.
+	// minLease and maxLease bound a lease.
+	minLease = 1500 * time.Millisecond
+	maxLease = 10 * time.Second
+	// maxLeaseOverhead is the share of an item's time at replicas that starting leases may take.
+	maxLeaseOverhead = 0.01
+	// scarceOccupancy is the share of all slots in use up to which a lease covers the whole rest of an item: up to it nobody needs
+	// the slots that a lost owner's items hold.
+	scarceOccupancy = 0.5
+	// While slots are scarce, the rest of an item is split into scarceLeaseParts leases of about equal length, unless it is no
+	// longer than shortRestLeases times the shortest lease allowed.
+	scarceLeaseParts = 2
+	shortRestLeases  = 4
+	// leaseEstimateFactor scales the estimated remaining time to the length of a lease that covers it.
+	leaseEstimateFactor = 1.3
+	// leaseMargin is how much earlier a lease ends at its owner than at the replica: a machine that has used up its processor quota
+	// stops for up to 0.1 s.
 	leaseMargin = 200 * time.Millisecond
-	// resumeWeight is the part of the newest observation in the mean cost of the begin of a lease.
-	resumeWeight = 0.1
+	// startCostWeight is the weight of the newest observation in the mean cost of starting a lease.
+	startCostWeight = 0.1
 )
 
-// errLeaseOver says that an item's lease has ended.
-var errLeaseOver = errors.New("lease is over")
+// errLeaseExpired is the cause of cancellation when an item's lease ends.
+var errLeaseExpired = errors.New("item lease expired")
 
-// leaseTerm chooses how long leases are: as short as what it costs to begin one allows. It is safe for concurrent use.
-type leaseTerm struct {
+// leaseSizer chooses the length of leases: as short as the cost of starting them allows. It is safe for concurrent use.
+type leaseSizer struct {
 	mutex sync.Mutex
-	// resume is the mean time that the begin of a further lease costs; 0 while none has been seen.
-	resume time.Duration
+	// meanStartCost is the mean time that starting a further lease costs; 0 until one was observed.
+	meanStartCost time.Duration
 }
 
-// observe takes in what the begin of a further lease cost.
-func (l *leaseTerm) observe(resume time.Duration) {
+// observe adds the observed cost of starting a further lease.
+func (l *leaseSizer) observe(startCost time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.resume == 0 {
-		l.resume = resume
+	if l.meanStartCost == 0 {
+		l.meanStartCost = startCost
 		return
 	}
-	l.resume += time.Duration(resumeWeight * float64(resume-l.resume))
+	l.meanStartCost += time.Duration(startCostWeight * float64(startCost-l.meanStartCost))
 }
 
-// length returns how long the next lease is of an item that needs left by estimate, while the given part of all slots is in use. Each begin of
-// a lease cuts the run before it off, which costs the replica work; a long lease of a lost owner costs others the slot.
-func (l *leaseTerm) length(left time.Duration, taken float64) time.Duration {
+// length returns the length of the next lease of an item with the given estimated remaining time, while the share occupancy of all
+// slots is in use. Each start of a lease cuts off the run before it, which costs the replica work; a long lease of a lost owner
+// costs others the slot.
+func (l *leaseSizer) length(remaining time.Duration, occupancy float64) time.Duration {
 	l.mutex.Lock()
-	least := min(longestLease, max(leastLease, time.Duration(float64(l.resume)/leaseCost)))
+	least := min(maxLease, max(minLease, time.Duration(float64(l.meanStartCost)/maxLeaseOverhead)))
 	l.mutex.Unlock()
-	whole := time.Duration(leaseSpare*float64(left)) + leaseMargin
-	if taken <= leaseRoom || left <= shortRest*least {
-		return min(longestLease, max(least, whole))
+	whole := time.Duration(leaseEstimateFactor*float64(remaining)) + leaseMargin
+	if occupancy <= scarceOccupancy || remaining <= shortRestLeases*least {
+		return min(maxLease, max(least, whole))
 	}
-	return min(longestLease, max(least, left/leaseParts))
+	return min(maxLease, max(least, remaining/scarceLeaseParts))
 }
 
-// leaseOf returns how long the next lease of an attempt is.
-func (p *partition) leaseOf(attempt *itemAttempt) time.Duration {
+// nextLease returns the length of the next lease of an attempt.
+func (p *partition) nextLease(attempt *itemAttempt) time.Duration {
 	p.mutex.Lock()
-	left := p.state.paceOf(attempt.route.Name).left(attempt.sent.Tokens, len(attempt.text))
+	remaining := p.state.paceOf(attempt.route.Name).remaining(attempt.item.Tokens, len(attempt.text))
 	p.mutex.Unlock()
-	return p.service.leases.length(left, p.service.taken(attempt.handle.Info().Service, clock.Now()))
+	return p.service.leases.length(remaining, p.service.occupancy(attempt.handle.Info().Service, clock.Now()))
 }
--- a/internal/batch/item_lease_test.go
+++ b/internal/batch/item_lease_test.go
@@ -51,7 +51,7 @@
 		}
 		for number, run := range runs {
 			deadline, err := strconv.Atoi(run.Header.Get("X-Deadline"))
-			if err != nil || time.Duration(deadline)*time.Millisecond > longestLease || (number > 0) != (run.Header.Get("Last-Event-Id") != "") {
+			if err != nil || time.Duration(deadline)*time.Millisecond > maxLease || (number > 0) != (run.Header.Get("Last-Event-Id") != "") {
 				t.Errorf("run %d has %v", number, run.Header)
 			}
 		}
@@ -70,16 +70,16 @@
 	}{
 		{"half of what is left", 0, 8 * time.Second, scarce, 4 * time.Second},
 		{"the rest at once", 0, 6 * time.Second, scarce, 8 * time.Second},
-		{"an item that is almost done", 0, 10 * time.Millisecond, scarce, leastLease},
+		{"an item that is almost done", 0, 10 * time.Millisecond, scarce, minLease},
 		{"a costly begin", 40 * time.Millisecond, 18 * time.Second, scarce, 9 * time.Second},
 		{"a costly begin and a short rest", 50 * time.Millisecond, 2 * time.Second, scarce, 5 * time.Second},
-		{"a very costly begin", time.Second, 30 * time.Second, scarce, longestLease},
-		{"a very long item", 0, time.Minute, scarce, longestLease},
+		{"a very costly begin", time.Second, 30 * time.Second, scarce, maxLease},
+		{"a very long item", 0, time.Minute, scarce, maxLease},
 		{"free slots", 0, 5 * time.Second, free, 6700 * time.Millisecond},
-		{"a very long item with free slots", 0, time.Minute, free, longestLease},
+		{"a very long item with free slots", 0, time.Minute, free, maxLease},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			term := &leaseTerm{}
+			term := &leaseSizer{}
 			if test.resume > 0 {
 				term.observe(test.resume)
 			}
--- a/internal/batch/item_order.go
+++ b/internal/batch/item_order.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxCandidates bounds the items that are sent in one go, maxScanned those that are looked at.
+	// maxCandidates bounds the items that one dispatch sends, maxScanned those that it examines.
 	maxCandidates = 64
 	maxScanned    = 4096
-	// lateShare is the number of items in time after which one begins that will be late, so that none waits for ever.
-	lateShare = 16
+	// inTimePerLate is the number of items in time after which a late one is started, so that no item waits forever.
+	inTimePerLate = 16
 )
 
 // candidate is an item that could be sent to a replica.
@@ -26,49 +26,50 @@
 	acceptedAt int64
 	// homes are the regions in which the item may run.
 	homes region.Set
-	// due is the time until which the result is wanted; zero is no such time.
+	// due is when the result is wanted; zero if there is no such time.
 	due time.Time
-	// late says that the item is not likely to be done until then.
+	// late is true if the item will probably not be done when it is due.
 	late bool
-	// running says that the item is at a replica, begun that it has been at one, left what it still needs there.
-	running bool
-	begun   bool
-	left    time.Duration
-	// madeText is the size of what the item has made, in bytes.
-	madeText int
+	// running is true while the item is at a replica, started once it has been at one. remaining is the estimated time that it still
+	// needs at replicas.
+	running   bool
+	started   bool
+	remaining time.Duration
+	// textSize is the size of the text generated so far, in bytes.
+	textSize int
 }
 
-// hopeless says that the item will be late even if it runs on from now.
-func (c candidate) hopeless(now time.Time) bool {
-	return !c.due.IsZero() && c.left > c.due.Sub(now)
+// certainlyLate reports whether the item will be late even if it runs from now on without a break.
+func (c candidate) certainlyLate(now time.Time) bool {
+	return !c.due.IsZero() && c.remaining > c.due.Sub(now)
 }
 
-// compareCandidates orders items: those that can be in time by when they are due, of one job those first that have made most;
-// behind them the others in the order of acceptance.
-func compareCandidates(one, other candidate) int {
-	if one.late != other.late {
-		if one.late {
+// compareCandidates orders items: first those that can be in time, by due time and acceptance, those with the most text first; then
+// the late ones, in the order of acceptance.
+func compareCandidates(a, b candidate) int {
+	if a.late != b.late {
+		if a.late {
 			return 1
 		}
 		return -1
 	}
-	if !one.late {
-		if order := compareDue(one.due, other.due); order != 0 {
+	if !a.late {
+		if order := compareDue(a.due, b.due); order != 0 {
 			return order
 		}
 	}
-	if order := cmp.Compare(one.acceptedAt, other.acceptedAt); order != 0 {
+	if order := cmp.Compare(a.acceptedAt, b.acceptedAt); order != 0 {
 		return order
 	}
-	return -cmp.Compare(one.madeText, other.madeText)
+	return -cmp.Compare(a.textSize, b.textSize)
 }
 
-// compareDue orders times; zero stands behind all.
-func compareDue(one, other time.Time) int {
+// compareDue orders times; zero sorts last.
+func compareDue(a, b time.Time) int {
 	switch {
-	case one.IsZero() == other.IsZero():
-		return one.Compare(other)
-	case one.IsZero():
+	case a.IsZero() == b.IsZero():
+		return a.Compare(b)
+	case a.IsZero():
 		return 1
 	default:
 		return -1
@@ -83,78 +84,78 @@
 		return nil
 	}
 	var found []candidate
-	for _, each := range p.state.order {
-		if each.open() {
-			found = p.appendCandidates(found, table, each)
+	for _, job := range p.state.order {
+		if job.open() {
+			found = p.appendCandidates(found, table, job)
 		}
 		if len(found) >= maxScanned {
 			break
 		}
 	}
 	markLate(found, p.now(), p.service.capacity.slots())
-	p.rememberLate(found)
-	waiting := slices.DeleteFunc(found, func(each candidate) bool { return each.running })
+	p.storeLateness(found)
+	waiting := slices.DeleteFunc(found, func(item candidate) bool { return item.running })
 	slices.SortStableFunc(waiting, compareCandidates)
 	return p.withLateShare(waiting)
 }
 
-// appendCandidates adds the unlisted items of a job, but for those that wait out a pause. The mutex is held.
-func (p *partition) appendCandidates(found []candidate, table *route.Table, owner *job) []candidate {
+// appendCandidates adds the unlisted items of a job, except those that are finishing or paused. The mutex is held.
+func (p *partition) appendCandidates(found []candidate, table *route.Table, job *jobState) []candidate {
 	now := p.elapsed()
-	for number := range owner.items {
-		key := itemKey{job: owner.submission.JobId, number: number}
+	for number := range job.items {
+		key := itemKey{job: job.submission.JobId, number: number}
 		run := p.runs[key]
-		if owner.items[number].listed || (run != nil && (run.finishing || (!run.running && now < run.notBefore))) {
+		if job.items[number].listed || (run != nil && (run.finishing || (!run.running && now < run.notBefore))) {
 			continue
 		}
-		sent := owner.submission.Items[number]
-		each := candidate{
-			key: key, submission: owner.submission, acceptedAt: owner.acceptedAt, route: table.Match(owner.submission.Host, sent.Path),
-			running: run != nil && run.running, begun: run != nil && run.begins > 0, madeText: p.madeText(owner, key),
+		item := job.submission.Items[number]
+		added := candidate{
+			key: key, submission: job.submission, acceptedAt: job.acceptedAt, route: table.Match(job.submission.Host, item.Path),
+			running: run != nil && run.running, started: run != nil && run.attempts > 0, textSize: p.textSize(job, key),
 		}
-		if each.route != nil {
+		if added.route != nil {
 			if run != nil {
-				run.routeGone = 0
+				run.routeMissingSince = 0
 			}
-			each.homes = table.HomesOf(each.route, owner.submission.Tenant)
-			each.due = dueTime(each.route, owner.acceptedAt)
-			each.left = p.state.paceOf(each.route.Name).left(sent.Tokens, each.madeText)
+			added.homes = table.HomesOf(added.route, job.submission.Tenant)
+			added.due = dueTime(added.route, job.acceptedAt)
+			added.remaining = p.state.paceOf(added.route.Name).remaining(item.Tokens, added.textSize)
 		}
-		found = append(found, each)
+		found = append(found, added)
 	}
 	return found
 }
 
-// rememberLate keeps the marks for the choice of runs that are cut off. The mutex is held.
-func (p *partition) rememberLate(found []candidate) {
+// storeLateness stores the lateness of items in their runs, for the choice of runs to preempt. The mutex is held.
+func (p *partition) storeLateness(found []candidate) {
 	now := p.now()
-	for _, each := range found {
-		if run := p.runs[each.key]; run != nil {
-			run.late, run.hopeless = each.late, each.hopeless(now)
+	for _, item := range found {
+		if run := p.runs[item.key]; run != nil {
+			run.late, run.certainlyLate = item.late, item.certainlyLate(now)
 		}
 	}
 }
 
-// withLateShare returns the first items, before them the first late one where many in time have begun since one was. The mutex is
-// held.
+// withLateShare returns the first maxCandidates items. If inTimePerLate items in time were started since the last late one, the
+// first late item is moved to the front. The mutex is held.
 func (p *partition) withLateShare(sorted []candidate) []candidate {
-	firstLate := slices.IndexFunc(sorted, func(each candidate) bool { return each.late })
-	if firstLate > 0 && p.begunInTime >= lateShare {
+	firstLate := slices.IndexFunc(sorted, func(item candidate) bool { return item.late })
+	if firstLate > 0 && p.inTimeSinceLate >= inTimePerLate {
 		late := sorted[firstLate]
 		sorted = slices.Insert(slices.Delete(sorted, firstLate, firstLate+1), 0, late)
 	}
 	return sorted[:min(len(sorted), maxCandidates)]
 }
 
-// madeText returns the size of what an unlisted item has made. The mutex is held.
-func (p *partition) madeText(owner *job, key itemKey) int {
+// textSize returns the size in bytes of the text that an unlisted item has so far. The mutex is held.
+func (p *partition) textSize(job *jobState, key itemKey) int {
 	if run := p.runs[key]; run != nil {
 		return len(run.text)
 	}
-	return len(owner.items[key.number].made())
+	return len(job.items[key.number].loggedText())
 }
 
-// dueTime returns when the results of a job are wanted.
+// dueTime returns when the results of a job are wanted; zero if its route has no completion target.
 func dueTime(matched *route.Route, acceptedAt int64) time.Time {
 	if matched.CompletionTarget <= 0 {
 		return time.Time{}
--- a/internal/batch/item_pace.go
+++ b/internal/batch/item_pace.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// paceWeight is the part of the newest observation in a running mean.
+	// paceWeight is the weight of the newest observation in a running mean.
 	paceWeight = 0.08
-	// unknownPace is the time that an item is taken to run, by token, until one of its route has finished.
-	unknownPace = time.Millisecond
-	// leastLeft is the part of an item's run that is taken to be left however much it has made.
-	leastLeft = 0.03
+	// defaultTimePerToken is the estimated time per token until an item of the route has finished.
+	defaultTimePerToken = time.Millisecond
+	// minRemainingShare is the share of an item's run that is always assumed to remain, however much text it has.
+	minRemainingShare = 0.03
 )
 
-// itemPace estimates, from the finished items of one route, what those that wait need. It is a part of the log's state, so that the next owner has
-// it from its first plan on. The zero value has seen none.
+// itemPace estimates the time that waiting items of one route need, from its finished items. It is part of the state in the log, so
+// that the next owner has it from its first plan on. The zero value has no observations.
 type itemPace struct {
 	seen uint64
-	// perToken is the time at replicas by token of an item's size, textPerToken the bytes of text made by token.
-	perToken     time.Duration
-	textPerToken float64
+	// timePerToken is the time at replicas per token of an item's size, bytesPerToken the size of the generated text per token.
+	timePerToken  time.Duration
+	bytesPerToken float64
 }
 
-// finishedItem is what one item took.
+// finishedItem is the size and the cost of one finished item.
 type finishedItem struct {
 	tokens int64
 	// text is the size of the result, in bytes.
@@ -29,7 +29,7 @@
 	ran time.Duration
 }
 
-// observe takes in a finished item.
+// observe adds a finished item to the estimate.
 func (p *itemPace) observe(finished finishedItem) {
 	if finished.tokens <= 0 || finished.ran <= 0 {
 		return
@@ -38,22 +38,22 @@
 	textPerToken := float64(finished.text) / float64(finished.tokens)
 	p.seen++
 	if p.seen == 1 {
-		p.perToken, p.textPerToken = time.Duration(perToken), textPerToken
+		p.timePerToken, p.bytesPerToken = time.Duration(perToken), textPerToken
 		return
 	}
-	p.perToken += time.Duration(paceWeight * (perToken - float64(p.perToken)))
-	p.textPerToken += paceWeight * (textPerToken - p.textPerToken)
+	p.timePerToken += time.Duration(paceWeight * (perToken - float64(p.timePerToken)))
+	p.bytesPerToken += paceWeight * (textPerToken - p.bytesPerToken)
 }
 
-// left returns the time at replicas that an item still needs that has made that much text.
-func (p *itemPace) left(tokens int64, madeText int) time.Duration {
+// remaining returns the estimated time at replicas that an item still needs after generating textSize bytes.
+func (p *itemPace) remaining(tokens int64, textSize int) time.Duration {
 	if p.seen == 0 {
-		return time.Duration(tokens) * unknownPace
+		return time.Duration(tokens) * defaultTimePerToken
 	}
-	whole := float64(tokens) * float64(p.perToken)
+	whole := float64(tokens) * float64(p.timePerToken)
 	made := 0.0
-	if expected := p.textPerToken * float64(tokens); expected > 0 {
-		made = float64(madeText) / expected
+	if expected := p.bytesPerToken * float64(tokens); expected > 0 {
+		made = float64(textSize) / expected
 	}
-	return time.Duration(whole * max(leastLeft, 1-made))
+	return time.Duration(whole * max(minRemainingShare, 1-made))
 }
--- a/internal/batch/item_plan.go
+++ b/internal/batch/item_plan.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// capacityMemory is the time after which an observation of the slots that items had counts for 1/e.
-	capacityMemory = 10 * time.Second
-	// assumedSpan is how long the assumption that all slots are free counts, beside what is observed.
-	assumedSpan = time.Second
-	// leastCapacity keeps a plan possible while items had no slot at all.
-	leastCapacity = 1.0
+	// capacityTimeConstant is the time after which the weight of an observed number of slots has decayed to 1/e.
+	capacityTimeConstant = 10 * time.Second
+	// initialCapacitySpan is the span of observations that the initial assumption, all slots free, counts for.
+	initialCapacitySpan = time.Second
+	// minCapacity keeps planning possible while items have had no slot at all.
+	minCapacity = 1.0
 )
 
-// slotCapacity is the mean number of slots that batch items had of late. It begins with all slots, so that little is given up before
-// more is known. It is safe for concurrent use.
+// slotCapacity is the recent mean number of slots available to batch items. It starts with all slots, so that few items are marked
+// late before more is known. It is safe for concurrent use.
 type slotCapacity struct {
 	mutex sync.Mutex
 	known bool
 	mean  float64
-	// since is when the first observation came, at the last one.
-	since time.Time
-	at    time.Time
+	// firstAt is the time of the first observation, lastAt that of the last one.
+	firstAt time.Time
+	lastAt  time.Time
 }
 
-// slots returns the number to plan with: without a bound while nothing is known.
+// slots returns the number of slots to plan with; infinite before the first observation.
 func (c *slotCapacity) slots() float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -38,26 +38,26 @@
 	return c.mean
 }
 
-// observe takes in that items may use so many of all slots from now on.
+// observe notes that items may use slots of all existing slots from now on.
 func (c *slotCapacity) observe(slots, all int, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.known {
-		c.known, c.mean, c.since, c.at = true, float64(all), now, now
+		c.known, c.mean, c.firstAt, c.lastAt = true, float64(all), now, now
 		return
 	}
-	span := min(capacityMemory, now.Sub(c.since)+assumedSpan)
-	weight := min(1, now.Sub(c.at).Seconds()/span.Seconds())
+	span := min(capacityTimeConstant, now.Sub(c.firstAt)+initialCapacitySpan)
+	weight := min(1, now.Sub(c.lastAt).Seconds()/span.Seconds())
 	c.mean += weight * (float64(slots) - c.mean)
-	c.at = now
+	c.lastAt = now
 }
 
-// markLate marks the items that are not likely to be done when they are due: in that order, items are planned on the given slots; where
-// one would be late, the last due of those planned so far is given up, those not yet begun first. Giving up the longest would leave the
-// most in time (Moore, "An n job, one machine sequencing algorithm for minimizing the number of late jobs", 1968), but an item is worth
-// about what it takes, and the long ones would be served worst (policy.md, round 21).
+// markLate marks the items that will probably not be done when they are due. It plans the items on the given slots in the order of
+// their due times; where one would be late, it drops the last due of those planned so far, those not yet started first. Dropping the
+// longest item would leave the most items in time (Moore, "An n job, one machine sequencing algorithm for minimizing the number of
+// late jobs", 1968), but the value of an item is about its run time, and long items would be served worst (policy.md, round 21).
 func markLate(items []candidate, now time.Time, slots float64) {
-	slots = max(leastCapacity, slots)
+	slots = max(minCapacity, slots)
 	order := make([]int, 0, len(items))
 	for index := range items {
 		items[index].late = false
@@ -65,27 +65,27 @@
 			order = append(order, index)
 		}
 	}
-	slices.SortFunc(order, func(one, other int) int { return items[one].due.Compare(items[other].due) })
+	slices.SortFunc(order, func(a, b int) int { return items[a].due.Compare(items[b].due) })
 	planned := &lastDueFirst{items: items}
 	work := 0.0
 	for _, index := range order {
-		each := &items[index]
-		slack := each.due.Sub(now).Seconds()
-		if each.left.Seconds() > slack {
-			each.late = true
+		item := &items[index]
+		slack := item.due.Sub(now).Seconds()
+		if item.remaining.Seconds() > slack {
+			item.late = true
 			continue
 		}
 		heap.Push(planned, index)
-		work += each.left.Seconds()
+		work += item.remaining.Seconds()
 		for work/slots > slack {
-			given := heap.Pop(planned).(int)
-			items[given].late = true
-			work -= items[given].left.Seconds()
+			dropped := heap.Pop(planned).(int)
+			items[dropped].late = true
+			work -= items[dropped].remaining.Seconds()
 		}
 	}
 }
 
-// lastDueFirst is a heap of indices of items: those not begun before those begun, of these the last due first.
+// lastDueFirst is a heap of indices of items: those not started before those started, and the last due first among each.
 type lastDueFirst struct {
 	items   []candidate
 	indices []int
@@ -96,11 +96,11 @@
 
 // Less implements heap.Interface.
 func (l *lastDueFirst) Less(i, j int) bool {
-	one, other := &l.items[l.indices[i]], &l.items[l.indices[j]]
-	if one.begun != other.begun {
-		return !one.begun
+	a, b := &l.items[l.indices[i]], &l.items[l.indices[j]]
+	if a.started != b.started {
+		return !a.started
 	}
-	if order := one.due.Compare(other.due); order != 0 {
+	if order := a.due.Compare(b.due); order != 0 {
 		return order > 0
 	}
 	return l.indices[i] > l.indices[j]
--- a/internal/batch/item_plan_test.go
+++ b/internal/batch/item_plan_test.go
@@ -33,10 +33,10 @@
 		{"without a due time", 1, []given{{0, time.Hour, false}}, []bool{false}},
 	} {
 		items := make([]candidate, 0, len(test.items))
-		for _, each := range test.items {
-			item := candidate{left: each.left, begun: each.begun}
-			if each.dueIn > 0 {
-				item.due = now.Add(each.dueIn)
+		for _, input := range test.items {
+			item := candidate{remaining: input.left, started: input.begun}
+			if input.dueIn > 0 {
+				item.due = now.Add(input.dueIn)
 			}
 			items = append(items, item)
 		}
@@ -56,16 +56,16 @@
 		slots := rapid.Float64Range(1, 20).Draw(r, "slots")
 		items := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) candidate {
 			return candidate{
-				due: now.Add(time.Duration(rapid.IntRange(1, 20).Draw(r, "due")) * time.Second), begun: rapid.Bool().Draw(r, "begun"),
-				left: time.Duration(rapid.IntRange(1, 9000).Draw(r, "left")) * time.Millisecond,
+				due: now.Add(time.Duration(rapid.IntRange(1, 20).Draw(r, "due")) * time.Second), started: rapid.Bool().Draw(r, "begun"),
+				remaining: time.Duration(rapid.IntRange(1, 9000).Draw(r, "left")) * time.Millisecond,
 			}
 		}), 0, 40).Draw(r, "items")
 		markLate(items, now, slots)
 		for _, last := range items {
 			work := 0.0
-			for _, each := range items {
-				if !each.late && !each.due.After(last.due) {
-					work += each.left.Seconds()
+			for _, item := range items {
+				if !item.late && !item.due.After(last.due) {
+					work += item.remaining.Seconds()
 				}
 			}
 			if !last.late && work/slots > last.due.Sub(now).Seconds()+1e-6 {
@@ -77,19 +77,19 @@
 
 func TestPaceIsLearnt(t *testing.T) {
 	pace := &itemPace{}
-	if left := pace.left(1000, 0); left != 1000*unknownPace {
+	if left := pace.remaining(1000, 0); left != 1000*defaultTimePerToken {
 		t.Errorf("%s left before any item has finished", left)
 	}
 	for range 200 {
 		pace.observe(finishedItem{tokens: 500, text: 2000, ran: 5 * time.Second})
 	}
-	if left := pace.left(1000, 0); left < 9900*time.Millisecond || left > 10100*time.Millisecond {
+	if left := pace.remaining(1000, 0); left < 9900*time.Millisecond || left > 10100*time.Millisecond {
 		t.Errorf("%s left of an item twice as large as those of 5 s", left)
 	}
-	if left := pace.left(1000, 2000); left < 4900*time.Millisecond || left > 5100*time.Millisecond {
+	if left := pace.remaining(1000, 2000); left < 4900*time.Millisecond || left > 5100*time.Millisecond {
 		t.Errorf("%s left with half of the text made", left)
 	}
-	if left := pace.left(1000, 9000); left <= 0 {
+	if left := pace.remaining(1000, 9000); left <= 0 {
 		t.Errorf("%s left of an item that has made more than others", left)
 	}
 }
@@ -125,25 +125,25 @@
 		table := testTableDue(18 * time.Second)
 		time.Sleep(pauseAfterRefusal)
 		owner.mutex.Lock()
-		owner.begunInTime = 0
+		owner.inTimeSinceLate = 0
 		owner.mutex.Unlock()
 		found := owner.candidates(table)
 		if len(found) != 6 || found[0].key.job != "new" || found[0].late || !found[5].late || found[5].key.job != "old" {
 			t.Errorf("order is %v", jobsOf(found))
 		}
 		owner.mutex.Lock()
-		owner.begunInTime = lateShare
+		owner.inTimeSinceLate = inTimePerLate
 		owner.mutex.Unlock()
 		if found := owner.candidates(table); found[0].key.job != "old" {
-			t.Errorf("after %d in time, the order is %v: no late one is begun", lateShare, jobsOf(found))
+			t.Errorf("after %d in time, the order is %v: no late one is begun", inTimePerLate, jobsOf(found))
 		}
 		owner.end()
 	})
 }
 
 func jobsOf(found []candidate) (jobs []string) {
-	for _, each := range found {
-		jobs = append(jobs, each.key.job)
+	for _, item := range found {
+		jobs = append(jobs, item.key.job)
 	}
 	return jobs
 }
--- a/internal/batch/item_route_test.go
+++ b/internal/batch/item_route_test.go
@@ -20,7 +20,7 @@
 		submission := batchOf("j", 1)
 		submission.ConfigurationVersion = 3
 		owner.mustSubmit(t, submission)
-		time.Sleep(3 * routeGoneAfter)
+		time.Sleep(3 * routeMissingTimeout)
 		if listed := owner.results(t, "j", 0, time.Second); len(listed) != 0 {
 			t.Errorf("the item is %s before the owner knows the configuration by which it was accepted", listed[0].State)
 		}
@@ -47,11 +47,11 @@
 			}
 		}
 		owner.routes.Offer(testTable(3, true))
-		time.Sleep(2 * routeGoneAfter)
+		time.Sleep(2 * routeMissingTimeout)
 		owner.routes.Offer(testTable(4, false))
-		time.Sleep(routeGoneAfter / 2)
+		time.Sleep(routeMissingTimeout / 2)
 		if listed := owner.results(t, "j", 0, time.Second); len(listed) != 0 {
-			t.Errorf("the item is %s though its route was missing for less than %s", listed[0].State, routeGoneAfter)
+			t.Errorf("the item is %s though its route was missing for less than %s", listed[0].State, routeMissingTimeout)
 		}
 	})
 }
--- a/internal/batch/item_run.go
+++ b/internal/batch/item_run.go
@@ -6,26 +6,26 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// noteBegin notes that a run begins. The partition's mutex is held.
-func (r *itemRun) noteBegin() {
-	r.begins++
-	if r.begins > 1 {
+// countAttempt counts the start of a run. The partition's mutex is held.
+func (r *itemRun) countAttempt() {
+	r.attempts++
+	if r.attempts > 1 {
 		return
 	}
 	r.startedWithText = len(r.text) > 0
 }
 
-// countBegin counts the begins in time between those of late items. The mutex is held.
-func (p *partition) countBegin(late bool) {
+// countStart counts the items in time that were started since the last late one. The mutex is held.
+func (p *partition) countStart(late bool) {
 	if late {
-		p.begunInTime = 0
+		p.inTimeSinceLate = 0
 		return
 	}
-	p.begunInTime++
+	p.inTimeSinceLate++
 }
 
-// noteAtReplica notes that an item was sent, or that its run there has ended.
-func (p *partition) noteAtReplica(key itemKey, atReplica bool) {
+// setAtReplica stores whether an item is at a replica: it was sent and its run there has not ended.
+func (p *partition) setAtReplica(key itemKey, atReplica bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if run := p.runs[key]; run != nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// noteEnd notes that a run has ended.
-func (p *partition) noteEnd(key itemKey) {
+// recordRunEnd adds the run that has just ended to the item's time at replicas.
+func (p *partition) recordRunEnd(key itemKey) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	run := p.runs[key]
@@ -42,41 +42,41 @@
 		return
 	}
 	run.apart, run.deciding = false, false
-	run.ran += p.elapsed() - run.began
+	run.runTime += p.elapsed() - run.startedAt
 }
 
-// leastUrgentRun returns the run of service at a replica in homes that is cut off first: one that will be late before one that can be in time, then the
-// one due last, then the one that began last. The mutex is held.
+// leastUrgentRun returns the run to preempt first at the replicas of service in homes: a late one before one that can be in time,
+// then the one due last, then the one that started last. The mutex is held.
 func (p *partition) leastUrgentRun(service string, homes region.Set) (least itemKey, run *itemRun) {
 	var worst candidate
-	for key, each := range p.runs {
-		if !each.running || each.yielded || each.finishing || each.handle == nil || each.handle.Info().Service != service {
+	for key, candidateRun := range p.runs {
+		if !candidateRun.running || candidateRun.interrupted || candidateRun.finishing || candidateRun.handle == nil || candidateRun.handle.Info().Service != service {
 			continue
 		}
-		if each.handle.Evacuated() {
-			// It ends by itself; to cut it off makes no room at the replicas that are left.
+		if candidateRun.handle.Evacuated() {
+			// It ends without being preempted, and preempting it frees no room at the remaining replicas.
 			continue
 		}
-		if !p.service.picker.Allowed(homes, each.handle) {
+		if !p.service.picker.Allowed(homes, candidateRun.handle) {
 			continue
 		}
-		rated := rate(each)
-		if run == nil || compareRuns(rated, each, worst, run) > 0 {
-			least, run, worst = key, each, rated
+		rated := runAsCandidate(candidateRun)
+		if run == nil || compareRuns(rated, candidateRun, worst, run) > 0 {
+			least, run, worst = key, candidateRun, rated
 		}
 	}
 	return least, run
 }
 
-func compareRuns(one candidate, oneRun *itemRun, other candidate, otherRun *itemRun) int {
-	if order := compareCandidates(one, other); order != 0 {
+func compareRuns(a candidate, aRun *itemRun, b candidate, bRun *itemRun) int {
+	if order := compareCandidates(a, b); order != 0 {
 		return order
 	}
-	return cmp.Compare(oneRun.began, otherRun.began)
+	return cmp.Compare(aRun.startedAt, bRun.startedAt)
 }
 
-// rate returns a running item as a candidate, to compare it with others. The partition's mutex is held.
-func rate(run *itemRun) candidate {
+// runAsCandidate returns a running item as a candidate, to compare it with others. The partition's mutex is held.
+func runAsCandidate(run *itemRun) candidate {
 	rated := candidate{acceptedAt: run.acceptedAt, late: run.late}
 	if run.route != nil {
 		rated.due = dueTime(run.route, run.acceptedAt)
@@ -84,16 +84,16 @@
 	return rated
 }
 
-// cutOff ends a run to make room. The mutex is held.
-func (p *partition) cutOff(key itemKey, run *itemRun) {
-	run.yield()
-	p.yields.Add(1)
-	p.logger.Debug().Str("job", key.job).Int("item", key.number).Int("made_bytes", len(run.text)).Dur("ran", p.elapsed()-run.began).Msg("item_cut_off")
+// preempt cuts off a run to make room. The mutex is held.
+func (p *partition) preempt(key itemKey, run *itemRun) {
+	run.interrupt()
+	p.preemptions.Add(1)
+	p.logger.Debug().Str("job", key.job).Int("item", key.number).Int("made_bytes", len(run.text)).Dur("ran", p.elapsed()-run.startedAt).Msg("item_cut_off")
 }
 
-// replaceLate cuts off a run that will be late whatever it gets, where an item that can be in time finds no room. One that is only planned to be
-// late may still be in time if it runs on, and needs less for that than an item that has not begun.
-func (p *partition) replaceLate(waiting candidate) {
+// preemptLateRun cuts off a run that is certain to be late if an item that can be in time finds no room. A run that is only planned
+// to be late may still be in time if it continues, and needs less for that than an item that has not started.
+func (p *partition) preemptLateRun(waiting candidate) {
 	if waiting.late {
 		return
 	}
@@ -101,8 +101,8 @@
 	defer p.mutex.Unlock()
 	for _, backend := range waiting.route.Backends {
 		key, run := p.leastUrgentRun(backend.Service, waiting.homes)
-		if run != nil && run.hopeless {
-			p.cutOff(key, run)
+		if run != nil && run.certainlyLate {
+			p.preempt(key, run)
 			return
 		}
 	}
--- a/internal/batch/item_stalled.go
+++ b/internal/batch/item_stalled.go
@@ -7,14 +7,14 @@
 	"github.com/sloelift/sloelift/internal/quarantine"
 )
 
-// stalledAfter is how long an item of an open job may make nothing before it is reported, and the time between two reports.
+// stalledAfter is how long an item of an open job may make no progress before it is reported, and the interval between two reports.
 const stalledAfter = 5 * time.Second
 
-// stallReason says why an item makes nothing at the moment.
+// stallReason is why an item makes no progress at the moment.
 type stallReason string
 
 const (
-	// stalledWaiting items wait for room, for their turn, or out a pause.
+	// stalledWaiting items wait for room, for their turn, or for the end of a pause.
 	stalledWaiting stallReason = "waiting"
 	// stalledSuspected items wait for a run apart, since replicas ended under their message.
 	stalledSuspected stallReason = "suspected"
@@ -22,7 +22,7 @@
 	stalledDeferred stallReason = "deferred"
 	// stalledHeldBack items are sent to no replica, since their message is rejected.
 	stalledHeldBack stallReason = "held_back"
-	// stalledAtReplica items were sent, and no event has come.
+	// stalledAtReplica items were sent, and no event was received.
 	stalledAtReplica stallReason = "at_replica"
 	// stalledRecording items wait until a record about them is durable.
 	stalledRecording stallReason = "recording"
@@ -30,39 +30,39 @@
 
 var stallReasons = []stallReason{stalledWaiting, stalledSuspected, stalledDeferred, stalledHeldBack, stalledAtReplica, stalledRecording}
 
-// stalledItem is an unlisted item of an open job that has made nothing for a while.
+// stalledItem is an unlisted item of an open job that has made no progress for at least stalledAfter.
 type stalledItem struct {
-	key    itemKey
-	reason stallReason
-	lasted time.Duration
-	run    itemRun
+	key      itemKey
+	reason   stallReason
+	duration time.Duration
+	run      itemRun
 }
 
-// stalledItems are those of a partition.
+// stalledItems summarizes the stalled items of a partition.
 type stalledItems struct {
 	counts  map[stallReason]int
 	longest stalledItem
 }
 
-// stalled returns the items that have made nothing for stalledAfter, among the maxScanned that were accepted first.
+// stalled returns the items that have made no progress for stalledAfter, among the maxScanned that were accepted first.
 func (p *partition) stalled() stalledItems {
 	found := stalledItems{counts: map[stallReason]int{}}
 	scanned := 0
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
-	for _, owner := range p.state.order {
-		if !owner.open() {
+	for _, job := range p.state.order {
+		if !job.open() {
 			continue
 		}
-		for number := range owner.items {
-			if owner.items[number].listed {
+		for number := range job.items {
+			if job.items[number].listed {
 				continue
 			}
 			if scanned++; scanned > maxScanned {
 				return found
 			}
-			key := itemKey{job: owner.submission.JobId, number: number}
-			if lasted := p.stalledFor(owner, key); lasted >= stalledAfter {
+			key := itemKey{job: job.submission.JobId, number: number}
+			if lasted := p.stalledFor(job, key); lasted >= stalledAfter {
 				found.add(p.stalledItem(key, lasted))
 			}
 		}
@@ -70,25 +70,26 @@
 	return found
 }
 
-func (s *stalledItems) add(each stalledItem) {
-	s.counts[each.reason]++
-	if each.lasted > s.longest.lasted {
-		s.longest = each
+func (s *stalledItems) add(item stalledItem) {
+	s.counts[item.reason]++
+	if item.duration > s.longest.duration {
+		s.longest = item
 	}
 }
 
-// stalledFor is the time since an item made something here, or since this owner has it. The mutex is held.
-func (p *partition) stalledFor(owner *job, key itemKey) time.Duration {
+// stalledFor returns the time since the item's last progress at this owner; without any, since its job was accepted or this owner
+// started. The mutex is held.
+func (p *partition) stalledFor(job *jobState, key itemKey) time.Duration {
 	now := p.elapsed()
 	if run := p.runs[key]; run != nil && run.progressAt > 0 {
 		return now - run.progressAt
 	}
-	return min(now, p.now().Sub(time.UnixMilli(owner.acceptedAt)))
+	return min(now, p.now().Sub(time.UnixMilli(job.acceptedAt)))
 }
 
-// stalledItem says why an item makes nothing. The mutex is held.
+// stalledItem determines why an item makes no progress. The mutex is held.
 func (p *partition) stalledItem(key itemKey, lasted time.Duration) stalledItem {
-	found := stalledItem{key: key, reason: stalledWaiting, lasted: lasted}
+	found := stalledItem{key: key, reason: stalledWaiting, duration: lasted}
 	run := p.runs[key]
 	if run == nil {
 		return found
@@ -105,7 +106,7 @@
 	return found
 }
 
-// stallReasonOf says what keeps a message that is not at a replica from being sent.
+// stallReasonOf returns what keeps a message that is not at a replica from being sent.
 func (p *partition) stallReasonOf(message quarantine.Key) stallReason {
 	register := p.service.options.Quarantine
 	if register == nil || message == (quarantine.Key{}) {
@@ -124,18 +125,19 @@
 	}
 }
 
-// reportStalled logs how many items make nothing, and the one that has for longest: what to look at where a job does not come to its end.
+// reportStalled logs the number of stalled items by reason, and the item stalled for longest, as a starting point when a job does
+// not finish.
 func (p *partition) reportStalled() {
 	found := p.stalled()
 	if len(found.counts) == 0 {
 		return
 	}
 	event := p.logger.Info()
-	for _, each := range stallReasons {
-		event.Int(string(each), found.counts[each])
+	for _, reason := range stallReasons {
+		event.Int(string(reason), found.counts[reason])
 	}
 	longest := found.longest
 	event.Str(logging.FieldJob, longest.key.job).Int("item", longest.key.number).Str(logging.FieldReason, string(longest.reason)).
-		Dur("lasted", longest.lasted).Int("begins", longest.run.begins).Int("crashes", longest.run.crashes).Int("made_bytes", len(longest.run.text)).
+		Dur("lasted", longest.duration).Int("begins", longest.run.attempts).Int("crashes", longest.run.crashes).Int("made_bytes", len(longest.run.text)).
 		Stringer("digest", longest.run.message).Msg("items_stalled")
 }
--- a/internal/batch/item_stalled_test.go
+++ b/internal/batch/item_stalled_test.go
@@ -46,7 +46,7 @@
 func (o *ownerUnderTest) pauseItem(key itemKey, length time.Duration) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.runOf(key).notBefore = o.elapsed() + length
+	o.ensureRun(key).notBefore = o.elapsed() + length
 }
 
 // TestItemAtAReplicaIsNotMissed: an item that was sent, and of which nothing comes, is told apart from one that waits.
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -13,21 +13,21 @@
 	descriptions <- longestDescription
 }
 
-// Collect implements prometheus.Collector: what the partitions owned here show now.
+// Collect implements prometheus.Collector for the partitions owned by this process.
 func (s *Service) Collect(metrics chan<- prometheus.Metric) {
 	s.mutex.RLock()
 	owned := make([]*partition, 0, len(s.partitions))
-	for _, each := range s.partitions {
-		owned = append(owned, each)
+	for _, partition := range s.partitions {
+		owned = append(owned, partition)
 	}
 	s.mutex.RUnlock()
 	counts, longest := map[stallReason]int{}, 0.0
-	for _, each := range owned {
-		found := each.stalled()
+	for _, partition := range owned {
+		found := partition.stalled()
 		for reason, count := range found.counts {
 			counts[reason] += count
 		}
-		longest = max(longest, found.longest.lasted.Seconds())
+		longest = max(longest, found.longest.duration.Seconds())
 	}
 	for _, reason := range stallReasons {
 		metrics <- prometheus.MustNewConstMetric(stalledDescription, prometheus.GaugeValue, float64(counts[reason]), string(reason))
--- a/internal/batch/online_load.go
+++ b/internal/batch/online_load.go
@@ -11,81 +11,82 @@
 )
 
 const (
-	// onlineGrowth is how much more online requests may soon use than they do, and freeShare the part of all slots that
-	// is left free beside that.
-	onlineGrowth = 1.15
-	freeShare    = 0.08
-	// keptGrowth and keptFreeShare are the same for items that run already.
-	keptGrowth    = 1.05
-	keptFreeShare = 0.03
-	// recentSpan is how long a higher number of online requests counts for the begin of items. Lulls between bursts last 3.4 s on the shifted
+	// startOnlineGrowth is the factor by which online requests may grow soon; startFreeShare is the share of all slots that is kept
+	// free in addition. Both limit the start of items.
+	startOnlineGrowth = 1.15
+	startFreeShare    = 0.08
+	// keepOnlineGrowth and keepFreeShare are the same limits for items that already run.
+	keepOnlineGrowth = 1.05
+	keepFreeShare    = 0.03
+	// peakWindow is how long a peak of online requests limits the start of items. Lulls between bursts last 3.4 s on the shifted
 	// deployment, and an item that is cut off costs some 20 ms of a replica (policy.md, round 20).
-	recentSpan = 200 * time.Millisecond
-	// rampSpan is how long the begin of items is held back after the start of the process, or after no edge was heard: what edges
-	// tell then is not yet what their callers want, who come back all at once.
+	peakWindow = 200 * time.Millisecond
+	// rampSpan is the time over which the start of items is ramped up after the start of the process, or after no edge was
+	// reporting. What edges report at first is less than what their callers want, who all return at once.
 	rampSpan = 2 * time.Second
 )
 
-// FleetLoad tells how many requests the other nodes have at replicas. It is safe for concurrent use.
+// FleetLoad reports how many requests the other nodes have at replicas. It is safe for concurrent use.
 type FleetLoad interface {
-	// Others returns their requests for service.
+	// Others returns the requests of the other nodes for service.
 	Others(service string, now time.Time) loadshare.Demand
-	// ReportingSince returns since when nodes with online requests have reported without a break.
+	// ReportingSince returns since when nodes with online requests have been reporting without interruption.
 	ReportingSince() time.Time
 }
 
-// recentPeaks holds, by service, the highest number of online requests of the latest times. It is safe for concurrent use.
+// recentPeaks keeps the recent maximum number of online requests of each service. It is safe for concurrent use.
 type recentPeaks struct {
-	mutex  sync.Mutex
-	byName map[string]peak
+	mutex     sync.Mutex
+	byService map[string]peak
 }
 
 type peak struct {
-	total int
-	at    time.Time
+	requests int
+	at       time.Time
 }
 
-// observe takes in the present number and returns the highest of the last recentSpan.
+// observe notes the current number and returns the maximum of the last peakWindow.
 func (p *recentPeaks) observe(service string, present int, now time.Time) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	highest := p.byName[service]
-	if present >= highest.total || now.Sub(highest.at) > recentSpan {
-		highest = peak{total: present, at: now}
-		p.byName[service] = highest
+	highest := p.byService[service]
+	if present >= highest.requests || now.Sub(highest.at) > peakWindow {
+		highest = peak{requests: present, at: now}
+		p.byService[service] = highest
 	}
-	return highest.total
+	return highest.requests
 }
 
-// ramp returns the part of the room that items may begin in, from 0 to 1.
+// ramp returns the share of the room in which items may start, from 0 to 1.
 func (s *Service) ramp(now time.Time) float64 {
 	return min(1, max(0, float64(now.Sub(s.fleet.ReportingSince()))/float64(rampSpan)))
 }
 
-// OnlineChanged takes in a new report of the fleet's online requests: items give way where these need their room.
+// OnlineChanged handles a new report of the fleet's online requests: items are preempted where these requests need their room.
 func (s *Service) OnlineChanged() {
 	s.observeCapacity(s.routes.Table(), clock.Now())
-	s.yield()
+	s.preemptExcess()
 }
 
-// room returns how many items of this node may run at the replicas of service beside the online requests and the items of other
-// nodes: up to begin, further ones are begun; beyond keep, running ones are cut off. The gap between the two keeps items from being
-// cut off and begun in turns. Where several nodes have items there, each cuts off its part of what is too much.
-func (s *Service) room(service string, now time.Time) (begin, keep, running int) {
+// itemLimits returns how many items of this node may run at the replicas of service besides the online requests and the items of
+// other nodes. Items are started up to startLimit and cut off above keepLimit; the gap between the two prevents items from being cut
+// off and started in turns. If several nodes have items there, each cuts off its share of the excess. running is the number of items
+// of this node that run there now.
+func (s *Service) itemLimits(service string, now time.Time) (startLimit, keepLimit, running int) {
 	view := s.directory.View()
-	// What still runs in evacuated zones counts among the requests below, but takes no room that is left.
+	// Requests that still run in evacuated zones are counted below, but take none of the remaining room.
 	slots := view.WorkingSlots(service, now) + view.EvacuatedInUse(service, now)
 	running = runningAt(view, service)
 	others := s.fleet.Others(service, now)
 	present, elsewhere := others.Online(), others.Batch
 	recent := s.peaks.observe(service, present, now)
-	begin = int((float64(slots)*(1-freeShare) - float64(recent)*onlineGrowth) * s.ramp(now))
-	keep = max(begin, int(float64(slots)*(1-keptFreeShare)-float64(present)*keptGrowth))
-	return max(0, begin-elsewhere), ownPart(max(0, keep), running, elsewhere), running
+	startLimit = int((float64(slots)*(1-startFreeShare) - float64(recent)*startOnlineGrowth) * s.ramp(now))
+	keepLimit = max(startLimit, int(float64(slots)*(1-keepFreeShare)-float64(present)*keepOnlineGrowth))
+	return max(0, startLimit-elsewhere), ownShare(max(0, keepLimit), running, elsewhere), running
 }
 
-// taken returns the part of the slots of service that all nodes' requests and items are in.
-func (s *Service) taken(service string, now time.Time) float64 {
+// occupancy returns the share of the slots of service that is used by the requests and items of all nodes.
+func (s *Service) occupancy(service string, now time.Time) float64 {
 	view := s.directory.View()
 	others := s.fleet.Others(service, now)
 	return float64(others.Online()+others.Batch+runningAt(view, service)) / float64(max(1, view.WorkingSlots(service, now)))
@@ -99,8 +100,9 @@
 	return running
 }
 
-// ownPart returns how many of running items may go on where elsewhere others run and all together may be keep.
-func ownPart(keep, running, elsewhere int) int {
+// ownShare returns how many of this node's running items may continue if elsewhere items run at other nodes and keep may run in
+// total.
+func ownShare(keep, running, elsewhere int) int {
 	if running+elsewhere <= keep || running == 0 {
 		return max(running, keep-elsewhere)
 	}
@@ -108,25 +110,25 @@
 }
 
 func (s *Service) hasRoom(service string, now time.Time) bool {
-	begin, _, running := s.room(service, now)
+	begin, _, running := s.itemLimits(service, now)
 	return running < begin
 }
 
-// yield cuts off items, the latest accepted first, where online requests need their room.
-func (s *Service) yield() {
+// preemptExcess cuts off the least urgent items where online requests need their room.
+func (s *Service) preemptExcess() {
 	now := clock.Now()
 	s.mutex.RLock()
 	owned := make([]*partition, 0, len(s.partitions))
-	for _, each := range s.partitions {
-		owned = append(owned, each)
+	for _, partition := range s.partitions {
+		owned = append(owned, partition)
 	}
 	s.mutex.RUnlock()
-	for _, each := range owned {
-		each.yield(now)
+	for _, partition := range owned {
+		partition.preemptExcess(now)
 	}
 }
 
-func (p *partition) yield(now time.Time) {
+func (p *partition) preemptExcess(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	excess := map[string]int{}
@@ -136,7 +138,7 @@
 		}
 		service := run.handle.Info().Service
 		if _, known := excess[service]; !known {
-			_, keep, running := p.service.room(service, now)
+			_, keep, running := p.service.itemLimits(service, now)
 			excess[service] = running - keep
 		}
 	}
@@ -146,7 +148,7 @@
 			if least == nil {
 				break
 			}
-			p.cutOff(key, least)
+			p.preempt(key, least)
 		}
 	}
 }
--- a/internal/batch/online_load_test.go
+++ b/internal/batch/online_load_test.go
@@ -45,13 +45,13 @@
 }
 
 func TestRecentPeak(t *testing.T) {
-	peaks := recentPeaks{byName: map[string]peak{}}
+	peaks := recentPeaks{byService: map[string]peak{}}
 	start := time.Now()
 	for _, step := range []struct {
 		after         time.Duration
 		present, want int
 	}{
-		{0, 12, 12}, {recentSpan / 2, 6, 12}, {recentSpan + 1, 6, 6}, {recentSpan + 2, 9, 9},
+		{0, 12, 12}, {peakWindow / 2, 6, 12}, {peakWindow + 1, 6, 6}, {peakWindow + 2, 9, 9},
 	} {
 		if got := peaks.observe("s", step.present, start.Add(step.after)); got != step.want {
 			t.Errorf("after %s: %d, want %d", step.after, got, step.want)
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		service, fleet, _, _ := newService(only(replicatest.Refuse()))
 		fleet.setSince(time.Now())
-		if begin, _, _ := service.room("s", time.Now()); begin != 0 {
+		if begin, _, _ := service.itemLimits("s", time.Now()); begin != 0 {
 			t.Errorf("%d items may begin at once", begin)
 		}
 		time.Sleep(rampSpan / 2)
@@ -72,7 +72,7 @@
 			t.Errorf("%f of the room half way", ramp)
 		}
 		time.Sleep(rampSpan)
-		if begin, _, _ := service.room("s", time.Now()); begin < 3 {
+		if begin, _, _ := service.itemLimits("s", time.Now()); begin < 3 {
 			t.Errorf("%d items may begin on 4 idle slots", begin)
 		}
 	})
@@ -81,15 +81,15 @@
 // TestRoomIsSharedAmongOwners: items of other nodes take room, and what is too much is cut off by each in part.
 func TestRoomIsSharedAmongOwners(t *testing.T) {
 	service, fleet, _, _ := newService(map[string]replicatest.Script{"a": replicatest.Refuse(), "b": replicatest.Refuse(), "c": replicatest.Refuse()})
-	alone, _, _ := service.room("s", time.Now())
+	alone, _, _ := service.itemLimits("s", time.Now())
 	fleet.set(loadshare.Demand{}, 5)
-	if begin, _, _ := service.room("s", time.Now()); begin != alone-5 {
+	if begin, _, _ := service.itemLimits("s", time.Now()); begin != alone-5 {
 		t.Errorf("%d items may begin beside 5 of others, %d without these", begin, alone)
 	}
 	for _, test := range []struct{ keep, running, elsewhere, want int }{
 		{12, 4, 4, 8}, {12, 0, 12, 0}, {6, 6, 6, 3}, {0, 5, 5, 0}, {6, 9, 0, 6},
 	} {
-		if got := ownPart(test.keep, test.running, test.elsewhere); got != test.want {
+		if got := ownShare(test.keep, test.running, test.elsewhere); got != test.want {
 			t.Errorf("ownPart(%d, %d, %d) is %d, want %d", test.keep, test.running, test.elsewhere, got, test.want)
 		}
 	}
@@ -99,7 +99,7 @@
 func TestRequestsThatAreHeldBackTakeRoom(t *testing.T) {
 	service, fleet, _, _ := newService(only(replicatest.Refuse()))
 	fleet.set(loadshare.Demand{InUse: 1, Waiting: 3}, 0)
-	if begin, keep, _ := service.room("s", time.Now()); begin != 0 || keep != 0 {
+	if begin, keep, _ := service.itemLimits("s", time.Now()); begin != 0 || keep != 0 {
 		t.Errorf("begin %d, keep %d beside 4 wanted slots of 4", begin, keep)
 	}
 }
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// defaultReadBytes bounds the texts of one answer.
+	// defaultReadBytes bounds the size of the texts in one answer, in bytes.
 	defaultReadBytes = 512 << 10
-	// retryAfterFull is when a caller may come back after its job did not fit.
+	// retryAfterFull is the retry time sent to a caller whose job was refused for lack of room or quota.
 	retryAfterFull = 500 * time.Millisecond
 )
 
-// pendingSubmission is a submission whose append is under way; done is closed at its end.
+// pendingSubmission is a submission that is being appended; done is closed when the append has ended.
 type pendingSubmission struct {
 	done chan struct{}
 	err  error
 }
 
-// submit accepts a job once, however often it comes.
+// submit accepts a job exactly once, however often it is submitted.
 func (p *partition) submit(ctx context.Context, request *batchpb.SubmitRequest) (*batchpb.SubmitResponse, error) {
 	submission := request.Submission
 	pending, response, err := p.admit(submission, request.MaxWaitingTokens)
@@ -34,7 +34,7 @@
 		return response, err
 	}
 	if pending == nil {
-		pending = p.begin(submission)
+		pending = p.startAppend(submission)
 	}
 	select {
 	case <-pending.done:
@@ -47,8 +47,8 @@
 	return &batchpb.SubmitResponse{Accepted: true}, nil
 }
 
-// admit decides on a submission. Without a response and an error the job is to be appended, and its tokens are reserved;
-// pending is set where that is already under way.
+// admit decides on a submission. If it returns neither a response nor an error, the job must be appended, and its tokens are
+// reserved; pending is set if an append is already in progress.
 func (p *partition) admit(submission *batchpb.Submission, maxTokens int64) (pending *pendingSubmission, response *batchpb.SubmitResponse, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -61,7 +61,7 @@
 	if p.quiesced {
 		return nil, nil, errNotOwner()
 	}
-	if err := p.checkPlace(submission); err != nil {
+	if err := p.checkSubmissionHomes(submission); err != nil {
 		return nil, nil, err
 	}
 	if !p.owned.HasRoom() {
@@ -78,7 +78,7 @@
 			Int64("allowed", maxTokens).Msg("job_over_quota")
 		return nil, &batchpb.SubmitResponse{OverQuota: true}, nil
 	}
-	if err := p.refuseHopeless(submission); err != nil {
+	if err := p.checkBacklog(submission); err != nil {
 		p.logger.Info().Str(logging.FieldJob, submission.JobId).Int("items", len(submission.Items)).Err(err).Msg("job_refused")
 		return nil, nil, err
 	}
@@ -87,18 +87,18 @@
 	return nil, nil, nil
 }
 
-// begin starts the append of an admitted submission. It goes on where the caller no longer waits.
-func (p *partition) begin(submission *batchpb.Submission) *pendingSubmission {
+// startAppend starts the append of an admitted submission. The append continues if the caller stops waiting.
+func (p *partition) startAppend(submission *batchpb.Submission) *pendingSubmission {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	pending := p.submitting[submission.JobId]
 	if p.stopped {
-		// Work that begins after the wait for all work would end the process.
+		// Adding to the wait group after Stop has begun to wait for it would panic.
 		pending.err = errNotOwner()
 		close(pending.done)
 		return pending
 	}
-	p.running.Go(func() {
+	p.background.Go(func() {
 		err := p.propose(p.ctx, acceptanceRecords(submission, p.now().UnixMilli())...)
 		p.mutex.Lock()
 		p.reserved[quotaOf(submission)] -= tokensOf(submission)
@@ -113,16 +113,17 @@
 
 func tokensOf(submission *batchpb.Submission) int64 {
 	var tokens int64
-	for _, each := range submission.Items {
-		tokens += each.Tokens
+	for _, item := range submission.Items {
+		tokens += item.Tokens
 	}
 	return tokens
 }
 
-// acceptanceRecords returns the records that make a job exist: one, or for a large job its parts and then one.
+// acceptanceRecords returns the records that make a job exist: a single one, or for a large job its chunks followed by the
+// acceptance.
 func acceptanceRecords(submission *batchpb.Submission, acceptedAt int64) []ledger.Record {
 	if proto.Size(submission) <= chunkBytes {
-		return []ledger.Record{recordOf(ledger.KindBatchAccepted, &batchpb.Accepted{Submission: submission, AcceptedAt: acceptedAt})}
+		return []ledger.Record{newRecord(ledger.KindBatchAccepted, &batchpb.Accepted{Submission: submission, AcceptedAt: acceptedAt})}
 	}
 	encoded, err := proto.Marshal(submission)
 	if err != nil {
@@ -133,15 +134,15 @@
 	for len(encoded) > 0 {
 		part := encoded[:min(chunkBytes, len(encoded))]
 		encoded = encoded[len(part):]
-		records = append(records, recordOf(ledger.KindBatchChunk, &batchpb.Chunk{UploadId: upload, Data: part}))
+		records = append(records, newRecord(ledger.KindBatchChunk, &batchpb.Chunk{UploadId: upload, Data: part}))
 	}
-	return append(records, recordOf(ledger.KindBatchAccepted, &batchpb.Accepted{UploadId: upload, AcceptedAt: acceptedAt}))
+	return append(records, newRecord(ledger.KindBatchAccepted, &batchpb.Accepted{UploadId: upload, AcceptedAt: acceptedAt}))
 }
 
-// read returns the results behind a position. An answer without results, or that the job is not known, is given only after
-// ownership was proved, since a former owner may lack what its successor has.
+// read returns the results after a position. An answer without results, or that the job is unknown, is given only after the
+// ownership was proved, since a former owner may lack records of its successor.
 func (p *partition) read(ctx context.Context, request *batchpb.ReadRequest) (*batchpb.ReadResponse, error) {
-	asked := p.elapsed()
+	since := p.elapsed()
 	response, changed := p.results(request)
 	if len(response.Results) > 0 {
 		return response, nil
@@ -159,14 +160,14 @@
 			return response, nil
 		}
 	}
-	if err := p.confirm(ctx, asked); err != nil {
+	if err := p.confirm(ctx, since); err != nil {
 		return nil, err
 	}
 	response, _ = p.results(request)
 	return response, nil
 }
 
-// results returns what is listed; changed is set where more may come.
+// results returns the listed results; changed is set if more may follow.
 func (p *partition) results(request *batchpb.ReadRequest) (response *batchpb.ReadResponse, changed <-chan struct{}) {
 	limit := int(request.MaxBytes)
 	if limit <= 0 {
@@ -174,36 +175,36 @@
 	}
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
-	found := p.state.jobs[request.JobId]
-	if found == nil {
+	job := p.state.jobs[request.JobId]
+	if job == nil {
 		return &batchpb.ReadResponse{}, nil
 	}
-	response = &batchpb.ReadResponse{Found: true, Total: uint32(len(found.items))}
+	response = &batchpb.ReadResponse{Found: true, Total: uint32(len(job.items))}
 	bytes := 0
-	for position := int(request.Since); position < len(found.listed) && (bytes < limit || len(response.Results) == 0); position++ {
-		number := found.listed[position]
-		listed := &found.items[number]
-		bytes += len(listed.text)
+	for position := int(request.Since); position < len(job.listed) && (bytes < limit || len(response.Results) == 0); position++ {
+		number := job.listed[position]
+		item := &job.items[number]
+		bytes += len(item.text)
 		if bytes > limit && len(response.Results) > 0 {
 			break
 		}
 		response.Results = append(response.Results, &batchpb.ListedResult{
-			ItemId: found.submission.Items[number].Id, State: listed.state, Text: listed.text,
+			ItemId: job.submission.Items[number].Id, State: item.state, Text: item.text,
 		})
 	}
-	if found.open() {
-		changed = found.changed
+	if job.open() {
+		changed = job.changed
 	}
 	return response, changed
 }
 
-// body returns the body of an item that is not listed.
+// body returns the body of an item that is not listed yet.
 func (p *partition) body(ctx context.Context, request *batchpb.BodyRequest) (*batchpb.BodyResponse, error) {
-	asked := p.elapsed()
+	since := p.elapsed()
 	if response := p.findBody(request); response.Found {
 		return response, nil
 	}
-	if err := p.confirm(ctx, asked); err != nil {
+	if err := p.confirm(ctx, since); err != nil {
 		return nil, err
 	}
 	return p.findBody(request), nil
@@ -212,29 +213,29 @@
 func (p *partition) findBody(request *batchpb.BodyRequest) *batchpb.BodyResponse {
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
-	found := p.state.jobs[request.JobId]
-	if found == nil {
+	job := p.state.jobs[request.JobId]
+	if job == nil {
 		return &batchpb.BodyResponse{}
 	}
-	number, known := found.byID[request.ItemId]
-	if !known || found.items[number].listed {
+	number, known := job.byID[request.ItemId]
+	if !known || job.items[number].listed {
 		return &batchpb.BodyResponse{}
 	}
-	return &batchpb.BodyResponse{Found: true, Body: found.submission.Items[number].Body}
+	return &batchpb.BodyResponse{Found: true, Body: job.submission.Items[number].Body}
 }
 
-// end ends a job; its running items are cut off.
+// end ends a job and cuts off its running items.
 func (p *partition) end(ctx context.Context, request *batchpb.EndRequest) (*batchpb.EndResponse, error) {
 	p.mutex.RLock()
-	found := p.state.jobs[request.JobId]
-	ended := found != nil && found.ended
+	job := p.state.jobs[request.JobId]
+	ended := job != nil && job.ended
 	p.mutex.RUnlock()
-	if found == nil {
+	if job == nil {
 		err := p.confirm(ctx, p.elapsed())
 		return &batchpb.EndResponse{}, err
 	}
 	if !ended {
-		if err := p.propose(ctx, recordOf(ledger.KindBatchEnded, &batchpb.Ended{JobId: request.JobId})); err != nil {
+		if err := p.propose(ctx, newRecord(ledger.KindBatchEnded, &batchpb.Ended{JobId: request.JobId})); err != nil {
 			return nil, err
 		}
 		p.logger.Info().Str(logging.FieldJob, request.JobId).Msg("job_ended")
--- a/internal/batch/partition_test.go
+++ b/internal/batch/partition_test.go
@@ -268,13 +268,13 @@
 		})
 		owner.mustSubmit(t, batchOf("j", 8))
 		time.Sleep(500 * time.Millisecond)
-		if _, _, running := owner.service.room("s", time.Now()); running < 5 {
+		if _, _, running := owner.service.itemLimits("s", time.Now()); running < 5 {
 			t.Errorf("%d items run on 8 idle slots", running)
 		}
 		owner.fleet.set(loadshare.Demand{InUse: 6}, 0)
 		owner.service.OnlineChanged()
 		synctest.Wait()
-		if _, keep, running := owner.service.room("s", time.Now()); running > keep || running > 2 {
+		if _, keep, running := owner.service.itemLimits("s", time.Now()); running > keep || running > 2 {
 			t.Errorf("%d items run beside 6 online requests on 8 slots", running)
 		}
 		owner.end()
--- a/internal/batch/relay.go
+++ b/internal/batch/relay.go
@@ -17,11 +17,11 @@
 
 const (
 	methodRelay transport.Method = "batch.relay"
-	// unreachedFor is how long an owner that gave no answer is asked through another edge first.
-	unreachedFor = 1500 * time.Millisecond
+	// unreachableWindow is how long an owner that did not answer is first asked through another edge.
+	unreachableWindow = 1500 * time.Millisecond
 )
 
-// relayedMessages makes the messages of the methods that are passed on for other edges.
+// relayedMessages creates the request and the response of each method that is relayed for other edges.
 var relayedMessages = map[transport.Method]struct{ request, response func() proto.Message }{
 	methodSubmit: {newMessage[batchpb.SubmitRequest], newMessage[batchpb.SubmitResponse]},
 	methodRead:   {newMessage[batchpb.ReadRequest], newMessage[batchpb.ReadResponse]},
@@ -36,8 +36,9 @@
 	return Pointer(new(T))
 }
 
-// otherEdge returns a live node without a store, other than this one, that may have records of the partition; ok is false where there is none.
-func (d *Door) otherEdge(partition ledger.PartitionID) (address netip.AddrPort, ok bool) {
+// pickRelayEdge returns a random live node without a store, other than this one, that may hold records of the partition; ok is false
+// if there is none.
+func (d *Door) pickRelayEdge(partition ledger.PartitionID) (address netip.AddrPort, ok bool) {
 	view := d.viewer.View()
 	var others []netip.AddrPort
 	for _, member := range view.Members {
@@ -51,7 +52,7 @@
 	return others[rand.N(len(others))], true
 }
 
-// relay has another edge make the call.
+// relay makes the call through another edge.
 func (d *Door) relay(ctx context.Context, edge netip.AddrPort, method transport.Method, request partitionRequest, response proto.Message) error {
 	payload, err := proto.Marshal(request)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return proto.Unmarshal(relayed.Payload, response)
 }
 
-// serveRelay makes a call for another edge, to the owner only.
+// serveRelay makes a call on behalf of another edge. It calls only the owner and relays no further.
 func (d *Door) serveRelay(ctx context.Context, _ netip.AddrPort, request *batchpb.RelayRequest) (*batchpb.RelayResponse, error) {
 	messages, known := relayedMessages[transport.Method(request.Method)]
 	if !known {
--- a/internal/batch/saturation_test.go
+++ b/internal/batch/saturation_test.go
@@ -51,27 +51,27 @@
 	var items []replayedItem
 	var result replayed
 	var capacity slotCapacity
-	var term leaseTerm
+	var term leaseSizer
 	nextJob := began
 	for now := began; now.Before(began.Add(load.lasting)); now = now.Add(dispatchInterval) {
 		for ; !nextJob.After(now); nextJob = nextJob.Add(load.every) {
 			for number := range load.items {
 				needs := time.Duration(float64(load.needs) * (0.6 + 0.8*random.Float64()))
 				items = append(items, replayedItem{candidate: candidate{
-					key: itemKey{job: fmt.Sprint(nextJob.UnixNano()), number: number}, acceptedAt: nextJob.UnixMilli(), due: nextJob.Add(load.due), left: needs,
+					key: itemKey{job: fmt.Sprint(nextJob.UnixNano()), number: number}, acceptedAt: nextJob.UnixMilli(), due: nextJob.Add(load.due), remaining: needs,
 				}})
 			}
 		}
 		online := load.onlineAt(now.Sub(began))
-		begin := int(float64(load.slots)*(1-freeShare) - float64(online)*onlineGrowth)
-		keep := max(begin, int(float64(load.slots)*(1-keptFreeShare)-float64(online)*keptGrowth))
+		begin := int(float64(load.slots)*(1-startFreeShare) - float64(online)*startOnlineGrowth)
+		keep := max(begin, int(float64(load.slots)*(1-keepFreeShare)-float64(online)*keepOnlineGrowth))
 		capacity.observe(begin, load.slots, now)
 		result.step(items, now, begin, keep, &term, float64(load.slots), online, capacity.slots())
-		items = slices.DeleteFunc(items, func(each replayedItem) bool {
-			if each.left > 0 {
+		items = slices.DeleteFunc(items, func(item replayedItem) bool {
+			if item.remaining > 0 {
 				return false
 			}
-			if now.After(each.due) {
+			if now.After(item.due) {
 				result.late++
 			} else {
 				result.inTime++
@@ -91,7 +91,7 @@
 }
 
 // step makes the decisions of one interval.
-func (r *replayed) step(items []replayedItem, now time.Time, begin, keep int, term *leaseTerm, slots float64, online int, capacity float64) {
+func (r *replayed) step(items []replayedItem, now time.Time, begin, keep int, term *leaseSizer, slots float64, online int, capacity float64) {
 	candidates := make([]candidate, len(items))
 	running := 0
 	for index := range items {
@@ -108,7 +108,7 @@
 	for index := range items {
 		order[index] = &items[index]
 	}
-	slices.SortStableFunc(order, func(one, other *replayedItem) int { return compareCandidates(one.candidate, other.candidate) })
+	slices.SortStableFunc(order, func(a, b *replayedItem) int { return compareCandidates(a.candidate, b.candidate) })
 	for place := len(order) - 1; place >= 0 && running > keep; place-- {
 		if order[place].running {
 			order[place].running = false
@@ -116,34 +116,34 @@
 			r.cut++
 		}
 	}
-	for _, each := range order {
-		if each.running {
+	for _, item := range order {
+		if item.running {
 			continue
 		}
-		if running >= begin && !each.late {
+		if running >= begin && !item.late {
 			running -= r.replaceLate(order, now)
 		}
 		if running >= begin {
 			break
 		}
-		each.running, each.begun = true, true
-		each.runs++
-		each.leaseEnd = now.Add(term.length(each.left, float64(running+online)/slots))
+		item.running, item.started = true, true
+		item.runs++
+		item.leaseEnd = now.Add(term.length(item.remaining, float64(running+online)/slots))
 		running++
 	}
 	if float64(running+online) > slots {
 		r.onlineHeldUp++
 	}
-	for _, each := range order {
-		if !each.running {
+	for _, item := range order {
+		if !item.running {
 			continue
 		}
-		each.left -= dispatchInterval
-		each.made += dispatchInterval
-		each.madeText = int(each.made.Milliseconds())
-		if each.left > 0 && !now.Before(each.leaseEnd.Add(-leaseMargin)) {
+		item.remaining -= dispatchInterval
+		item.made += dispatchInterval
+		item.textSize = int(item.made.Milliseconds())
+		if item.remaining > 0 && !now.Before(item.leaseEnd.Add(-leaseMargin)) {
 			r.cut++
-			each.leaseEnd = now.Add(term.length(each.left, float64(running+online)/slots))
+			item.leaseEnd = now.Add(term.length(item.remaining, float64(running+online)/slots))
 		}
 	}
 }
@@ -151,7 +151,7 @@
 // replaceLate cuts off a run that will be late whatever it gets, for one that can be in time; it returns how many.
 func (r *replayed) replaceLate(order []*replayedItem, now time.Time) int {
 	for place := len(order) - 1; place >= 0 && order[place].late; place-- {
-		if order[place].running && order[place].hopeless(now) {
+		if order[place].running && order[place].certainlyLate(now) {
 			order[place].running = false
 			r.cut++
 			return 1
@@ -165,7 +165,7 @@
 func TestFarTooMuchWork(t *testing.T) {
 	result := replay(tooMuch)
 	t.Logf("%+v", result)
-	free := float64(tooMuch.slots)*(1-freeShare) - tooMuch.online*onlineGrowth
+	free := float64(tooMuch.slots)*(1-startFreeShare) - tooMuch.online*startOnlineGrowth
 	possible := free * tooMuch.lasting.Seconds() / tooMuch.needs.Seconds()
 	if share := float64(result.inTime) / possible; share < 0.8 {
 		t.Errorf("%.2f of what could be done was done in time", share)
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -19,7 +19,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Methods between edges and owners.
+// Methods called by edges at owners.
 const (
 	methodSubmit transport.Method = "batch.submit"
 	methodRead   transport.Method = "batch.read"
@@ -27,16 +27,16 @@
 	methodEnd    transport.Method = "batch.end"
 )
 
-// Options of a Service.
+// Options configures a Service.
 type Options struct {
 	Zone string
 	// MaxBytes bounds the bodies and texts of one partition in memory.
 	MaxBytes int64
 	// KeepResults is how long results stay readable.
 	KeepResults time.Duration
-	// Report is how replicas are asked for their load.
+	// Report defines how replicas are asked for their load.
 	Report replica.LoadReport
-	// ColdStarts is nil where cold replicas may get as much as warm ones, Quarantine where no item is kept from replicas.
+	// ColdStarts is nil if cold replicas may get as many items as warm ones, Quarantine is nil if no item is kept from replicas.
 	ColdStarts coldstart.Limiter
 	Quarantine quarantine.ItemRegister
 }
@@ -51,13 +51,13 @@
 	logger    zerolog.Logger
 
 	mutex sync.RWMutex
-	// partitions and asking are guarded by mutex; asking holds the replicas whose answer is awaited.
+	// mutex guards partitions and polling, the replicas that were asked for their load and have not answered yet.
 	partitions map[ledger.PartitionID]*partition
-	asking     map[*replica.Handle]bool
+	polling    map[*replica.Handle]bool
 	fleet      FleetLoad
 	peaks      recentPeaks
 	capacity   slotCapacity
-	leases     leaseTerm
+	leases     leaseSizer
 }
 
 // NewService returns a Service and registers its methods.
@@ -65,8 +65,8 @@
 	service := &Service{
 		options: options, routes: routes, directory: directory, picker: picker, client: client,
 		logger:     logger.With().Str(logging.FieldSlice, "batch").Logger(),
-		partitions: map[ledger.PartitionID]*partition{}, asking: map[*replica.Handle]bool{},
-		fleet: fleet, peaks: recentPeaks{byName: map[string]peak{}},
+		partitions: map[ledger.PartitionID]*partition{}, polling: map[*replica.Handle]bool{},
+		fleet: fleet, peaks: recentPeaks{byService: map[string]peak{}},
 	}
 	serve(service, registrar, methodSubmit, (*partition).submit)
 	serve(service, registrar, methodRead, (*partition).read)
@@ -75,12 +75,12 @@
 	return service
 }
 
-// Factory makes the state machines of owned partitions.
+// Factory creates the state machines of owned partitions.
 func (s *Service) Factory() ledger.Factory {
 	return func(id ledger.PartitionID) ledger.StateMachine { return newPartition(id, s) }
 }
 
-// partitionRequest is a message that goes to the owner of its partition.
+// partitionRequest is a message that is sent to the owner of its partition.
 type partitionRequest interface {
 	proto.Message
 	GetPartition() uint32
@@ -107,12 +107,12 @@
 		})
 }
 
-// Works says that a partition owned here has items that wait or run.
+// Works reports whether a partition owned here has items that wait or run.
 func (s *Service) Works() bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	for _, each := range s.partitions {
-		if each.hasWork() {
+	for _, partition := range s.partitions {
+		if partition.hasWork() {
 			return true
 		}
 	}
@@ -139,24 +139,25 @@
 	}
 }
 
-// ask asks a replica for its load in the background, one question at a time.
-func (s *Service) ask(ctx context.Context, handle *replica.Handle) {
+// pollLoad asks a replica for its load in the background, with at most one request in flight.
+func (s *Service) pollLoad(ctx context.Context, handle *replica.Handle) {
 	s.mutex.Lock()
-	waits := s.asking[handle] || !handle.Usable()
+	waits := s.polling[handle] || !handle.Usable()
 	if !waits {
-		s.asking[handle] = true
+		s.polling[handle] = true
 	}
 	s.mutex.Unlock()
 	if waits {
 		return
 	}
 	go func() {
-		bounded, cancel := context.WithTimeout(ctx, askTimeout)
+		bounded, cancel := context.WithTimeout(ctx, loadPollTimeout)
 		defer cancel()
-		// A replica that does not answer is asked again when a choice needs its load; what is known of it goes on fading.
+		// A replica that does not answer is asked again when a choice needs its load; until then what is known of its load loses
+		// weight.
 		_ = s.client.Ask(bounded, handle, s.options.Report)
 		s.mutex.Lock()
-		delete(s.asking, handle)
+		delete(s.polling, handle)
 		s.mutex.Unlock()
 	}()
 }
--- a/internal/batch/snapshot.go
+++ b/internal/batch/snapshot.go
@@ -14,9 +14,9 @@
 
 // snapshot encodes the whole state.
 func (s *state) snapshot() ([]byte, error) {
-	encoded := &batchpb.Snapshot{UpTo: uint64(s.upTo)}
-	for _, each := range s.order {
-		encoded.Jobs = append(encoded.Jobs, each.snapshot())
+	encoded := &batchpb.Snapshot{UpTo: uint64(s.appliedTo)}
+	for _, job := range s.order {
+		encoded.Jobs = append(encoded.Jobs, job.snapshot())
 	}
 	for id, data := range s.uploads {
 		encoded.Uploads = append(encoded.Uploads, &batchpb.Chunk{UploadId: id, Data: data})
@@ -24,13 +24,13 @@
 	for _, name := range slices.Sorted(maps.Keys(s.paces)) {
 		pace := s.paces[name]
 		encoded.Paces = append(encoded.Paces, &batchpb.Pace{
-			Route: name, Seen: pace.seen, NanosPerToken: pace.perToken.Nanoseconds(), TextPerToken: pace.textPerToken,
+			Route: name, Seen: pace.seen, NanosPerToken: pace.timePerToken.Nanoseconds(), TextPerToken: pace.bytesPerToken,
 		})
 	}
 	return proto.Marshal(encoded)
 }
 
-func (j *job) snapshot() *batchpb.JobSnapshot {
+func (j *jobState) snapshot() *batchpb.JobSnapshot {
 	encoded := &batchpb.JobSnapshot{Submission: j.submission, AcceptedAt: j.acceptedAt, Ended: j.ended}
 	for _, number := range j.listed {
 		encoded.Results = append(encoded.Results, &batchpb.Result{
@@ -44,14 +44,14 @@
 		if failures := j.items[number].failures; failures > 0 {
 			encoded.Failed = append(encoded.Failed, &batchpb.Failed{JobId: j.submission.JobId, Item: uint32(number), Failures: uint32(failures)})
 		}
-		for _, ended := range j.items[number].crashed {
-			encoded.Crashed = append(encoded.Crashed, crashedOf(itemKey{job: j.submission.JobId, number: number}, ended))
+		for _, ended := range j.items[number].crashes {
+			encoded.Crashed = append(encoded.Crashed, newCrashed(itemKey{job: j.submission.JobId, number: number}, ended))
 		}
 	}
 	return encoded
 }
 
-// restoreState reads what snapshot wrote; nil is the empty state.
+// restoreState decodes the output of snapshot; nil is the empty state.
 func restoreState(encoded []byte) (*state, error) {
 	restored := newState()
 	if encoded == nil {
@@ -61,18 +61,18 @@
 	if err := proto.Unmarshal(encoded, &snapshot); err != nil {
 		return nil, fmt.Errorf("decode snapshot: %w", err)
 	}
-	for _, each := range snapshot.Jobs {
-		restored.restoreJob(each)
+	for _, job := range snapshot.Jobs {
+		restored.restoreJob(job)
 	}
 	for _, chunk := range snapshot.Uploads {
-		if err := restored.takeChunk(chunk); err != nil {
+		if err := restored.applyChunk(chunk); err != nil {
 			return nil, err
 		}
 	}
 	for _, pace := range snapshot.Paces {
-		restored.paces[pace.Route] = &itemPace{seen: pace.Seen, perToken: time.Duration(pace.NanosPerToken), textPerToken: pace.TextPerToken}
+		restored.paces[pace.Route] = &itemPace{seen: pace.Seen, timePerToken: time.Duration(pace.NanosPerToken), bytesPerToken: pace.TextPerToken}
 	}
-	restored.upTo = ledger.Position(snapshot.UpTo)
+	restored.appliedTo = ledger.Position(snapshot.UpTo)
 	return restored, nil
 }
 
@@ -81,17 +81,17 @@
 	for _, result := range encoded.Results {
 		s.list(restored, int(result.Item), result.State, result.Text)
 	}
-	// The records below fit the job that was just added; none of these calls returns an error.
+	// These records belong to the job that was just added; none of the calls returns an error.
 	for _, progress := range encoded.Progress {
-		_ = s.takeProgress(progress)
+		_ = s.applyProgress(progress)
 	}
 	for _, crashed := range encoded.Crashed {
-		_ = s.takeCrashed(crashed)
+		_ = s.applyCrashed(crashed)
 	}
 	for _, failed := range encoded.Failed {
-		_ = s.takeFailed(failed)
+		_ = s.applyFailed(failed)
 	}
 	if encoded.Ended {
-		_ = s.takeEnded(&batchpb.Ended{JobId: encoded.Submission.JobId})
+		_ = s.applyEnded(&batchpb.Ended{JobId: encoded.Submission.JobId})
 	}
 }
--- a/internal/batch/state_test.go
+++ b/internal/batch/state_test.go
@@ -33,23 +33,23 @@
 	l.t.Helper()
 	for _, record := range records {
 		l.records = append(l.records, record)
-		if err := l.state.step(ledger.Position(len(l.records)), record); err != nil {
+		if err := l.state.apply(ledger.Position(len(l.records)), record); err != nil {
 			l.t.Fatalf("record %d: %v", len(l.records), err)
 		}
 	}
 }
 
 func (l *log) text(jobID string, number int) (text string, listed bool) {
-	of := l.state.jobs[jobID].items[number]
-	return of.text, of.listed
+	item := l.state.jobs[jobID].items[number]
+	return item.text, item.listed
 }
 
 func progressRecord(jobID string, number int, offset int, text string) ledger.Record {
-	return recordOf(ledger.KindBatchProgress, &batchpb.Progress{JobId: jobID, Item: uint32(number), LastEvent: "1", Text: text, Offset: uint64(offset)})
+	return newRecord(ledger.KindBatchProgress, &batchpb.Progress{JobId: jobID, Item: uint32(number), LastEvent: "1", Text: text, Offset: uint64(offset)})
 }
 
 func successRecord(jobID string, number int, offset int, text string) ledger.Record {
-	return recordOf(ledger.KindBatchResult, &batchpb.Result{
+	return newRecord(ledger.KindBatchResult, &batchpb.Result{
 		JobId: jobID, Item: uint32(number), State: batchpb.State_STATE_SUCCEEDED, Text: text, Offset: uint64(offset),
 	})
 }
@@ -81,7 +81,7 @@
 func TestFirstResultStands(t *testing.T) {
 	log := newLog(t)
 	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
-	dead := recordOf(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 1, State: batchpb.State_STATE_DEAD_LETTER})
+	dead := newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 1, State: batchpb.State_STATE_DEAD_LETTER})
 	log.add(successRecord("j", 1, 0, "one"), dead, successRecord("j", 1, 0, "two"), successRecord("j", 0, 0, "zero"))
 	found := log.state.jobs["j"]
 	if text, _ := log.text("j", 1); text != "one" || found.items[1].state != batchpb.State_STATE_SUCCEEDED {
@@ -100,12 +100,12 @@
 		t.Errorf("%d tokens wait after a resend, want 30", waiting)
 	}
 	log.add(successRecord("j", 0, 0, "x"))
-	log.add(recordOf(ledger.KindBatchEnded, &batchpb.Ended{JobId: "j"}))
+	log.add(newRecord(ledger.KindBatchEnded, &batchpb.Ended{JobId: "j"}))
 	log.add(successRecord("j", 1, 0, "y"))
 	if waiting := log.state.waitingTokens[quotaKey{route: "r"}]; waiting != 0 {
 		t.Errorf("%d tokens wait after the end, want 0", waiting)
 	}
-	log.add(recordOf(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: "j"}))
+	log.add(newRecord(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: "j"}))
 	if log.state.bytes != 0 || len(log.state.jobs) != 0 {
 		t.Errorf("%d bytes and %d jobs are kept after all is forgotten", log.state.bytes, len(log.state.jobs))
 	}
@@ -141,7 +141,7 @@
 			number := rapid.IntRange(0, 2).Draw(r, "item")
 			made := 0
 			if found := s.jobs[job]; found != nil {
-				made = len(found.items[number].made())
+				made = len(found.items[number].loggedText())
 			}
 			offset := max(0, made+rapid.SampledFrom([]int{0, 0, 0, -1, 1}).Draw(r, "shift"))
 			switch rapid.SampledFrom(kinds).Draw(r, "kind") {
@@ -152,15 +152,15 @@
 			case "result":
 				return successRecord(job, number, offset, "z")
 			case "dead":
-				return recordOf(ledger.KindBatchResult, &batchpb.Result{JobId: job, Item: uint32(number), State: batchpb.State_STATE_DEAD_LETTER})
+				return newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: job, Item: uint32(number), State: batchpb.State_STATE_DEAD_LETTER})
 			case "crash":
-				return recordOf(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: job, Item: uint32(number), Replica: uint64(rapid.IntRange(1, 5).Draw(r, "replica"))})
+				return newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: job, Item: uint32(number), Replica: uint64(rapid.IntRange(1, 5).Draw(r, "replica"))})
 			case "fail":
-				return recordOf(ledger.KindBatchFailed, &batchpb.Failed{JobId: job, Item: uint32(number), Failures: uint32(rapid.IntRange(1, 5).Draw(r, "failures"))})
+				return newRecord(ledger.KindBatchFailed, &batchpb.Failed{JobId: job, Item: uint32(number), Failures: uint32(rapid.IntRange(1, 5).Draw(r, "failures"))})
 			case "end":
-				return recordOf(ledger.KindBatchEnded, &batchpb.Ended{JobId: job})
+				return newRecord(ledger.KindBatchEnded, &batchpb.Ended{JobId: job})
 			default:
-				return recordOf(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: job})
+				return newRecord(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: job})
 			}
 		}
 		for range rapid.IntRange(0, 30).Draw(r, "before") {
@@ -177,7 +177,7 @@
 		for range rapid.IntRange(0, 10).Draw(r, "after") {
 			record := step(log.state)
 			log.add(record)
-			if err := restored.step(ledger.Position(len(log.records)), record); err != nil {
+			if err := restored.apply(ledger.Position(len(log.records)), record); err != nil {
 				r.Fatal(err)
 			}
 		}
@@ -187,15 +187,15 @@
 
 func sameState(r *rapid.T, want, got *state) {
 	wantSnapshot, gotSnapshot := &batchpb.Snapshot{}, &batchpb.Snapshot{}
-	for _, each := range []struct {
+	for _, side := range []struct {
 		state *state
 		into  *batchpb.Snapshot
 	}{{want, wantSnapshot}, {got, gotSnapshot}} {
-		encoded, err := each.state.snapshot()
+		encoded, err := side.state.snapshot()
 		if err != nil {
 			r.Fatal(err)
 		}
-		if err := proto.Unmarshal(encoded, each.into); err != nil {
+		if err := proto.Unmarshal(encoded, side.into); err != nil {
 			r.Fatal(err)
 		}
 	}
@@ -211,7 +211,7 @@
 func TestNextOwnerKnowsThePace(t *testing.T) {
 	log := newLog(t)
 	log.add(acceptanceRecords(submissionOf("j", 3), 1)...)
-	log.add(recordOf(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 0, State: batchpb.State_STATE_SUCCEEDED, Text: "text", RanMillis: 5000}))
+	log.add(newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 0, State: batchpb.State_STATE_SUCCEEDED, Text: "text", RanMillis: 5000}))
 	log.add(successRecord("j", 1, 0, "its time is not known"))
 	encoded, err := log.state.snapshot()
 	if err != nil {
@@ -221,8 +221,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, each := range map[string]*state{"log": log.state, "snapshot": restored} {
-		if left := each.paceOf("r").left(20, 0); left != 10*time.Second {
+	for name, source := range map[string]*state{"log": log.state, "snapshot": restored} {
+		if left := source.paceOf("r").remaining(20, 0); left != 10*time.Second {
 			t.Errorf("%s: an item of 20 tokens needs %s, want 10s, as one of 10 took 5s", name, left)
 		}
 	}
--- a/internal/batch/stopped_test.go
+++ b/internal/batch/stopped_test.go
@@ -21,7 +21,7 @@
 		owner.end()
 		submission := batchOf("j", 1)
 		owner.submitting["j"] = &pendingSubmission{done: make(chan struct{})}
-		pending := owner.begin(submission)
+		pending := owner.startAppend(submission)
 		select {
 		case <-pending.done:
 		default:
