--- a/internal/batch/appender.go
+++ b/internal/batch/appender.go
@@ -135,7 +135,7 @@
 }
 
 func (p *partition) appendPart(records []ledger.Record) error {
-	began := p.elapsed()
+	startedAt := p.elapsed()
 	first, err := p.owned.AppendReserved(p.ctx, records)
 	if err != nil {
 		if outcome.As(err).Reason == outcome.ReasonNotOwner {
@@ -143,7 +143,7 @@
 		}
 		return err
 	}
-	p.confirmedAt.Store(int64(began))
+	p.confirmedAt.Store(int64(startedAt))
 	p.mutex.Lock()
 	for index, record := range records {
 		if err := p.state.apply(first+ledger.Position(index), record); err != nil {
--- a/internal/batch/backlog_test.go
+++ b/internal/batch/backlog_test.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// TestExcess: only what could not be done with all slots before it may be given up is too much.
+// TestExcess checks that a backlog has a positive excess only if it exceeds what all slots can do within the retention.
 func TestExcess(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -32,18 +32,19 @@
 	}
 }
 
-// TestHopelessJobIsRefusedAtOnce: once it is known how long items take, a job that cannot be done before it may be given up is refused and told
-// when to come back; nothing of it runs, what was accepted before is done, and it is accepted once less waits.
+// TestHopelessJobIsRefusedAtOnce checks that, once the run time of items is known, a job that cannot be done within its retention is
+// refused with a time to retry. None of its items run, jobs accepted before are done, and the job is accepted once the backlog is
+// smaller.
 func TestHopelessJobIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(slowReplica(20, 100*time.Millisecond)))
+		owner := startOwner(t, singleReplica(slowReplica(20, 100*time.Millisecond)))
 		owner.routes.Table().Routes[0].Retention = time.Minute
-		owner.mustSubmit(t, batchOf("first", 1))
+		owner.mustSubmit(t, testSubmission("first", 1))
 		owner.results(t, "first", 1, time.Minute)
 		accepted, refusal := 0, error(nil)
 		for ; accepted < 100; accepted++ {
 			name := fmt.Sprint("job-", accepted)
-			if _, refusal = owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: batchOf(name, 20)}); refusal != nil {
+			if _, refusal = owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: testSubmission(name, 20)}); refusal != nil {
 				break
 			}
 		}
@@ -57,7 +58,7 @@
 		for number := range accepted {
 			owner.results(t, fmt.Sprint("job-", number), 20, 2*time.Minute)
 		}
-		owner.mustSubmit(t, batchOf(fmt.Sprint("job-", accepted), 20))
-		owner.end()
+		owner.mustSubmit(t, testSubmission(fmt.Sprint("job-", accepted), 20))
+		owner.stop()
 	})
 }
--- a/internal/batch/cold_test.go
+++ b/internal/batch/cold_test.go
@@ -20,52 +20,53 @@
 	return s.open.Load() > 0
 }
 
-// TestItemsWaitForWarmReplicas: nothing is sent where the limiter refuses, and the items run once it admits.
+// TestItemsWaitForWarmReplicas checks that nothing is sent while the limiter refuses, and that the items run once it admits.
 func TestItemsWaitForWarmReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := &switchedLimiter{}
-		owner := own(t, only(slowReplica(2, 10*time.Millisecond)))
+		owner := startOwner(t, singleReplica(slowReplica(2, 10*time.Millisecond)))
 		owner.service.options.ColdStarts = limiter
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(2 * time.Second)
 		if sent := countPosts(owner); sent != 0 || limiter.asked.Load() == 0 {
 			t.Errorf("%d items were sent, the limiter was asked %d times", sent, limiter.asked.Load())
 		}
 		limiter.open.Store(1)
 		owner.results(t, "j", 1, 5*time.Second)
-		owner.end()
+		owner.stop()
 	})
 }
 
-// TestFurtherLeaseCountsAtAColdReplica: a run whose replica has turned cold goes on there only where that bears one more request.
+// TestFurtherLeaseCountsAtAColdReplica checks that a run whose replica has turned cold gets another lease there only if the replica
+// can take another request.
 func TestFurtherLeaseCountsAtAColdReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := &switchedLimiter{}
 		limiter.open.Store(1)
-		owner := own(t, only(slowReplica(50, 100*time.Millisecond)))
+		owner := startOwner(t, singleReplica(slowReplica(50, 100*time.Millisecond)))
 		owner.service.options.ColdStarts = limiter
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(300 * time.Millisecond)
 		limiter.open.Store(0)
 		time.Sleep(4 * time.Second)
 		if sent := countPosts(owner); sent != 1 {
-			t.Errorf("%d leases were begun, want the first one", sent)
+			t.Errorf("%d leases were started, want the first one only", sent)
 		}
 		limiter.open.Store(1)
 		owner.results(t, "j", 1, 20*time.Second)
 		if sent, asked := countPosts(owner), limiter.asked.Load(); int(asked) < sent {
 			t.Errorf("%d leases were begun, the limiter was asked %d times", sent, asked)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-// countedLimiter admits as many as are left.
+// countedLimiter admits as many sends as are left.
 type countedLimiter struct{ left atomic.Int64 }
 
 func (c *countedLimiter) Take(*replica.Handle) bool { return c.left.Add(-1) >= 0 }
 
-// waitingRegister suspects all messages and has each wait for its leave.
+// waitingRegister suspects all messages and delays each permit.
 type waitingRegister struct {
 	*countingRegister
 	wait time.Duration
@@ -78,8 +79,8 @@
 	return &countingPermit{register: w.countingRegister, key: key, verdict: quarantine.Apart}
 }
 
-// TestItemThatWaitedForItsLeaveIsAdmittedAgain: what a cold replica had admitted before the wait would reach it together with what it has
-// admitted since.
+// TestItemThatWaitedForItsLeaveIsAdmittedAgain guards a cold replica against receiving an item that it admitted before a long wait
+// for the permit together with items that it admitted since.
 func TestItemThatWaitedForItsLeaveIsAdmittedAgain(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -100,33 +101,34 @@
 				for _, id := range []string{"a", "b", "c", "d"} {
 					scripts[id] = slowReplica(2, 10*time.Millisecond)
 				}
-				owner := ownWith(t, register, scripts)
+				owner := startOwnerWithRegister(t, register, scripts)
 				owner.service.options.ColdStarts = limiter
 				for handle := range owner.service.directory.View().All() {
 					handle.SetColdBounded(test.cold)
 					handle.SetColdUntil(time.Now().Add(time.Minute))
 					handle.SetColdPass(replica.NewColdPass(10, time.Now().Add(time.Minute)))
 				}
-				owner.mustSubmit(t, batchOf("j", 1))
+				owner.mustSubmit(t, testSubmission("j", 1))
 				time.Sleep(2 * time.Second)
 				if sent := countPosts(owner); sent != test.sent {
 					t.Errorf("%d items were sent, want %d", sent, test.sent)
 				}
 				limiter.left.Store(100)
 				owner.results(t, "j", 1, 10*time.Second)
-				owner.end()
+				owner.stop()
 			})
 		})
 	}
 }
 
-// TestSuspectedItemWithoutAReplicaPauses: a choice for a suspected item ranks all replicas, and the dispatcher wakes at the end of each run.
+// TestSuspectedItemWithoutAReplicaPauses guards against choosing a replica for a suspected item at each wake-up: the choice ranks
+// all replicas, and the dispatcher wakes up at the end of each run.
 func TestSuspectedItemWithoutAReplicaPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := &switchedLimiter{}
-		owner := ownWith(t, &waitingRegister{newCountingRegister(1), 0}, only(slowReplica(2, 10*time.Millisecond)))
+		owner := startOwnerWithRegister(t, &waitingRegister{newCountingRegister(1), 0}, singleReplica(slowReplica(2, 10*time.Millisecond)))
 		owner.service.options.ColdStarts = limiter
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		const span = 2 * time.Second
 		for began := time.Now(); time.Since(began) < span; time.Sleep(10 * time.Millisecond) {
 			owner.wake()
@@ -136,6 +138,6 @@
 		}
 		limiter.open.Store(1)
 		owner.results(t, "j", 1, 5*time.Second)
-		owner.end()
+		owner.stop()
 	})
 }
--- a/internal/batch/dispatcher.go
+++ b/internal/batch/dispatcher.go
@@ -101,24 +101,24 @@
 func (p *partition) runDispatcher() {
 	timer := time.NewTimer(dispatchInterval)
 	defer timer.Stop()
-	var asked, reported, reportedStalled time.Duration
+	var polledAt, reportedAt, reportedStalledAt time.Duration
 	for {
 		waiting := p.dispatch()
 		p.checkOwnership()
 		p.interruptOutsideHomes()
-		if now := p.elapsed(); now-reported >= reportInterval {
-			reported = now
+		if now := p.elapsed(); now-reportedAt >= reportInterval {
+			reportedAt = now
 			p.report()
 		}
-		if now := p.elapsed(); now-reportedStalled >= stalledAfter {
-			reportedStalled = now
+		if now := p.elapsed(); now-reportedStalledAt >= stalledAfter {
+			reportedStalledAt = now
 			p.reportStalled()
 		}
 		pause := idleInterval
 		if waiting {
 			pause = dispatchInterval
-			if now := p.elapsed(); now-asked >= loadPollInterval {
-				asked = now
+			if now := p.elapsed(); now-polledAt >= loadPollInterval {
+				polledAt = now
 				p.pollLoads()
 			}
 		}
@@ -194,14 +194,14 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.elapsed()
-	unproved := !p.confirmedSince(now - unconfirmedRunLimit)
+	unconfirmed := !p.confirmedSince(now - unconfirmedRunLimit)
 	busy := false
 	for _, run := range p.runs {
 		if !run.running || run.handle == nil {
 			continue
 		}
 		busy = true
-		if unproved && !run.interrupted {
+		if unconfirmed && !run.interrupted {
 			run.interrupt()
 		}
 	}
@@ -225,20 +225,20 @@
 func (p *partition) pick(item candidate, occupancy float64, excluded []*replica.Handle) *replica.Handle {
 	now := clock.Now()
 	matched := item.route
-	wanted := balance.Request{
+	request := balance.Request{
 		Service: matched.PickService(), Zone: p.service.options.Zone, MaxOccupancy: occupancy, ZoneWeight: itemZoneWeight, Homes: item.homes, Excluded: excluded,
 	}
-	if p.service.hasRoom(wanted.Service, now) {
-		if handle := p.service.picker.Pick(&wanted, now); handle != nil {
+	if p.service.hasRoom(request.Service, now) {
+		if handle := p.service.picker.Pick(&request, now); handle != nil {
 			return handle
 		}
 	}
 	for _, backend := range matched.Backends {
-		wanted.Service = backend.Service
-		if !p.service.hasRoom(wanted.Service, now) {
+		request.Service = backend.Service
+		if !p.service.hasRoom(request.Service, now) {
 			continue
 		}
-		if handle := p.service.picker.Pick(&wanted, now); handle != nil {
+		if handle := p.service.picker.Pick(&request, now); handle != nil {
 			return handle
 		}
 	}
@@ -260,11 +260,11 @@
 	if run.routeMissingSince == 0 {
 		run.routeMissingSince = now
 	}
-	gone := now-run.routeMissingSince >= routeMissingTimeout
+	timedOut := now-run.routeMissingSince >= routeMissingTimeout
 	run.notBefore = now + time.Second
-	run.running = gone
+	run.running = timedOut
 	p.mutex.Unlock()
-	if gone {
+	if timedOut {
 		p.background.Go(func() { p.finish(key, batchpb.State_STATE_DEAD_LETTER, "", "route_gone") })
 	}
 }
--- a/internal/batch/door.go
+++ b/internal/batch/door.go
@@ -138,18 +138,18 @@
 
 // call sends request to the owner of its partition, and retries while no owner answers; all requests are idempotent. The error is an
 // *outcome.Error that is NotRun only if no try can have had an effect.
-func (d *Door) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, longest, try time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+func (d *Door) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, total, try time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
-	waits := platform.NewBackoffUpTo(maxRetryWait)
+	backoff := platform.NewBackoffUpTo(maxRetryWait)
 	mayHaveRun := false
-	bound := try
+	timeout := try
 	if method == methodSubmit {
-		bound = firstTryTimeout
+		timeout = firstTryTimeout
 	}
 	for {
-		failure := d.try(ctx, method, request, response, bound)
-		bound = try
+		failure := d.try(ctx, method, request, response, timeout)
+		timeout = try
 		if failure == nil {
 			return nil
 		}
@@ -157,7 +157,7 @@
 		if !retryable(failure) {
 			return failure
 		}
-		if !pause.Sleep(ctx, waits.Next()) || !hasTimeLeft(ctx, minTryTime) {
+		if !pause.Sleep(ctx, backoff.Next()) || !hasTimeLeft(ctx, minTryTime) {
 			result := outcome.NotRun
 			if mayHaveRun {
 				result = outcome.Indeterminate
@@ -174,8 +174,8 @@
 }
 
 // try makes a single try, through another edge if the owner recently did not answer this one.
-func (d *Door) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, longest time.Duration) *outcome.Error {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+func (d *Door) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, timeout time.Duration) *outcome.Error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	owner, failure := d.owner(ledger.PartitionID(request.GetPartition()))
 	if failure != nil {
--- a/internal/batch/door_homes.go
+++ b/internal/batch/door_homes.go
@@ -44,9 +44,9 @@
 		return false, nil
 	}
 	var others []uint32
-	for _, other := range d.partitions(submission.Host) {
-		if other != partition {
-			others = append(others, other)
+	for _, id := range d.partitions(submission.Host) {
+		if id != partition {
+			others = append(others, id)
 		}
 	}
 	if len(others) == 0 {
--- a/internal/batch/door_homes_test.go
+++ b/internal/batch/door_homes_test.go
@@ -17,27 +17,28 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// anywhere is the partition of jobs that may be anywhere, home and formerHome those of jobs that are confined; nowhere is none of the host's.
+// unconfined is the partition for jobs that are not confined, home and formerHome are partitions for confined jobs; unrelated
+// contains no jobs of the host.
 const (
-	anywhere   = ledger.PartitionID(0)
+	unconfined = ledger.PartitionID(0)
 	home       = ledger.PartitionID(1<<31 + 1)
 	formerHome = ledger.PartitionID(1<<31 + 2)
-	nowhere    = ledger.PartitionID(1)
+	unrelated  = ledger.PartitionID(1)
 )
 
-// homesUnderTest is edges whose owner has partitions with jobs; silent ones have no owner that answers.
-type homesUnderTest struct {
-	*edges
+// testHomes is testEdges whose owner has partitions with jobs. Silent partitions have no owner that answers.
+type testHomes struct {
+	*testEdges
 	mutex     sync.Mutex
 	jobs      map[ledger.PartitionID][]string
 	silent    map[ledger.PartitionID]bool
 	submitted []ledger.PartitionID
 }
 
-func newHomesUnderTest(t *testing.T) *homesUnderTest {
+func newTestHomes(t *testing.T) *testHomes {
 	t.Helper()
-	made := &homesUnderTest{jobs: map[ledger.PartitionID][]string{}, silent: map[ledger.PartitionID]bool{}}
-	made.edges = newEdgesWith(t, func(owner *memory.Transport) {
+	made := &testHomes{jobs: map[ledger.PartitionID][]string{}, silent: map[ledger.PartitionID]bool{}}
+	made.testEdges = newEdgesWith(t, func(owner *memory.Transport) {
 		transport.Handle(owner, methodSubmit, func() *batchpb.SubmitRequest { return &batchpb.SubmitRequest{} },
 			func(_ context.Context, _ netip.AddrPort, request *batchpb.SubmitRequest) (*batchpb.SubmitResponse, error) {
 				made.mutex.Lock()
@@ -62,7 +63,7 @@
 	return made
 }
 
-func (h *homesUnderTest) has(partition uint32, job string) (bool, error) {
+func (h *testHomes) has(partition uint32, job string) (bool, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.silent[ledger.PartitionID(partition)] {
@@ -83,23 +84,23 @@
 		want     []ledger.PartitionID
 		reason   outcome.Reason
 	}{
-		{name: "not confined", silent: nowhere, jobIn: nowhere, want: []ledger.PartitionID{anywhere}},
-		{name: "confined", regions: region.NewSet("north"), silent: nowhere, jobIn: nowhere, want: []ledger.PartitionID{home}},
-		{name: "no place at home", regions: region.NewSet("north"), refusal: noHome, reason: outcome.ReasonNoHome, silent: nowhere, jobIn: nowhere},
-		{name: "accepted elsewhere before homes changed", regions: region.NewSet("north"), settling: true, silent: nowhere, jobIn: formerHome},
-		{name: "accepted at home before homes were widened", settling: true, silent: nowhere, jobIn: home},
-		{name: "accepted nowhere before homes changed", regions: region.NewSet("north"), settling: true, silent: nowhere, jobIn: home, want: []ledger.PartitionID{home}},
-		{name: "a former home does not answer", regions: region.NewSet("north"), settling: true, silent: formerHome, reason: outcome.ReasonUnavailable, jobIn: nowhere},
-		{name: "a former home does not answer long after", regions: region.NewSet("north"), silent: formerHome, jobIn: nowhere, want: []ledger.PartitionID{home}},
+		{name: "not confined", silent: unrelated, jobIn: unrelated, want: []ledger.PartitionID{unconfined}},
+		{name: "confined", regions: region.NewSet("north"), silent: unrelated, jobIn: unrelated, want: []ledger.PartitionID{home}},
+		{name: "no place at home", regions: region.NewSet("north"), refusal: noHome, reason: outcome.ReasonNoHome, silent: unrelated, jobIn: unrelated},
+		{name: "accepted elsewhere before homes changed", regions: region.NewSet("north"), settling: true, silent: unrelated, jobIn: formerHome},
+		{name: "accepted at home before homes were widened", settling: true, silent: unrelated, jobIn: home},
+		{name: "accepted nowhere before homes changed", regions: region.NewSet("north"), settling: true, silent: unrelated, jobIn: home, want: []ledger.PartitionID{home}},
+		{name: "a former home does not answer", regions: region.NewSet("north"), settling: true, silent: formerHome, reason: outcome.ReasonUnavailable, jobIn: unrelated},
+		{name: "a former home does not answer long after", regions: region.NewSet("north"), silent: formerHome, jobIn: unrelated, want: []ledger.PartitionID{home}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newHomesUnderTest(t)
+				made := newTestHomes(t)
 				defer made.stop()
 				made.homes.refusal, made.homes.settling = test.refusal, test.settling
 				made.jobs[test.jobIn] = []string{"j"}
 				made.silent[test.silent] = true
-				err := made.doors[0].Submit(t.Context(), batchOf("j", 1), batchRoute, test.regions)
+				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, test.regions)
 				if reason := outcome.As(err); (err != nil) != (test.reason != "") || (err != nil && (reason.Reason != test.reason || reason.Outcome != outcome.NotRun || reason.RetryAfter == 0)) {
 					t.Errorf("submission ends with %v", err)
 				}
@@ -117,16 +118,16 @@
 		jobIn, silent ledger.PartitionID
 		found, fails  bool
 	}{
-		{"anywhere", anywhere, nowhere, true, false},
-		{"at home", home, nowhere, true, false},
-		{"at the former home", formerHome, nowhere, true, false},
+		{"anywhere", unconfined, unrelated, true, false},
+		{"at home", home, unrelated, true, false},
+		{"at the former home", formerHome, unrelated, true, false},
 		{"at home while another does not answer", home, formerHome, true, false},
-		{"nowhere", nowhere, nowhere, false, false},
-		{"perhaps where nobody answers", nowhere, home, false, true},
+		{"nowhere", unrelated, unrelated, false, false},
+		{"perhaps where nobody answers", unrelated, home, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newHomesUnderTest(t)
+				made := newTestHomes(t)
 				defer made.stop()
 				made.jobs[test.jobIn] = []string{"j"}
 				made.silent[test.silent] = true
@@ -144,20 +145,21 @@
 	}
 }
 
-// TestRelaysKeepToTheHomes: the body of a confined job goes through no edge outside, though its owner is cut off from this one.
+// TestRelaysKeepToTheHomes checks that the body of a confined job is not relayed by an edge outside its homes, even if its owner is
+// unreachable from the first edge.
 func TestRelaysKeepToTheHomes(t *testing.T) {
 	for name, outside := range map[string]bool{"edge in a home": false, "edge abroad": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newHomesUnderTest(t)
+				made := newTestHomes(t)
 				defer made.stop()
 				made.homes.outside = map[string]bool{otherZone: outside}
-				cutOff := addressOf(9001)
+				cutOff := testAddress(9001)
 				made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
 					cut := (from == cutOff && to == made.owner) || (from == made.owner && to == cutOff)
 					return memory.Conditions{Delay: time.Millisecond, Cut: cut}
 				})
-				err := made.doors[0].Submit(t.Context(), batchOf("j", 1), batchRoute, region.NewSet("north"))
+				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.NewSet("north"))
 				if (err != nil) != outside || (len(made.submitted) == 0) != outside {
 					t.Errorf("submission ends with %v, submitted to %v", err, made.submitted)
 				}
--- a/internal/batch/door_test.go
+++ b/internal/batch/door_test.go
@@ -21,19 +21,19 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// fixedLocator names one owner.
+// fixedLocator always locates the same owner.
 type fixedLocator struct{ owner netip.AddrPort }
 
 func (l fixedLocator) Partitions() int                         { return 1 }
 func (l fixedLocator) PartitionOf(string) ledger.PartitionID   { return 0 }
 func (l fixedLocator) Owner(ledger.PartitionID) (string, bool) { return l.owner.String(), true }
 
-// fixedHomes confines nothing unless it is told otherwise.
+// fixedHomes confines jobs to the partitions within; without any, it confines nothing.
 type fixedHomes struct {
 	within   []ledger.PartitionID
 	refusal  *outcome.Error
 	settling bool
-	// outside are the zones that may hold nothing of the partitions within.
+	// outside contains the zones that may hold nothing of the partitions within.
 	outside map[string]bool
 }
 
@@ -54,8 +54,8 @@
 func (v fixedView) View() *membership.View                  { return v.view }
 func (v fixedView) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// edges is two edges and an owner on one network.
-type edges struct {
+// testEdges are two edges and an owner on one network.
+type testEdges struct {
 	network *memory.Network
 	doors   []*Door
 	homes   *fixedHomes
@@ -63,12 +63,12 @@
 	stop    func()
 }
 
-func addressOf(port uint16) netip.AddrPort {
+func testAddress(port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)
 }
 
 // newEdges starts an owner that answers submissions with answer.
-func newEdges(t *testing.T, answer func() (*batchpb.SubmitResponse, error)) *edges {
+func newEdges(t *testing.T, answer func() (*batchpb.SubmitResponse, error)) *testEdges {
 	t.Helper()
 	return newEdgesWith(t, func(owner *memory.Transport) {
 		transport.Handle(owner, methodSubmit, func() *batchpb.SubmitRequest { return &batchpb.SubmitRequest{} },
@@ -81,10 +81,10 @@
 // otherZone is the zone of the second edge.
 const otherZone = "other"
 
-// newEdgesWith starts an owner with the given methods.
-func newEdgesWith(t *testing.T, register func(owner *memory.Transport)) *edges {
+// newEdgesWith starts an owner with the methods that register adds.
+func newEdgesWith(t *testing.T, register func(owner *memory.Transport)) *testEdges {
 	t.Helper()
-	made := &edges{homes: &fixedHomes{}, network: memory.NewNetwork(1), owner: addressOf(9000)}
+	made := &testEdges{homes: &fixedHomes{}, network: memory.NewNetwork(1), owner: testAddress(9000)}
 	made.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: time.Millisecond}
 	})
@@ -98,18 +98,18 @@
 		return started
 	}
 	register(start(made.owner))
-	members := []membership.Member{{ID: "e1", PeerAddress: addressOf(9001)}, {ID: "e2", PeerAddress: addressOf(9002), Zone: otherZone}, {ID: "s", PeerAddress: made.owner, Store: true}}
+	members := []membership.Member{{ID: "e1", PeerAddress: testAddress(9001)}, {ID: "e2", PeerAddress: testAddress(9002), Zone: otherZone}, {ID: "s", PeerAddress: made.owner, Store: true}}
 	for _, self := range members[:2] {
 		edge := start(self.PeerAddress)
 		view := fixedView{&membership.View{Self: self.ID, Members: members}}
 		made.doors = append(made.doors, NewDoor(fixedLocator{made.owner}, made.homes, edge, edge, view, zerolog.Nop()))
 	}
-	for _, started := range transports {
-		started.Start()
+	for _, endpoint := range transports {
+		endpoint.Start()
 	}
 	made.stop = func() {
-		for _, started := range transports {
-			started.Stop()
+		for _, endpoint := range transports {
+			endpoint.Stop()
 		}
 	}
 	return made
@@ -139,7 +139,7 @@
 				made := newEdges(t, test.answer)
 				defer made.stop()
 				began := time.Now()
-				err := made.doors[0].Submit(t.Context(), batchOf("j", 1), batchRoute, region.Set{})
+				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.Set{})
 				if outcome.Of(err) != test.want || (err != nil && outcome.As(err).Reason != test.reason) {
 					t.Errorf("submission ends with %v", err)
 				}
@@ -151,21 +151,21 @@
 	}
 }
 
-// TestOwnerOutOfReachIsAskedThroughAnotherEdge: an edge that is cut off from the owner gets its jobs accepted.
+// TestOwnerOutOfReachIsAskedThroughAnotherEdge checks that an edge that is cut off from the owner still gets its jobs accepted.
 func TestOwnerOutOfReachIsAskedThroughAnotherEdge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		made := newEdges(t, func() (*batchpb.SubmitResponse, error) { return &batchpb.SubmitResponse{Accepted: true}, nil })
 		defer made.stop()
-		cutOff := addressOf(9001)
+		cutOff := testAddress(9001)
 		made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
 			cut := (from == cutOff && to == made.owner) || (from == made.owner && to == cutOff)
 			return memory.Conditions{Delay: time.Millisecond, Cut: cut}
 		})
-		if err := made.doors[0].Submit(t.Context(), batchOf("j1", 1), batchRoute, region.Set{}); err != nil {
+		if err := made.doors[0].Submit(t.Context(), testSubmission("j1", 1), batchRoute, region.Set{}); err != nil {
 			t.Errorf("first submission: %v", err)
 		}
 		began := time.Now()
-		if err := made.doors[0].Submit(t.Context(), batchOf("j2", 1), batchRoute, region.Set{}); err != nil || time.Since(began) > 100*time.Millisecond {
+		if err := made.doors[0].Submit(t.Context(), testSubmission("j2", 1), batchRoute, region.Set{}); err != nil || time.Since(began) > 100*time.Millisecond {
 			t.Errorf("second submission: %v after %s", err, time.Since(began))
 		}
 	})
--- a/internal/batch/evacuation_test.go
+++ b/internal/batch/evacuation_test.go
@@ -17,25 +17,26 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// spread puts the replica "b" into another zone than "a".
-func spread(directory *replica.Directory) {
+// moveToOtherZone moves the replica "b" to a zone other than that of "a".
+func moveToOtherZone(directory *replica.Directory) {
 	other := *directory.View().Find("b").Info()
 	other.Zone = "other"
 	directory.Update([]replica.Info{other}, nil)
 }
 
-// TestItemsGiveWayToCallersWhenAZoneIsEvacuated: by the same numbers of requests, as soon as the zone is evacuated, items are begun no more
-// and are cut off, until the callers' requests have the room that is left. Requests that end in the evacuated zone take none of it.
+// TestItemsGiveWayToCallersWhenAZoneIsEvacuated checks that, with the same numbers of requests, items are no longer started and are
+// cut off as soon as a zone is evacuated, until the callers' requests have the remaining room. Requests that finish in the evacuated
+// zone take none of it.
 func TestItemsGiveWayToCallersWhenAZoneIsEvacuated(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		zones  map[string]bool
 		online int
-		// inZone are the callers' requests in zone "other", own the items of this node outside of it.
+		// inZone counts the callers' requests in zone "other", own the items of this node outside that zone.
 		inZone, own int
-		begins      bool
-		// cut is the number of items that are to be cut off.
-		cut int
+		startsMore  bool
+		// preempted is the expected number of items to cut off.
+		preempted int
 	}{
 		{"both zones, some room", nil, 2, 0, 2, true, 0},
 		{"a zone is evacuated, callers leave room for an item", map[string]bool{"other": true}, 2, 0, 2, false, 1},
@@ -45,7 +46,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			service, fleet, _, _ := newService(map[string]replicatest.Script{"a": replicatest.Refuse(), "b": replicatest.Refuse()})
-			spread(service.directory)
+			moveToOtherZone(service.directory)
 			now := time.Now()
 			fleet.set(loadshare.Demand{InUse: test.online}, 0)
 			view := service.directory.View()
@@ -55,20 +56,20 @@
 			}
 			service.directory.SetEvacuated(test.zones)
 			begin, keep, running := service.itemLimits("s", now)
-			if begins := begin > running; begins != test.begins {
+			if begins := begin > running; begins != test.startsMore {
 				t.Errorf("%d may begin, %d run", begin, running)
 			}
-			if cut := max(0, running-keep); cut != test.cut {
-				t.Errorf("%d of %d are cut off, want %d", cut, running, test.cut)
+			if cut := max(0, running-keep); cut != test.preempted {
+				t.Errorf("%d of %d are cut off, want %d", cut, running, test.preempted)
 			}
 		})
 	}
 }
 
-// TestItemsInTheEvacuatedZoneAreNotCutOff: they end by themselves, and to cut them off would make no room elsewhere.
+// TestItemsInTheEvacuatedZoneAreNotCutOff: these items end without it, and cutting them off would free no room elsewhere.
 func TestItemsInTheEvacuatedZoneAreNotCutOff(t *testing.T) {
 	service, _, _, _ := newService(map[string]replicatest.Script{"a": replicatest.Refuse(), "b": replicatest.Refuse()})
-	spread(service.directory)
+	moveToOtherZone(service.directory)
 	view := service.directory.View()
 	owner := newPartition(0, service)
 	for number, id := range []string{"a", "b"} {
@@ -87,16 +88,17 @@
 	}
 }
 
-// TestNoFurtherLeaseInAnEvacuatedZone: an item that runs goes on to the end of its lease there, and behind it elsewhere; its text is whole.
+// TestNoFurtherLeaseInAnEvacuatedZone checks that a running item continues to the end of its lease in the evacuated zone and resumes
+// elsewhere after that, with its whole text.
 func TestNoFurtherLeaseInAnEvacuatedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const events, evacuatedAt = 60, 500 * time.Millisecond
 		var mutex sync.Mutex
-		begun := map[string][]time.Time{}
-		begunAt := func(id string) []time.Time {
+		startTimes := map[string][]time.Time{}
+		startsAt := func(id string) []time.Time {
 			mutex.Lock()
 			defer mutex.Unlock()
-			return slices.Clone(begun[id])
+			return slices.Clone(startTimes[id])
 		}
 		counted := func(id string) replicatest.Script {
 			slow := slowReplica(events, 100*time.Millisecond)
@@ -105,18 +107,18 @@
 					return replicatest.Refuse()(connection, request)
 				}
 				mutex.Lock()
-				begun[id] = append(begun[id], time.Now())
+				startTimes[id] = append(startTimes[id], time.Now())
 				mutex.Unlock()
 				return slow(connection, request)
 			}
 		}
-		owner := own(t, map[string]replicatest.Script{"a": counted("a"), "b": counted("b")})
-		defer owner.end()
-		spread(owner.service.directory)
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, map[string]replicatest.Script{"a": counted("a"), "b": counted("b")})
+		defer owner.stop()
+		moveToOtherZone(owner.service.directory)
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(evacuatedAt)
 		first, second := "a", "b"
-		if len(begunAt("a")) == 0 {
+		if len(startsAt("a")) == 0 {
 			first, second = "b", "a"
 		}
 		evacuated := time.Now()
@@ -125,14 +127,14 @@
 		if result.State != batchpb.State_STATE_SUCCEEDED || len(result.Text) != len(numberedText(events)) {
 			t.Errorf("the item is %v with %d bytes", result.State, len(result.Text))
 		}
-		inZone, elsewhere := begunAt(first), begunAt(second)
+		inZone, elsewhere := startsAt(first), startsAt(second)
 		if slices.ContainsFunc(inZone, func(at time.Time) bool { return at.After(evacuated) }) || len(elsewhere) == 0 {
 			t.Errorf("begun in the evacuated zone at %v, elsewhere at %v; evacuated at %s", inZone, elsewhere, evacuated)
 		}
 	})
 }
 
-// numberedText is what slowReplica makes in all.
+// numberedText returns all the text that slowReplica sends.
 func numberedText(events int) string {
 	var text []byte
 	for number := 1; number <= events; number++ {
@@ -141,11 +143,11 @@
 	return string(text[:len(text)-1])
 }
 
-// TestReplicasOfAnEvacuatedZoneAreNotAsked: also questions for their load are kept from them.
+// TestReplicasOfAnEvacuatedZoneAreNotAsked checks that these replicas are not even asked for their load.
 func TestReplicasOfAnEvacuatedZoneAreNotAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service, _, network, _ := newService(map[string]replicatest.Script{"a": replicatest.Refuse(), "b": replicatest.Refuse()})
-		spread(service.directory)
+		moveToOtherZone(service.directory)
 		service.directory.SetEvacuated(map[string]bool{"other": true})
 		owner := newPartition(0, service)
 		owner.ctx = t.Context()
--- a/internal/batch/fake_test.go
+++ b/internal/batch/fake_test.go
@@ -27,11 +27,11 @@
 type fakeOwned struct {
 	mutex   sync.Mutex
 	records []ledger.Record
-	// stuck keeps appends from being decided; refusal is what they fail with.
-	stuck   bool
+	// blocked keeps appends from being decided; refusal is the error of appends, if set.
+	blocked bool
 	refusal *outcome.Error
 	lost    chan struct{}
-	// full says that only the reserve is left.
+	// full makes HasRoom report that only the stores' reserve is left.
 	full bool
 }
 
@@ -51,7 +51,7 @@
 	time.Sleep(time.Millisecond)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for o.stuck && ctx.Err() == nil {
+	for o.blocked && ctx.Err() == nil {
 		o.mutex.Unlock()
 		time.Sleep(10 * time.Millisecond)
 		o.mutex.Lock()
@@ -75,15 +75,15 @@
 func (o *fakeOwned) set(stuck bool, refusal *outcome.Error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.stuck, o.refusal = stuck, refusal
+	o.blocked, o.refusal = stuck, refusal
 }
 
 type noRegistrar struct{}
 
 func (noRegistrar) Handle(transport.Method, func() proto.Message, transport.Handler) {}
 
-// ownerUnderTest is a service that owns one partition before scripted replicas.
-type ownerUnderTest struct {
+// testOwner is a service that owns one partition and has scripted replicas.
+type testOwner struct {
 	*partition
 	service  *Service
 	fleet    *fakeFleet
@@ -94,7 +94,7 @@
 
 const (
 	testHost = "h.example"
-	// testAttempts are the attempts of the route of testTable.
+	// testAttempts is the number of attempts that the route of testTable allows.
 	testAttempts = 3
 )
 
@@ -109,7 +109,7 @@
 }
 
 func newService(scripts map[string]replicatest.Script) (*Service, *fakeFleet, *replicatest.Network, *route.Holder) {
-	// The fleet has been heard for long.
+	// The zero time of ReportingSince lies long ago, so the start of items is not ramped up.
 	fleet := &fakeFleet{}
 	network := &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}}
 	directory := replica.NewDirectory()
@@ -133,25 +133,25 @@
 	return service, fleet, network, routes
 }
 
-// own starts a partition whose log already holds records.
-func own(t *testing.T, scripts map[string]replicatest.Script, records ...ledger.Record) *ownerUnderTest {
+// startOwner starts a partition whose log already contains records.
+func startOwner(t *testing.T, scripts map[string]replicatest.Script, records ...ledger.Record) *testOwner {
 	t.Helper()
-	return ownWith(t, nil, scripts, records...)
+	return startOwnerWithRegister(t, nil, scripts, records...)
 }
 
-// ownWith does so with a register of messages that crash replicas.
-func ownWith(t *testing.T, register quarantine.ItemRegister, scripts map[string]replicatest.Script, records ...ledger.Record) *ownerUnderTest {
+// startOwnerWithRegister is startOwner with a register of messages that crash replicas.
+func startOwnerWithRegister(t *testing.T, register quarantine.ItemRegister, scripts map[string]replicatest.Script, records ...ledger.Record) *testOwner {
 	t.Helper()
 	service, fleet, network, routes := newService(scripts)
 	service.options.Quarantine = register
-	if counting, is := register.(*countingRegister); is {
+	if counting, isCounting := register.(*countingRegister); isCounting {
 		counting.directory = service.directory
 	}
-	return ownOf(t, anywhere, service, fleet, network, routes, records...)
+	return startPartition(t, unconfined, service, fleet, network, routes, records...)
 }
 
-// ownOf is own of a partition of a service that is there.
-func ownOf(t *testing.T, id ledger.PartitionID, service *Service, fleet *fakeFleet, network *replicatest.Network, routes *route.Holder, records ...ledger.Record) *ownerUnderTest {
+// startPartition is startOwner for a partition of an existing service.
+func startPartition(t *testing.T, id ledger.PartitionID, service *Service, fleet *fakeFleet, network *replicatest.Network, routes *route.Holder, records ...ledger.Record) *testOwner {
 	t.Helper()
 	owner := newPartition(id, service)
 	owned := &fakeOwned{lost: make(chan struct{}), records: records}
@@ -164,16 +164,16 @@
 		}
 	}
 	owner.Serve(owned)
-	return &ownerUnderTest{partition: owner, service: service, fleet: fleet, owned: owned, replicas: network, routes: routes}
+	return &testOwner{partition: owner, service: service, fleet: fleet, owned: owned, replicas: network, routes: routes}
 }
 
-func (o *ownerUnderTest) end() {
+func (o *testOwner) stop() {
 	o.Stop()
 	o.replicas.CloseAll()
 	synctest.Wait()
 }
 
-func (o *ownerUnderTest) mustSubmit(t *testing.T, submission *batchpb.Submission) {
+func (o *testOwner) mustSubmit(t *testing.T, submission *batchpb.Submission) {
 	t.Helper()
 	response, err := o.submit(t.Context(), &batchpb.SubmitRequest{Submission: submission})
 	if err != nil || !response.Accepted {
@@ -181,8 +181,8 @@
 	}
 }
 
-// results waits until the job has count results or the time is over.
-func (o *ownerUnderTest) results(t *testing.T, jobID string, count int, within time.Duration) []*batchpb.ListedResult {
+// results waits until the job has count results, and fails if it has fewer after the time within.
+func (o *testOwner) results(t *testing.T, jobID string, count int, within time.Duration) []*batchpb.ListedResult {
 	t.Helper()
 	deadline := time.Now().Add(within)
 	for {
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -31,10 +31,10 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// secret stands in the bodies and in the results of confined jobs, and nowhere else.
+// secret is contained in the bodies and the results of confined jobs, and in nothing else.
 const secret = "for home alone"
 
-// clusterNode is a storage node or an edge with its parts as they are linked in a process.
+// clusterNode is a storage node or an edge with its components as a process connects them.
 type clusterNode struct {
 	id        membership.NodeID
 	region    string
@@ -47,7 +47,7 @@
 	running   bool
 }
 
-// regionsCluster is storage nodes, edges and replicas in three regions.
+// regionsCluster consists of storage nodes, edges and replicas in three regions.
 type regionsCluster struct {
 	t        *testing.T
 	network  *memory.Network
@@ -59,9 +59,10 @@
 
 	mutex sync.Mutex
 	view  membership.View
-	// seen are the regions of the nodes that got the secret, by method, other than the one to which the client is connected.
-	seen map[transport.Method]map[string]bool
-	// connected is the edge of the present client.
+	// secretRegions contains, by method, the regions of the nodes that received the secret, without the node to which the client is
+	// connected.
+	secretRegions map[transport.Method]map[string]bool
+	// connected is the edge of the current client.
 	connected netip.AddrPort
 }
 
@@ -73,7 +74,7 @@
 	t.Helper()
 	c := &regionsCluster{
 		t: t, network: memory.NewNetwork(1), replicas: &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}},
-		keyValue: platformtest.NewKeyValue(), routes: route.NewHolder(), seen: map[transport.Method]map[string]bool{},
+		keyValue: platformtest.NewKeyValue(), routes: route.NewHolder(), secretRegions: map[transport.Method]map[string]bool{},
 	}
 	c.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: time.Millisecond}
@@ -82,12 +83,12 @@
 	table.Routes[0].Regions = homes
 	c.routes.Offer(table)
 	for index, name := range clusterRegions {
-		address := addressOf(uint16(1000 + index))
+		address := testAddress(uint16(1000 + index))
 		c.replicas.Scripts[address] = replicatest.Stream("s", true, false, "id: 1\ndata: "+secret+"\n\n")
 		c.infos = append(c.infos, replica.Info{ID: "replica-" + name, Service: "s", Zone: "zone-" + name, Address: address, Slots: 8})
 		for number := range storesInRegion + 1 {
 			node := &clusterNode{
-				id: membership.NodeID(fmt.Sprintf("%s-%d", name, number)), region: name, address: addressOf(uint16(9000 + 10*index + number)),
+				id: membership.NodeID(fmt.Sprintf("%s-%d", name, number)), region: name, address: testAddress(uint16(9000 + 10*index + number)),
 			}
 			if number < storesInRegion {
 				node.disk = vfs.NewMem()
@@ -102,12 +103,12 @@
 }
 
 func (c *regionsCluster) settings(node *clusterNode) settings.Settings {
-	own := settings.Settings{Node: string(node.id), Zone: "zone-" + node.region, Region: node.region}
+	result := settings.Settings{Node: string(node.id), Zone: "zone-" + node.region, Region: node.region}
 	for _, name := range clusterRegions {
-		own.Zones = append(own.Zones, settings.Zone{Name: "zone-" + name, Region: name})
+		result.Zones = append(result.Zones, settings.Zone{Name: "zone-" + name, Region: name})
 	}
-	own.Ledger = settings.Ledger{Partitions: 2, Replicas: 3, WriteQuorum: 2, OwnersOnStores: true, MembersDecide: true}
-	return own
+	result.Ledger = settings.Ledger{Partitions: 2, Replicas: 3, WriteQuorum: 2, OwnersOnStores: true, MembersDecide: true}
+	return result
 }
 
 func (c *regionsCluster) start(node *clusterNode) {
@@ -125,25 +126,25 @@
 		}
 		incarnation = string(node.store.ID())
 	}
-	own := c.settings(node)
+	nodeSettings := c.settings(node)
 	c.setMember(membership.Member{
-		ID: node.id, Zone: own.Zone, Region: own.Region, PeerAddress: node.address, Store: node.disk != nil, StoreIncarnation: incarnation,
+		ID: node.id, Zone: nodeSettings.Zone, Region: nodeSettings.Region, PeerAddress: node.address, Store: node.disk != nil, StoreIncarnation: incarnation,
 	})
-	caller := watchingCaller{Caller: node.transport, from: node.address, cluster: c}
+	caller := recordingCaller{Caller: node.transport, from: node.address, cluster: c}
 	directory := replica.NewDirectory()
 	directory.Replace(c.infos)
-	picker := balance.NewPicker(directory, own.Topology(), func() float64 { return 0 })
-	options := Options{Zone: own.Zone, MaxBytes: 1 << 20, KeepResults: time.Hour, Report: replica.LoadReport{
+	picker := balance.NewPicker(directory, nodeSettings.Topology(), func() float64 { return 0 })
+	options := Options{Zone: nodeSettings.Zone, MaxBytes: 1 << 20, KeepResults: time.Hour, Report: replica.LoadReport{
 		Path: "/load", Parse: func([]byte) (replica.Load, error) { return replica.Load{}, nil },
 	}}
 	service := NewService(options, c.routes, directory, &fakeFleet{}, picker, replica.NewClient(c.replicas, replicatest.Headers), node.transport, zerolog.Nop())
 	timing := ledger.DefaultTiming()
 	timing.Replace, timing.Formation, timing.Silence, timing.Request = 2*time.Second, time.Second, 800*time.Millisecond, time.Second
 	node.manager = ledger.NewManager(ledger.Dependencies{
-		Settings: own, Timing: timing, Logger: zerolog.Nop(), Local: node.store, Caller: caller, Registry: node.transport,
-		KeyValue: c.keyValue, Viewer: viewOf{c, node.id}, Factory: service.Factory(),
+		Settings: nodeSettings, Timing: timing, Logger: zerolog.Nop(), Local: node.store, Caller: caller, Registry: node.transport,
+		KeyValue: c.keyValue, Viewer: clusterView{c, node.id}, Factory: service.Factory(),
 	})
-	node.door = NewDoor(node.manager, node.manager, caller, node.transport, viewOf{c, node.id}, zerolog.Nop())
+	node.door = NewDoor(node.manager, node.manager, caller, node.transport, clusterView{c, node.id}, zerolog.Nop())
 	node.transport.Start()
 	node.manager.Start()
 	var confined []ledger.Confined
@@ -183,7 +184,7 @@
 	c.view.Members = append(c.view.Members, member)
 }
 
-// edge returns the edge of a region, which is that of the present client from then on.
+// edge returns the edge of a region and makes it that of the current client.
 func (c *regionsCluster) edge(name string) *Door {
 	for _, node := range c.nodes {
 		if node.region == name && node.disk == nil {
@@ -196,8 +197,8 @@
 	return nil
 }
 
-// note notes where a message with the secret goes.
-func (c *regionsCluster) note(method transport.Method, to netip.AddrPort, message proto.Message) {
+// recordSecret records the region of the receiver if a message contains the secret.
+func (c *regionsCluster) recordSecret(method transport.Method, to netip.AddrPort, message proto.Message) {
 	encoded, err := proto.Marshal(message)
 	if err != nil || !bytes.Contains(encoded, []byte(secret)) {
 		return
@@ -207,25 +208,26 @@
 	if to == c.connected {
 		return
 	}
-	if c.seen[method] == nil {
-		c.seen[method] = map[string]bool{}
+	if c.secretRegions[method] == nil {
+		c.secretRegions[method] = map[string]bool{}
 	}
 	for _, node := range c.nodes {
 		if node.address == to {
-			c.seen[method][node.region] = true
+			c.secretRegions[method][node.region] = true
 		}
 	}
 }
 
-// sawOnly fails where the secret came to a region other than the given ones; a check that saw it nowhere proves nothing.
-func (c *regionsCluster) sawOnly(allowed ...string) {
+// checkSecretOnlyIn fails if the secret reached a region other than the given ones. It also fails if the secret was hardly seen at
+// all, since the check would prove nothing then.
+func (c *regionsCluster) checkSecretOnlyIn(allowed ...string) {
 	c.t.Helper()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.seen[methodSubmit]) == 0 || len(c.seen) < 2 {
-		c.t.Fatalf("the secret was seen in %v alone", c.seen)
+	if len(c.secretRegions[methodSubmit]) == 0 || len(c.secretRegions) < 2 {
+		c.t.Fatalf("the secret was recorded only in %v", c.secretRegions)
 	}
-	for method, regions := range c.seen {
+	for method, regions := range c.secretRegions {
 		for name := range regions {
 			if !slices.Contains(allowed, name) {
 				c.t.Errorf("%s brought the secret to %s", method, name)
@@ -233,17 +235,17 @@
 		}
 	}
 	for _, request := range c.replicas.Requests() {
-		if at := request.Header.Get(replicatest.Headers.ExpectInstance); at != "" && !slices.Contains(allowed, strings.TrimPrefix(at, "replica-")) {
-			c.t.Errorf("an item came to %s", at)
+		if replicaID := request.Header.Get(replicatest.Headers.ExpectInstance); replicaID != "" && !slices.Contains(allowed, strings.TrimPrefix(replicaID, "replica-")) {
+			c.t.Errorf("an item came to %s", replicaID)
 		}
 	}
 }
 
-// submit has the job accepted, however often that takes.
+// submit retries until the job is accepted.
 func (c *regionsCluster) submit(door *Door, job string, regions region.Set) {
 	c.t.Helper()
 	c.eventually("accepted "+job, func() error {
-		submission := batchOf(job, 2)
+		submission := testSubmission(job, 2)
 		for _, item := range submission.Items {
 			item.Body = []byte(secret)
 		}
@@ -251,8 +253,8 @@
 	})
 }
 
-// done waits until the door lists all results of the job.
-func (c *regionsCluster) done(door *Door, job string) {
+// awaitResults waits until the door lists all results of the job.
+func (c *regionsCluster) awaitResults(door *Door, job string) {
 	c.t.Helper()
 	c.eventually("results of "+job, func() error {
 		response, err := door.Read(c.t.Context(), Caller{Host: testHost}, job, 0, time.Second)
@@ -275,43 +277,43 @@
 	c.t.Fatalf("not in time: %s: %v", what, err)
 }
 
-// watchingCaller notes what calls carry.
-type watchingCaller struct {
+// recordingCaller records which nodes receive the secret in requests and responses.
+type recordingCaller struct {
 	transport.Caller
 	from    netip.AddrPort
 	cluster *regionsCluster
 }
 
-func (w watchingCaller) Call(ctx context.Context, to netip.AddrPort, method transport.Method, request, response proto.Message) error {
-	w.cluster.note(method, to, request)
+func (w recordingCaller) Call(ctx context.Context, to netip.AddrPort, method transport.Method, request, response proto.Message) error {
+	w.cluster.recordSecret(method, to, request)
 	err := w.Caller.Call(ctx, to, method, request, response)
-	w.cluster.note(method, w.from, response)
+	w.cluster.recordSecret(method, w.from, response)
 	return err
 }
 
-type viewOf struct {
+type clusterView struct {
 	cluster *regionsCluster
 	self    membership.NodeID
 }
 
-func (v viewOf) View() *membership.View {
+func (v clusterView) View() *membership.View {
 	v.cluster.mutex.Lock()
 	defer v.cluster.mutex.Unlock()
 	return &membership.View{Self: v.self, Members: v.cluster.view.Members}
 }
 
-func (v viewOf) Subscribe(func(*membership.View)) func() { return func() {} }
+func (v clusterView) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// TestConfinedJobFromSubmissionToResult: a job of north that comes to south is kept and run in north alone, and read in west; a lost disk,
-// a lost owner and a cut between the edge and its owner change nothing about it.
+// TestConfinedJobFromSubmissionToResult checks that a job confined to north that is submitted in south is stored and run in north
+// only and can be read in west. A lost disk, a lost owner and a cut between the edge and its owner do not change that.
 func TestConfinedJobFromSubmissionToResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		north := region.NewSet("north")
 		c := newRegionsCluster(t, north)
 		defer c.stopAll()
 		c.submit(c.edge("south"), "first", north)
-		c.done(c.edge("south"), "first")
-		c.done(c.edge("west"), "first")
+		c.awaitResults(c.edge("south"), "first")
+		c.awaitResults(c.edge("west"), "first")
 		for _, lost := range c.nodes[:2] {
 			c.stop(lost)
 			lost.disk = vfs.NewMem()
@@ -319,13 +321,13 @@
 			time.Sleep(10 * time.Second)
 			job := "after-" + string(lost.id)
 			c.submit(c.edge("south"), job, north)
-			c.done(c.edge("west"), job)
+			c.awaitResults(c.edge("west"), job)
 		}
 		c.cutFromStores(c.edge("south"))
 		c.submit(c.edge("south"), "relayed", north)
-		c.done(c.edge("west"), "relayed")
-		c.done(c.edge("west"), "first")
-		c.sawOnly("north")
+		c.awaitResults(c.edge("west"), "relayed")
+		c.awaitResults(c.edge("west"), "first")
+		c.checkSecretOnlyIn("north")
 	})
 }
 
@@ -345,29 +347,31 @@
 	})
 }
 
-// TestJobThatIsNotConfinedGoesAnywhere is what the test above would see without homes.
+// TestJobThatIsNotConfinedGoesAnywhere checks that TestConfinedJobFromSubmissionToResult would see the secret elsewhere if there
+// were no homes.
 func TestJobThatIsNotConfinedGoesAnywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionsCluster(t, region.Set{})
 		defer c.stopAll()
 		c.submit(c.edge("south"), "first", region.Set{})
-		c.done(c.edge("west"), "first")
+		c.awaitResults(c.edge("west"), "first")
 		time.Sleep(10 * time.Second)
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		reached := map[string]bool{}
-		for _, regions := range c.seen {
+		for _, regions := range c.secretRegions {
 			for name := range regions {
 				reached[name] = true
 			}
 		}
 		if len(reached) != len(clusterRegions) {
-			t.Errorf("the secret came to %v alone", reached)
+			t.Errorf("the secret reached only %v", reached)
 		}
 	})
 }
 
-// TestConfinedJobIsRejectedWhileItsHomesAreLost: nobody else takes it, and it is accepted once they are back.
+// TestConfinedJobIsRejectedWhileItsHomesAreLost checks that no other region accepts the job, and that it is accepted once its homes
+// are back.
 func TestConfinedJobIsRejectedWhileItsHomesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		north := region.NewSet("north")
@@ -380,7 +384,7 @@
 			}
 		}
 		time.Sleep(10 * time.Second)
-		if err := c.edge("south").Submit(t.Context(), batchOf("meanwhile", 1), c.routes.Table().Routes[0], north); err == nil {
+		if err := c.edge("south").Submit(t.Context(), testSubmission("meanwhile", 1), c.routes.Table().Routes[0], north); err == nil {
 			t.Error("accepted without its homes")
 		}
 		if response, err := c.edge("south").Read(t.Context(), Caller{Host: testHost}, "before", 0, 0); err == nil {
@@ -392,8 +396,8 @@
 			}
 		}
 		c.submit(c.edge("south"), "after", north)
-		c.done(c.edge("west"), "before")
-		c.done(c.edge("west"), "after")
-		c.sawOnly("north")
+		c.awaitResults(c.edge("west"), "before")
+		c.awaitResults(c.edge("west"), "after")
+		c.checkSecretOnlyIn("north")
 	})
 }
--- a/internal/batch/item_attempt.go
+++ b/internal/batch/item_attempt.go
@@ -111,10 +111,10 @@
 	defer cancel(nil)
 	a.leaseLength = a.partition.nextLease(a)
 	a.leaseStartedAt = clock.Now()
-	over := time.AfterFunc(a.leaseLength-leaseMargin, func() { cancel(errLeaseExpired) })
-	defer over.Stop()
-	silence := time.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
-	defer silence.Stop()
+	leaseTimer := time.AfterFunc(a.leaseLength-leaseMargin, func() { cancel(errLeaseExpired) })
+	defer leaseTimer.Stop()
+	silenceTimer := time.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
 	client := a.partition.service.client
 	answer, err := client.Do(ctx, a.handle, a.newCall(client.Headers()))
 	if err != nil {
@@ -131,7 +131,7 @@
 		answer.Close(errors.Is(err, io.EOF))
 		return a.classifyAnswer(answer, client.Headers())
 	}
-	verdict := a.readStream(ctx, answer, silence)
+	verdict := a.readStream(ctx, answer, silenceTimer)
 	answer.Close(verdict == itemDone)
 	return verdict
 }
@@ -266,11 +266,11 @@
 func (p *partition) logNotDone(attempt *itemAttempt, verdict itemVerdict) {
 	p.mutex.Lock()
 	run := p.ensureRun(attempt.key)
-	begins, failures := run.attempts, run.failures
+	attempts, failures := run.attempts, run.failures
 	p.mutex.Unlock()
 	p.logger.Info().Str(logging.FieldRequest, attempt.item.Id).Str(logging.FieldJob, attempt.key.job).
 		Str(logging.FieldReplica, attempt.handle.Info().ID).Stringer("verdict", verdict).Int("status", attempt.status).
-		Int("begins", begins).Int("failures_before", failures).Bool("owned", p.ctx.Err() == nil).
+		Int("begins", attempts).Int("failures_before", failures).Bool("owned", p.ctx.Err() == nil).
 		Str("last_event", attempt.lastEvent).Err(attempt.err).Msg("item_not_done")
 }
 
--- a/internal/batch/item_chance_test.go
+++ b/internal/batch/item_chance_test.go
@@ -29,32 +29,33 @@
 )
 
 const (
-	// paceOfEvents is the time between two events of an item's stream, eventsOfStream their number.
-	paceOfEvents   = 5 * time.Millisecond
-	eventsOfStream = 300
-	// endsAtOnce and endsAtEvent are streams that end their replica before the first event, and behind the one of that number.
-	endsAtOnce  = 0
-	endsAtEvent = 40
+	// eventInterval is the time between two events of an item's stream, streamEvents the number of events.
+	eventInterval = 5 * time.Millisecond
+	streamEvents  = 300
+	// Values of fatalEvent: replicas end before the first event, or after the event of that number.
+	fatalBeforeFirstEvent = 0
+	fatalMidStream        = 40
 )
 
-// mortalReplicas are replicas in memory whose processes end: their connections break and new ones are refused.
-type mortalReplicas struct {
+// crashingReplicas are replicas in memory whose processes may end: their connections break and new ones are refused.
+type crashingReplicas struct {
 	*replicatest.Network
 	mutex sync.Mutex
 	ended map[netip.AddrPort]chan struct{}
 	runs  int
-	// endAfter are the times from the begin of each run after which its replica ends; later runs end nothing.
+	// endAfter contains, for each run in order, the time from its start to the end of its replica; later runs end no replica.
 	endAfter []time.Duration
-	// fatalEvent has every run end its replica behind the event of that number; negative for none.
+	// fatalEvent makes every run end its replica after the event of that number; negative for none.
 	fatalEvent int
-	// pace is the time between two events.
-	pace time.Duration
-	// closes has replicas close each connection after its answer: one in memory does not show that its other end is gone.
-	closes bool
+	// interval is the time between two events.
+	interval time.Duration
+	// closeConnections makes replicas close each connection after the answer, since a connection in memory does not show that its
+	// other end is gone.
+	closeConnections bool
 }
 
-func newMortalReplicas(count int) *mortalReplicas {
-	made := &mortalReplicas{Network: &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}}, ended: map[netip.AddrPort]chan struct{}{}, fatalEvent: -1, pace: paceOfEvents}
+func newCrashingReplicas(count int) *crashingReplicas {
+	made := &crashingReplicas{Network: &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}}, ended: map[netip.AddrPort]chan struct{}{}, fatalEvent: -1, interval: eventInterval}
 	for number := range count {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+number))
 		made.ended[address] = make(chan struct{})
@@ -65,7 +66,7 @@
 	return made
 }
 
-func (m *mortalReplicas) infos() []replica.Info {
+func (m *crashingReplicas) infos() []replica.Info {
 	var infos []replica.Info
 	for address := range m.Scripts {
 		infos = append(infos, replica.Info{ID: address.String(), Service: "s", Zone: "z", Address: address, Slots: 4})
@@ -74,7 +75,7 @@
 }
 
 // Dial refuses connections to a replica that has ended.
-func (m *mortalReplicas) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
+func (m *crashingReplicas) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	select {
 	case <-m.ended[address]:
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
@@ -83,7 +84,7 @@
 	}
 }
 
-func (m *mortalReplicas) end(address netip.AddrPort) {
+func (m *crashingReplicas) end(address netip.AddrPort) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	select {
@@ -93,8 +94,8 @@
 	}
 }
 
-// lives says that the replica at that address has not ended.
-func (m *mortalReplicas) lives(address netip.AddrPort) bool {
+// alive reports whether the replica at address has not ended.
+func (m *crashingReplicas) alive(address netip.AddrPort) bool {
 	select {
 	case <-m.ended[address]:
 		return false
@@ -104,24 +105,24 @@
 }
 
 // endedCount returns how many replicas have ended.
-func (m *mortalReplicas) endedCount() int {
+func (m *crashingReplicas) endedCount() int {
 	count := 0
 	for address := range m.ended {
-		if !m.lives(address) {
+		if !m.alive(address) {
 			count++
 		}
 	}
 	return count
 }
 
-// answer streams the events behind the last one that the request names, until the replica ends.
-func (m *mortalReplicas) answer(address netip.AddrPort, connection net.Conn, request *http.Request) bool {
+// answer streams the events after the last one that the request names, until the replica ends.
+func (m *crashingReplicas) answer(address netip.AddrPort, connection net.Conn, request *http.Request) bool {
 	closing := ""
-	if m.closes {
+	if m.closeConnections {
 		closing = "Connection: close\r\n"
 	}
 	if request.Method == http.MethodGet {
-		return replicatest.Answer(http.StatusOK, closing, "")(connection, request) && !m.closes
+		return replicatest.Answer(http.StatusOK, closing, "")(connection, request) && !m.closeConnections
 	}
 	m.mutex.Lock()
 	if m.runs < len(m.endAfter) {
@@ -130,16 +131,16 @@
 	m.runs++
 	m.mutex.Unlock()
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n%s\r\n", request.Header.Get("X-Id"), closing)
-	// A first run names no event.
+	// The first run of an item names no event.
 	last, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-	for number := last + 1; number <= eventsOfStream; number++ {
+	for number := last + 1; number <= streamEvents; number++ {
 		if m.fatalEvent >= 0 && number > m.fatalEvent {
 			m.end(address)
 		}
 		select {
 		case <-m.ended[address]:
 			return false
-		case <-time.After(m.pace):
+		case <-time.After(m.interval):
 		}
 		event := fmt.Sprintf("id: %d\ndata: %d\n\n", number, number)
 		if _, err := fmt.Fprintf(connection, "%x\r\n%s\r\n", len(event), event); err != nil {
@@ -147,11 +148,11 @@
 		}
 	}
 	_, err := connection.Write([]byte("0\r\n\r\n"))
-	return err == nil && !m.closes
+	return err == nil && !m.closeConnections
 }
 
-// ownBefore starts a partition before the replicas, with a register of its own node alone.
-func ownBefore(t *testing.T, replicas *mortalReplicas, records ...ledger.Record) *ownerUnderTest {
+// startOwnerWithQuarantine starts a partition for the replicas, with a quarantine register that has no other nodes.
+func startOwnerWithQuarantine(t *testing.T, replicas *crashingReplicas, records ...ledger.Record) *testOwner {
 	t.Helper()
 	service, fleet, _, routes := newService(nil)
 	routes.Table().Routes[0].Retention = time.Minute
@@ -174,15 +175,14 @@
 		register.Stop()
 		connected.Stop()
 	})
-	return ownOf(t, anywhere, service, fleet, replicas.Network, routes, records...)
+	return startPartition(t, unconfined, service, fleet, replicas.Network, routes, records...)
 }
 
-// TestItemThatComesOnIsDone: accepted items were listed neither as done nor as given up, though nothing was wrong with them. Replicas crashed some
-// seconds apart for reasons of their own, and an item was on two of them in turn, which was taken for proof that it ends replicas:
-// "message_suspected ran=1959 together=1 granted=false", then 2.5 s later, resumed, "ran=1483 together=4 granted=true verdict=rejected". From then on
-// no replica got it. In each of the cases that were seen the item had made events in every one of its runs (made_bytes=5807), and each run went
-// on behind the point at which the one before had ended, so that no such point can have been what ended it. Messages that did end replicas had made no
-// event, or one, when they did.
+// TestItemThatComesOnIsDone guards against holding back harmless items. Replicas crashed some seconds apart for other reasons, and
+// an item that was on two of them in turn was taken to end replicas: suspected after a run of 1959 ms, rejected 2.5 s later after a
+// resumed run of 1483 ms. No replica got it any more, and it was listed neither as done nor as given up. In each of the cases seen,
+// every run of the item had made events (5807 bytes in one of them) and had passed the point at which the run before had ended, so
+// no such point can have been the cause. Messages that did end replicas had made at most one event.
 func TestItemThatComesOnIsDone(t *testing.T) {
 	for name, endAfter := range map[string][]time.Duration{
 		"two ends, the second run longer":  {290 * time.Millisecond, 1100 * time.Millisecond},
@@ -191,11 +191,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				replicas := newMortalReplicas(12)
+				replicas := newCrashingReplicas(12)
 				replicas.endAfter = endAfter
-				owner := ownBefore(t, replicas)
-				defer owner.end()
-				owner.mustSubmit(t, batchOf("j", 1))
+				owner := startOwnerWithQuarantine(t, replicas)
+				defer owner.stop()
+				owner.mustSubmit(t, testSubmission("j", 1))
 				result := owner.results(t, "j", 1, 20*time.Second)[0]
 				if result.State != batchpb.State_STATE_SUCCEEDED || replicas.endedCount() != len(endAfter) {
 					t.Errorf("the item is %s after %d replicas ended", result.State, replicas.endedCount())
@@ -205,17 +205,17 @@
 	}
 }
 
-// TestItemThatEndsItsReplicasEndsThree: an item that does end each of its replicas, at once or at a point of its answer, ends three at most, however
-// far its first run came.
+// TestItemThatEndsItsReplicasEndsThree checks that an item that does end each of its replicas, at once or at a point of its answer,
+// ends at most three, however many events its first run made.
 func TestItemThatEndsItsReplicasEndsThree(t *testing.T) {
-	for name, fatalEvent := range map[string]int{"at once": endsAtOnce, "at an event": endsAtEvent} {
+	for name, fatalEvent := range map[string]int{"at once": fatalBeforeFirstEvent, "at an event": fatalMidStream} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				replicas := newMortalReplicas(12)
+				replicas := newCrashingReplicas(12)
 				replicas.fatalEvent = fatalEvent
-				owner := ownBefore(t, replicas)
-				defer owner.end()
-				owner.mustSubmit(t, batchOf("j", 1))
+				owner := startOwnerWithQuarantine(t, replicas)
+				defer owner.stop()
+				owner.mustSubmit(t, testSubmission("j", 1))
 				last := owner.results(t, "j", 1, 90*time.Second)[0]
 				if last.State != batchpb.State_STATE_DEAD_LETTER || replicas.endedCount() > 3 {
 					t.Errorf("the item is %s after %d replicas ended", last.State, replicas.endedCount())
@@ -225,25 +225,26 @@
 	}
 }
 
-// TestItemThatEndsItsReplicasLateEndsThree guards the bound of three replicas where the first run is long and makes events before it ends its replica, also where the next owner goes on.
+// TestItemThatEndsItsReplicasLateEndsThree guards the bound of three replicas for an item whose first run is long and makes events
+// before it ends its replica, also if the next owner continues it.
 func TestItemThatEndsItsReplicasLateEndsThree(t *testing.T) {
 	for name, owners := range map[string]int{"one owner": 1, "two owners": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				replicas := newMortalReplicas(12)
-				replicas.fatalEvent, replicas.pace, replicas.closes = 150, 4*paceOfEvents, true
-				owner := ownBefore(t, replicas)
-				owner.mustSubmit(t, batchOf("j", 1))
+				replicas := newCrashingReplicas(12)
+				replicas.fatalEvent, replicas.interval, replicas.closeConnections = 150, 4*eventInterval, true
+				owner := startOwnerWithQuarantine(t, replicas)
+				owner.mustSubmit(t, testSubmission("j", 1))
 				for range owners - 1 {
 					for replicas.endedCount() == 0 {
 						time.Sleep(time.Millisecond)
 					}
 					time.Sleep(100 * time.Millisecond)
 					records := owner.owned.records
-					owner.end()
-					owner = ownBefore(t, replicas, records...)
+					owner.stop()
+					owner = startOwnerWithQuarantine(t, replicas, records...)
 				}
-				defer owner.end()
+				defer owner.stop()
 				last := owner.results(t, "j", 1, 90*time.Second)[0]
 				if last.State != batchpb.State_STATE_DEAD_LETTER || replicas.endedCount() > 3 {
 					t.Errorf("the item is %s after %d replicas ended", last.State, replicas.endedCount())
@@ -253,10 +254,10 @@
 	}
 }
 
-// TestRecordedEndsThatTheTextHasPassedAreNotRecalled: all storage nodes had been killed, and an item that had come on with each of its runs was held back by its new
-// owner: "message_rejected digest=7121c7467eeb ended=3", of which two were recalled from the log ("ran=3s together=2 recalled", "ran=3s together=3 recalled")
-// and the third was a grant of 135 ms before that had lapsed. The log had what the item had made, and that it had come further each time, yet its records of
-// ended replicas counted in full.
+// TestRecordedEndsThatTheTextHasPassedAreNotRecalled guards against holding back an item after a change of owners although each of
+// its runs got further. After all storage nodes had been killed, the new owner rejected such an item with three ends: two recalled
+// from the log (runs of 3 s each), the third a grant made 135 ms before that had lapsed. The log contained the item's text, and that
+// it was longer each time, yet the recorded ends of replicas counted in full.
 func TestRecordedEndsThatTheTextHasPassedAreNotRecalled(t *testing.T) {
 	text := func(events int) string { return strings.TrimSuffix(strings.Repeat("x\n", events), "\n") }
 	for name, test := range map[string]struct {
@@ -271,15 +272,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				records := acceptanceRecords(batchOf("j", 1), time.Now().UnixMilli())
+				records := acceptanceRecords(testSubmission("j", 1), time.Now().UnixMilli())
 				for number, reached := range test.reached {
 					records = append(records, newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Replica: uint64(100 + number), Reached: reached}))
 				}
 				if test.made > 0 {
 					records = append(records, newRecord(ledger.KindBatchProgress, &batchpb.Progress{JobId: "j", Text: text(test.made), LastEvent: fmt.Sprint(test.made)}))
 				}
-				owner := ownBefore(t, newMortalReplicas(12), records...)
-				defer owner.end()
+				owner := startOwnerWithQuarantine(t, newCrashingReplicas(12), records...)
+				defer owner.stop()
 				if result := owner.results(t, "j", 1, 90*time.Second)[0]; result.State != test.want {
 					t.Errorf("the item is %s, want %s", result.State, test.want)
 				}
@@ -288,49 +289,50 @@
 	}
 }
 
-// TestItemThatComesOnIsSuspectedNoLonger: an item waited for 15 s for a run apart on a busy service ("items_stalled reason=suspected lasted=15016 made_bytes=10979"). A replica had
-// ended under it at event 52; it had come on far behind that under runs that were cut off to make room, which spoke for it no more than if they had made nothing.
+// TestItemThatComesOnIsSuspectedNoLonger guards against keeping an item suspected that has made progress. An item waited 15 s for a
+// run apart on a busy service. A replica had ended under it at event 52; later runs, which were cut off to make room, got far beyond
+// that event (10979 bytes), but counted no more in its favour than runs without progress.
 func TestItemThatComesOnIsSuspectedNoLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		replicas := newMortalReplicas(12)
+		replicas := newCrashingReplicas(12)
 		replicas.endAfter = []time.Duration{260 * time.Millisecond}
-		owner := ownBefore(t, replicas)
-		defer owner.end()
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwnerWithQuarantine(t, replicas)
+		defer owner.stop()
+		owner.mustSubmit(t, testSubmission("j", 1))
 		key := itemKey{job: "j"}
 		for replicas.endedCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		for owner.madeEvents(key) < 2*52 {
+		for owner.eventCount(key) < 2*52 {
 			time.Sleep(time.Millisecond)
 		}
-		message := owner.messageOf(key)
+		message := owner.messageKey(key)
 		if got := owner.service.options.Quarantine.Check(message); got != quarantine.Apart {
 			t.Fatalf("the message is %s while its second run is under way", got)
 		}
-		owner.yieldRun(key)
+		owner.interruptRun(key)
 		time.Sleep(20 * time.Millisecond)
 		if got := owner.service.options.Quarantine.Check(message); got != quarantine.Allowed {
-			t.Errorf("the message is %s after a run that came on", got)
+			t.Errorf("the message is %s after a run with progress beyond the event of the crash", got)
 		}
 		owner.results(t, "j", 1, 5*time.Second)
 	})
 }
 
-func (o *ownerUnderTest) madeEvents(key itemKey) int {
+func (o *testOwner) eventCount(key itemKey) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return countEvents(o.ensureRun(key).text)
 }
 
-func (o *ownerUnderTest) messageOf(key itemKey) quarantine.Key {
+func (o *testOwner) messageKey(key itemKey) quarantine.Key {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.ensureRun(key).message
 }
 
-// yieldRun cuts an item's run off as one that makes room.
-func (o *ownerUnderTest) yieldRun(key itemKey) {
+// interruptRun cuts off an item's run as if to make room.
+func (o *testOwner) interruptRun(key itemKey) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.ensureRun(key).interrupt()
--- a/internal/batch/item_crash.go
+++ b/internal/batch/item_crash.go
@@ -108,19 +108,19 @@
 
 // holdBack keeps an item from replicas until its route's retention is over, then lists it as a dead letter.
 func (p *partition) holdBack(item candidate) {
-	mayGiveUp := p.retentionOver(item.route, item.acceptedAt)
+	giveUp := p.retentionOver(item.route, item.acceptedAt)
 	p.mutex.Lock()
 	run := p.ensureRun(item.key)
 	run.notBefore = p.elapsed() + heldBackCheckInterval
-	run.running = mayGiveUp
-	first := !run.holdBackLogged
+	run.running = giveUp
+	firstTime := !run.holdBackLogged
 	run.holdBackLogged = true
 	message := run.message
 	p.mutex.Unlock()
-	if first {
+	if firstTime {
 		p.logger.Warn().Str(logging.FieldJob, item.key.job).Int("item", item.key.number).Stringer("digest", message).Msg("item_held_back")
 	}
-	if mayGiveUp {
+	if giveUp {
 		p.background.Go(func() { p.finish(item.key, batchpb.State_STATE_DEAD_LETTER, "", quarantine.ReasonRejected) })
 	}
 }
--- a/internal/batch/item_crash_test.go
+++ b/internal/batch/item_crash_test.go
@@ -20,28 +20,28 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// countingRegister counts each lost run as the end of a replica, which goes, and rejects a message at bound ends.
+// countingRegister counts each lost run as the end of its replica, removes the replica, and rejects a message after rejectAt ends.
 type countingRegister struct {
-	bound     int
+	rejectAt  int
 	directory *replica.Directory
-	// cutFirst has the first run cut off, as that of a message that ended a replica elsewhere.
-	cutFirst bool
+	// interruptFirst cuts off the first run, as if its message had ended a replica at another node.
+	interruptFirst bool
 
 	mutex   sync.Mutex
-	ended   map[quarantine.Key]map[replica.Key]bool
+	crashed map[quarantine.Key]map[replica.Key]bool
 	runs    int
 	cleared int
 }
 
-func newCountingRegister(bound int) *countingRegister {
-	return &countingRegister{bound: bound, ended: map[quarantine.Key]map[replica.Key]bool{}}
+func newCountingRegister(rejectAt int) *countingRegister {
+	return &countingRegister{rejectAt: rejectAt, crashed: map[quarantine.Key]map[replica.Key]bool{}}
 }
 
 func (c *countingRegister) Check(key quarantine.Key) quarantine.Verdict {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	switch count := len(c.ended[key]); {
-	case count >= c.bound:
+	switch count := len(c.crashed[key]); {
+	case count >= c.rejectAt:
 		return quarantine.Rejected
 	case count > 0:
 		return quarantine.Apart
@@ -65,10 +65,10 @@
 func (c *countingRegister) note(key quarantine.Key, ended replica.Key) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ended[key] == nil {
-		c.ended[key] = map[replica.Key]bool{}
+	if c.crashed[key] == nil {
+		c.crashed[key] = map[replica.Key]bool{}
 	}
-	c.ended[key][ended] = true
+	c.crashed[key][ended] = true
 }
 
 func (c *countingRegister) Admit(_ context.Context, key quarantine.Key) quarantine.Permit {
@@ -82,7 +82,7 @@
 func (c *countingRegister) clear() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	clear(c.ended)
+	clear(c.crashed)
 }
 
 type countingPermit struct {
@@ -102,7 +102,7 @@
 	p.register.mutex.Lock()
 	defer p.register.mutex.Unlock()
 	p.register.runs++
-	if p.register.cutFirst && p.register.runs == 1 {
+	if p.register.interruptFirst && p.register.runs == 1 {
 		time.AfterFunc(10*time.Millisecond, cut)
 	}
 	p.handle = handle
@@ -125,8 +125,9 @@
 	return true
 }
 
-// crashOn has replicas with the given ids that lose the connection at the item with the given path, and answer the others.
-func crashOn(path string, ids ...string) map[string]replicatest.Script {
+// crashingScripts returns scripts of replicas with the given IDs that lose the connection at the item with the given path and answer
+// all others.
+func crashingScripts(path string, ids ...string) map[string]replicatest.Script {
 	scripts := map[string]replicatest.Script{}
 	for _, id := range ids {
 		scripts[id] = func(connection net.Conn, request *http.Request) bool {
@@ -139,8 +140,8 @@
 	return scripts
 }
 
-// sentTo counts the requests with the path.
-func sentTo(owner *ownerUnderTest, path string) int {
+// countRequests returns the number of requests with the path.
+func countRequests(owner *testOwner, path string) int {
 	count := 0
 	for _, request := range owner.replicas.Requests() {
 		if request.URL.Path == path {
@@ -169,16 +170,16 @@
 
 func TestItemThatCrashesReplicasWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := ownWith(t, newCountingRegister(3), crashOn("/p/j-0", "a", "b", "c", "d", "e"))
+		owner := startOwnerWithRegister(t, newCountingRegister(3), crashingScripts("/p/j-0", "a", "b", "c", "d", "e"))
 		owner.routes.Table().Routes[0].Retention = time.Minute
-		owner.mustSubmit(t, batchOf("j", 3))
+		owner.mustSubmit(t, testSubmission("j", 3))
 		for _, result := range owner.results(t, "j", 2, 10*time.Second) {
 			if result.State != batchpb.State_STATE_SUCCEEDED || result.ItemId == "j-0" {
 				t.Errorf("item %s is %v", result.ItemId, result.State)
 			}
 		}
 		time.Sleep(50 * time.Second)
-		if sent := sentTo(owner, "/p/j-0"); sent != 3 {
+		if sent := countRequests(owner, "/p/j-0"); sent != 3 {
 			t.Errorf("the item was sent %d times", sent)
 		}
 		if listed := owner.results(t, "j", 2, time.Second); len(listed) != 2 {
@@ -188,32 +189,32 @@
 		if last.ItemId != "j-0" || last.State != batchpb.State_STATE_DEAD_LETTER {
 			t.Errorf("item %s is %v", last.ItemId, last.State)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-// TestNextOwnerKnowsCrashes: each end of a replica is in the log before the item is sent again, so that owners one after the other send it
-// no more often than one would.
+// TestNextOwnerKnowsCrashes checks that each end of a replica is in the log before the item is sent again, so that successive owners
+// together send it no more often than a single one would.
 func TestNextOwnerKnowsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first := ownWith(t, newCountingRegister(2), crashOn("/p/j-0", "a", "b", "c"))
-		first.mustSubmit(t, batchOf("j", 1))
+		first := startOwnerWithRegister(t, newCountingRegister(2), crashingScripts("/p/j-0", "a", "b", "c"))
+		first.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(5 * time.Second)
-		first.end()
+		first.stop()
 		if recorded := crashRecords(t, first.owned.records); len(recorded) != 2 || recorded[0].Replica == recorded[1].Replica {
 			t.Fatalf("recorded: %v", recorded)
 		}
-		next := ownWith(t, newCountingRegister(3), crashOn("/p/j-0", "d", "e", "f"), first.owned.records...)
+		next := startOwnerWithRegister(t, newCountingRegister(3), crashingScripts("/p/j-0", "d", "e", "f"), first.owned.records...)
 		time.Sleep(20 * time.Second)
-		if sent := sentTo(next, "/p/j-0"); sent != 1 {
+		if sent := countRequests(next, "/p/j-0"); sent != 1 {
 			t.Errorf("the next owner sent the item %d times, want the one that is left", sent)
 		}
-		next.end()
+		next.stop()
 	})
 }
 
-// TestSuspectedItemLetsOthersGoFirst: of the messages that ran at a replica that ended, callers wait for some; the item waits until these have
-// shown what ended it, and goes on at once where it was not the item.
+// TestSuspectedItemLetsOthersGoFirst checks that a suspected item waits while the other messages that ran at the ended replica, for
+// some of which callers wait, show what ended it, and that it continues at once when it is cleared.
 func TestSuspectedItemLetsOthersGoFirst(t *testing.T) {
 	for name, test := range map[string]struct {
 		clearAfter  time.Duration
@@ -225,20 +226,20 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				register := newCountingRegister(3)
-				owner := ownWith(t, register, crashOn("/p/j-0", "a", "b", "c"))
-				owner.mustSubmit(t, batchOf("j", 1))
-				for sentTo(owner, "/p/j-0") == 0 {
+				owner := startOwnerWithRegister(t, register, crashingScripts("/p/j-0", "a", "b", "c"))
+				owner.mustSubmit(t, testSubmission("j", 1))
+				for countRequests(owner, "/p/j-0") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				first := time.Now()
 				time.AfterFunc(test.clearAfter, register.clear)
-				for sentTo(owner, "/p/j-0") == 1 {
+				for countRequests(owner, "/p/j-0") == 1 {
 					time.Sleep(time.Millisecond)
 				}
 				if waited := time.Since(first); waited < test.from || waited > test.until {
 					t.Errorf("sent again after %s, want %s to %s", waited, test.from, test.until)
 				}
-				owner.end()
+				owner.stop()
 			})
 		})
 	}
@@ -247,17 +248,17 @@
 func TestItemThatIsCutOffBlamesNoReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		register := newCountingRegister(3)
-		register.cutFirst = true
-		owner := ownWith(t, register, only(replicatest.Then(replicatest.Hang(), replicatest.Stream("s", true, false, eventOne, eventTwo))))
-		owner.mustSubmit(t, batchOf("j", 1))
+		register.interruptFirst = true
+		owner := startOwnerWithRegister(t, register, singleReplica(replicatest.Then(replicatest.Hang(), replicatest.Stream("s", true, false, eventOne, eventTwo))))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		if text := owner.results(t, "j", 1, 5*time.Second)[0].Text; text != "a\nb" {
 			t.Errorf("text is %q", text)
 		}
-		owner.end()
+		owner.stop()
 		if register.runs != 2 || owner.service.directory.View().Find("a").FailureRate() != 0 {
-			t.Errorf("%d runs, want 2; the replica's rate of failures is %v for what this node cut off", register.runs, owner.service.directory.View().Find("a").FailureRate())
+			t.Errorf("%d runs, want 2; failure rate of the replica is %v, want 0: this node cut the run off", register.runs, owner.service.directory.View().Find("a").FailureRate())
 		}
-		if len(register.ended) != 0 {
+		if len(register.crashed) != 0 {
 			t.Error("a run that was cut off counts as an end")
 		}
 	})
@@ -265,7 +266,7 @@
 
 func TestCrashesAreInTheSnapshot(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 2), 1)...)
 	for _, ended := range []uint64{7, 8, 7, 9, 10} {
 		log.add(newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Item: 1, Replica: ended}))
 	}
@@ -278,7 +279,7 @@
 		t.Fatal(err)
 	}
 	if got, want := restored.jobs["j"].items[1].crashes, []quarantine.RecordedEnd{{Replica: 7}, {Replica: 8}, {Replica: 9}}; !slices.Equal(got, want) {
-		t.Errorf("replicas %v, want %v: each once, and no more than matter", got, want)
+		t.Errorf("recorded ends %v, want %v: each replica once, at most maxCrashesPerItem", got, want)
 	}
 	log.add(successRecord("j", 1, 0, "a"))
 	if left := log.state.jobs["j"].items[1].crashes; left != nil {
@@ -288,22 +289,22 @@
 
 func TestRejectedItemIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := ownWith(t, newCountingRegister(0), only(replicatest.Stream("s", true, false, eventOne)))
-		owner.mustSubmit(t, batchOf("j", 4))
+		owner := startOwnerWithRegister(t, newCountingRegister(0), singleReplica(replicatest.Stream("s", true, false, eventOne)))
+		owner.mustSubmit(t, testSubmission("j", 4))
 		time.Sleep(10 * time.Second)
-		if sent := sentTo(owner, "/p/j-0") + sentTo(owner, "/p/j-1"); sent != 0 {
+		if sent := countRequests(owner, "/p/j-0") + countRequests(owner, "/p/j-1"); sent != 0 {
 			t.Errorf("items were sent %d times", sent)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-// TestCrashIsRecordedOnceTheLogTakesIt: an item went on although the end of its replica could not be recorded, and the next owner did not
-// know of it; as a count of failures, what bounds repeats is durable before the item is sent again.
+// TestCrashIsRecordedOnceTheLogTakesIt guards against sending an item again although the end of its replica could not be recorded:
+// the next owner did not know of that end. Like the count of failures, it must be durable before the item is sent again.
 func TestCrashIsRecordedOnceTheLogTakesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		scripts := crashOn("/p/j-0", "a", "b", "c", "d", "e")
-		var owner *ownerUnderTest
+		scripts := crashingScripts("/p/j-0", "a", "b", "c", "d", "e")
+		var owner *testOwner
 		var once sync.Once
 		for id, crash := range scripts {
 			scripts[id] = func(connection net.Conn, request *http.Request) bool {
@@ -316,19 +317,20 @@
 				return crash(connection, request)
 			}
 		}
-		owner = ownWith(t, newCountingRegister(3), scripts)
+		owner = startOwnerWithRegister(t, newCountingRegister(3), scripts)
 		owner.routes.Table().Routes[0].Retention = time.Minute
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(30 * time.Second)
-		sent := sentTo(owner, "/p/j-0")
+		sent := countRequests(owner, "/p/j-0")
 		if recorded := len(crashRecords(t, owner.owned.records)); recorded != sent || sent != 3 {
 			t.Errorf("%d ends are recorded of %d replicas that ended, want 3", recorded, sent)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-// undecidedRegister finds each message suspected, and admits none: the keeper of its grants decides otherwise, or is not reached.
+// undecidedRegister suspects each message and grants no run, as when the keeper of the message decides differently or cannot be
+// reached.
 type undecidedRegister struct{ *countingRegister }
 
 func (undecidedRegister) Check(quarantine.Key) quarantine.Verdict { return quarantine.Apart }
@@ -337,14 +339,15 @@
 	return &countingPermit{register: u.countingRegister, key: key, verdict: quarantine.Rejected}
 }
 
-// TestItemThatIsNotAdmittedIsGivenUpInTheEnd: an owner gave up an item that is kept from replicas only where its own register rejected it. Where only the keeper
-// did, the item was looked at four times a second for ever ("item_not_done verdict=not_sent"), and never listed, though its route's retention was over.
+// TestItemThatIsNotAdmittedIsGivenUpInTheEnd guards against items that are never listed. An owner gave up an item that is kept from
+// replicas only if its own register rejected it. If only the keeper did, the item was tried four times a second forever
+// ("item_not_done verdict=not_sent"), even after its route's retention was over.
 func TestItemThatIsNotAdmittedIsGivenUpInTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := ownWith(t, undecidedRegister{newCountingRegister(3)}, only(replicatest.Stream("s", true, false, eventOne)))
-		defer owner.end()
+		owner := startOwnerWithRegister(t, undecidedRegister{newCountingRegister(3)}, singleReplica(replicatest.Stream("s", true, false, eventOne)))
+		defer owner.stop()
 		owner.routes.Table().Routes[0].Retention = time.Minute
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(55 * time.Second)
 		if listed := owner.results(t, "j", 0, time.Second); len(listed) != 0 {
 			t.Errorf("%d results before the item may be given up", len(listed))
--- a/internal/batch/item_deferred_test.go
+++ b/internal/batch/item_deferred_test.go
@@ -13,20 +13,21 @@
 	"github.com/sloelift/sloelift/internal/quarantine"
 )
 
-// crashSeries has replicas crash for reasons of their own: each run of an item ends with its replica, soon after its begin, until the series is over.
+// crashSeries makes replicas crash for reasons other than their items: until the series is over, each run of an item ends with its
+// replica soon after its start.
 type crashSeries struct {
-	*mortalReplicas
+	*crashingReplicas
 	until time.Time
 }
 
-// newCrashSeries has as many replicas crash as the items on them meet until the series ends.
+// newCrashSeries starts a series in which every replica that gets an item crashes.
 func newCrashSeries(replicas int, lasts time.Duration) *crashSeries {
-	made := &crashSeries{mortalReplicas: newMortalReplicas(replicas), until: time.Now().Add(lasts)}
-	made.closes = true
+	made := &crashSeries{crashingReplicas: newCrashingReplicas(replicas), until: time.Now().Add(lasts)}
+	made.closeConnections = true
 	for address, script := range made.Scripts {
 		made.Scripts[address] = func(connection net.Conn, request *http.Request) bool {
 			if request.Method != http.MethodGet && time.Now().Before(made.until) {
-				time.AfterFunc(3*paceOfEvents, func() { made.end(address) })
+				time.AfterFunc(3*eventInterval, func() { made.end(address) })
 			}
 			return script(connection, request)
 		}
@@ -34,12 +35,13 @@
 	return made
 }
 
-// crashBeside ends one replica without items each interval under a message of its own, as nodes see it that send requests there.
-func (c *crashSeries) crashBeside(t *testing.T, owner *ownerUnderTest, interval time.Duration) {
+// crashOthers ends one replica without items per interval, each under a different message, as it appears to nodes that send requests
+// there.
+func (c *crashSeries) crashOthers(t *testing.T, owner *testOwner, interval time.Duration) {
 	register := owner.service.options.Quarantine
 	for number := 0; time.Now().Before(c.until); number++ {
 		for _, handle := range owner.service.directory.View().Of("s") {
-			if address := handle.Info().Address; c.lives(address) && handle.InUse() == 0 {
+			if address := handle.Info().Address; c.alive(address) && handle.InUse() == 0 {
 				run := register.Admit(t.Context(), quarantine.Message{Target: fmt.Sprint("/request/", number)}.Key()).Begin(handle, nil)
 				c.end(address)
 				run.End(t.Context(), quarantine.Lost)
@@ -50,16 +52,17 @@
 	}
 }
 
-// TestItemOutlivesASeriesOfCrashes guards accepted items against being held back for three ends by chance: while replicas crash in series, the run that decides waits.
+// TestItemOutlivesASeriesOfCrashes guards accepted items against being held back for three ends by chance: the deciding run waits
+// while replicas crash in series.
 func TestItemOutlivesASeriesOfCrashes(t *testing.T) {
 	for name, interval := range map[string]time.Duration{"each second": time.Second, "each 4 s": 4 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				series := newCrashSeries(40, 18*time.Second)
-				owner := ownBefore(t, series.mortalReplicas)
-				defer owner.end()
-				owner.mustSubmit(t, batchOf("j", 4))
-				series.crashBeside(t, owner, interval)
+				owner := startOwnerWithQuarantine(t, series.crashingReplicas)
+				defer owner.stop()
+				owner.mustSubmit(t, testSubmission("j", 4))
+				series.crashOthers(t, owner, interval)
 				for _, result := range owner.results(t, "j", 4, 30*time.Second) {
 					if result.State != batchpb.State_STATE_SUCCEEDED {
 						t.Errorf("item %s is %s", result.ItemId, result.State)
@@ -70,21 +73,22 @@
 	}
 }
 
-// TestDecidingRunIsNotDeferredForEver guards the items of a service whose replicas never stop crashing: the run is made while the item may still be done.
+// TestDecidingRunIsNotDeferredForEver guards the items of a service whose replicas never stop crashing: the deciding run is made
+// while the item can still be done.
 func TestDecidingRunIsNotDeferredForEver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		series := newCrashSeries(200, 10*time.Second)
-		owner := ownBefore(t, series.mortalReplicas)
-		defer owner.end()
+		owner := startOwnerWithQuarantine(t, series.crashingReplicas)
+		defer owner.stop()
 		accepted := time.Now()
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		beside := *series
 		beside.until = accepted.Add(50 * time.Second)
 		var running sync.WaitGroup
-		running.Go(func() { beside.crashBeside(t, owner, 400*time.Millisecond) })
+		running.Go(func() { beside.crashOthers(t, owner, 400*time.Millisecond) })
 		defer running.Wait()
 		result := owner.results(t, "j", 1, 50*time.Second)[0]
-		// The route keeps items for a minute.
+		// The route keeps items for a minute, and a deciding run is deferred for half of that.
 		const wantLatest = 30*time.Second + 5*time.Second
 		if took := time.Since(accepted); result.State != batchpb.State_STATE_SUCCEEDED || took > wantLatest {
 			t.Errorf("the item is %s after %s, want done within %s", result.State, took, wantLatest)
@@ -92,18 +96,18 @@
 	})
 }
 
-// TestItemsThatEndReplicasDecideOneByOne guards the replicas of a service against the deciding runs of several such items at once: each item ends three replicas at most, and after the
-// first two of each they end one at a time.
+// TestItemsThatEndReplicasDecideOneByOne guards the replicas of a service against concurrent deciding runs of several harmful items:
+// each item ends at most three replicas, and after the first two of each item they end one at a time.
 func TestItemsThatEndReplicasDecideOneByOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const items = 4
-		replicas := newMortalReplicas(30)
-		replicas.fatalEvent, replicas.closes = endsAtOnce, true
-		owner := ownBefore(t, replicas)
-		defer owner.end()
+		replicas := newCrashingReplicas(30)
+		replicas.fatalEvent, replicas.closeConnections = fatalBeforeFirstEvent, true
+		owner := startOwnerWithQuarantine(t, replicas)
+		defer owner.stop()
 		owner.routes.Table().Routes[0].Retention = 3 * time.Minute
-		owner.mustSubmit(t, batchOf("j", items))
-		// Each begins before the others are suspected, and runs apart after a pause.
+		owner.mustSubmit(t, testSubmission("j", items))
+		// All items start before the others are suspected, and run apart after a pause.
 		time.Sleep(8 * time.Second)
 		before := replicas.endedCount()
 		for range 60 {
@@ -125,36 +129,37 @@
 	})
 }
 
-// TestManyDeferredItemsAreDoneSoon guards items that wait for their deciding run against waiting for each other: a series leaves many, and none of them ends a replica.
+// TestManyDeferredItemsAreDoneSoon guards items that wait for their deciding run against waiting for each other: a series of crashes
+// leaves many of them, and none ends a replica.
 func TestManyDeferredItemsAreDoneSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const items = 24
 		series := newCrashSeries(100, 2500*time.Millisecond)
-		owner := ownBefore(t, series.mortalReplicas)
-		defer owner.end()
-		owner.mustSubmit(t, batchOf("j", items))
+		owner := startOwnerWithQuarantine(t, series.crashingReplicas)
+		defer owner.stop()
+		owner.mustSubmit(t, testSubmission("j", items))
 		time.Sleep(time.Until(series.until))
-		// Each needs 1.5 s alone.
+		// Each item needs 1.5 s on its own.
 		owner.results(t, "j", items, 18*time.Second)
 	})
 }
 
 func TestDecisionsGrowWhileNoReplicaEnds(t *testing.T) {
-	var tested decidingRunLimit
+	var limit decidingRunLimit
 	for round, want := range []int{1, 2, 3} {
-		if !tested.admit(want-1) || tested.admit(want) {
-			t.Errorf("after %d good ends not %d runs may be under way", round, want)
+		if !limit.admit(want-1) || limit.admit(want) {
+			t.Errorf("after %d runs that ended no replica the limit is not %d", round, want)
 		}
-		tested.observe(false)
+		limit.observe(false)
 	}
-	tested.observe(true)
-	if !tested.admit(0) || tested.admit(1) {
-		t.Error("after the end of a replica not one run may be under way")
+	limit.observe(true)
+	if !limit.admit(0) || limit.admit(1) {
+		t.Error("the limit after the end of a replica is not 1")
 	}
 	for range 2 * maxDecidingRuns {
-		tested.observe(false)
+		limit.observe(false)
 	}
-	if tested.admit(maxDecidingRuns) {
-		t.Errorf("more than %d runs may be under way", maxDecidingRuns)
+	if limit.admit(maxDecidingRuns) {
+		t.Errorf("the limit exceeds %d", maxDecidingRuns)
 	}
 }
--- a/internal/batch/item_homes_test.go
+++ b/internal/batch/item_homes_test.go
@@ -15,8 +15,9 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// ownInRegions is own before replicas that each lie in the region of their id, under a configuration that confines the route.
-func ownInRegions(t *testing.T, scripts map[string]replicatest.Script, homes region.Set) *ownerUnderTest {
+// startOwnerInRegions is startOwner with replicas that each lie in the region named by their ID, and a configuration that confines
+// the route to homes.
+func startOwnerInRegions(t *testing.T, scripts map[string]replicatest.Script, homes region.Set) *testOwner {
 	t.Helper()
 	service, fleet, network, routes := newService(scripts)
 	var infos []replica.Info
@@ -30,7 +31,7 @@
 	service.directory.Replace(infos)
 	service.picker = balance.NewPicker(service.directory, region.NewTopology(regionOf), func() float64 { return 0 })
 	routes.Offer(confinedTable(2, homes, region.Set{}))
-	return ownOf(t, home, service, fleet, network, routes)
+	return startPartition(t, home, service, fleet, network, routes)
 }
 
 // confinedTable confines the route, and the tenant "one", to regions.
@@ -41,8 +42,8 @@
 	return table
 }
 
-// running returns how many items run at the replica.
-func (o *ownerUnderTest) runningAt(id string) int {
+// runningAt returns how many items run at the replica.
+func (o *testOwner) runningAt(id string) int {
 	o.mutex.RLock()
 	defer o.mutex.RUnlock()
 	count := 0
@@ -68,10 +69,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				owner := ownInRegions(t, map[string]replicatest.Script{"north": replicatest.Hang(), "south": replicatest.Hang()}, anywhere)
-				defer owner.end()
+				owner := startOwnerInRegions(t, map[string]replicatest.Script{"north": replicatest.Hang(), "south": replicatest.Hang()}, anywhere)
+				defer owner.stop()
 				owner.routes.Offer(confinedTable(3, test.route, test.tenant))
-				submission := batchOf("j", 12)
+				submission := testSubmission("j", 12)
 				submission.Tenant = "one"
 				owner.mustSubmit(t, submission)
 				time.Sleep(time.Second)
@@ -84,14 +85,15 @@
 	}
 }
 
-// TestNarrowedHomesCutItemsOff: items that run outside the new homes are cut off and go on at home, behind what they have made.
+// TestNarrowedHomesCutItemsOff checks that items that run outside the new homes are cut off and resume at home after the text that
+// they have.
 func TestNarrowedHomesCutItemsOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := ownInRegions(t, map[string]replicatest.Script{
+		owner := startOwnerInRegions(t, map[string]replicatest.Script{
 			"north": replicatest.Stream("s", true, true, eventOne), "south": replicatest.Stream("s", true, false, eventTwo),
 		}, region.NewSet("north"))
-		defer owner.end()
-		owner.mustSubmit(t, batchOf("j", 2))
+		defer owner.stop()
+		owner.mustSubmit(t, testSubmission("j", 2))
 		time.Sleep(time.Second)
 		if north := owner.runningAt("north"); north != 2 {
 			t.Fatalf("%d items run at home", north)
@@ -105,12 +107,12 @@
 	})
 }
 
-// TestConfinedItemsTakeNoRoomElsewhere: items that find no room at home cut off no runs abroad.
+// TestConfinedItemsTakeNoRoomElsewhere checks that items that find no room at home do not preempt runs in other regions.
 func TestConfinedItemsTakeNoRoomElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := ownInRegions(t, map[string]replicatest.Script{"north": replicatest.Hang(), "south": replicatest.Hang()}, region.NewSet("north"))
-		defer owner.end()
-		owner.mustSubmit(t, batchOf("j", 3))
+		owner := startOwnerInRegions(t, map[string]replicatest.Script{"north": replicatest.Hang(), "south": replicatest.Hang()}, region.NewSet("north"))
+		defer owner.stop()
+		owner.mustSubmit(t, testSubmission("j", 3))
 		time.Sleep(time.Second)
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
@@ -123,17 +125,18 @@
 	})
 }
 
-// TestOwnerRejectsWhatIsConfinedElsewhere: an edge with an older configuration brings a job to the partition of those that may be anywhere.
+// TestOwnerRejectsWhatIsConfinedElsewhere covers an edge with an older configuration that sends a confined job to the partition for
+// jobs that are not confined.
 func TestOwnerRejectsWhatIsConfinedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Hang()))
-		defer owner.end()
-		owner.mustSubmit(t, batchOf("before", 1))
+		owner := startOwner(t, singleReplica(replicatest.Hang()))
+		defer owner.stop()
+		owner.mustSubmit(t, testSubmission("before", 1))
 		owner.routes.Offer(confinedTable(2, region.NewSet("north"), region.Set{}))
-		_, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: batchOf("after", 1)})
+		_, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: testSubmission("after", 1)})
 		if refused := outcome.As(err); err == nil || refused.Outcome != outcome.NotRun || refused.Reason != outcome.ReasonNoHome || refused.RetryAfter == 0 {
 			t.Errorf("submission ends with %v", err)
 		}
-		owner.mustSubmit(t, batchOf("before", 1))
+		owner.mustSubmit(t, testSubmission("before", 1))
 	})
 }
--- a/internal/batch/item_lease.go
+++ b/internal/batch/item_lease.go
@@ -60,13 +60,13 @@
 // costs others the slot.
 func (l *leaseSizer) length(remaining time.Duration, occupancy float64) time.Duration {
 	l.mutex.Lock()
-	least := min(maxLease, max(minLease, time.Duration(float64(l.meanStartCost)/maxLeaseOverhead)))
+	shortest := min(maxLease, max(minLease, time.Duration(float64(l.meanStartCost)/maxLeaseOverhead)))
 	l.mutex.Unlock()
-	whole := time.Duration(leaseEstimateFactor*float64(remaining)) + leaseMargin
-	if occupancy <= scarceOccupancy || remaining <= shortRestLeases*least {
-		return min(maxLease, max(least, whole))
+	covering := time.Duration(leaseEstimateFactor*float64(remaining)) + leaseMargin
+	if occupancy <= scarceOccupancy || remaining <= shortRestLeases*shortest {
+		return min(maxLease, max(shortest, covering))
 	}
-	return min(maxLease, max(least, remaining/scarceLeaseParts))
+	return min(maxLease, max(shortest, remaining/scarceLeaseParts))
 }
 
 // nextLease returns the length of the next lease of an attempt.
--- a/internal/batch/item_lease_test.go
+++ b/internal/batch/item_lease_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// slowReplica makes an event each pace, count in all, behind the one that a request names, until the caller closes the connection.
+// slowReplica sends one event per pace, up to number count, starting after the event that the request names, until the caller closes
+// the connection.
 func slowReplica(count int, pace time.Duration) func(connection net.Conn, request *http.Request) bool {
 	return func(connection net.Conn, request *http.Request) bool {
 		_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -29,13 +30,13 @@
 	}
 }
 
-// TestItemsRunUnderLeases: a long item is run in parts, each under a deadline that ends soon after its owner would be lost; together they
-// are the whole text.
+// TestItemsRunUnderLeases checks that a long item runs in parts, each under a deadline that ends soon after its owner would be lost,
+// and that the parts form the whole text.
 func TestItemsRunUnderLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const events = 50
-		owner := own(t, only(slowReplica(events, 100*time.Millisecond)))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(slowReplica(events, 100*time.Millisecond)))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		result := owner.results(t, "j", 1, 20*time.Second)[0]
 		var want []string
 		for number := range events {
@@ -44,7 +45,7 @@
 		if result.Text != strings.Join(want, "\n") {
 			t.Errorf("text is %q", result.Text)
 		}
-		owner.end()
+		owner.stop()
 		runs := owner.replicas.Requests()
 		if len(runs) < 4 || len(runs) > 6 {
 			t.Errorf("%d runs of an item of 5 s", len(runs))
@@ -58,8 +59,8 @@
 	})
 }
 
-// TestLeaseLength: while slots are scarce a lease is about half of what is left, and no shorter than its begin allows; what is left over, or where
-// slots are free, is one lease.
+// TestLeaseLength checks that, while slots are scarce, a lease covers about half of the remaining time, but is no shorter than the
+// cost of its start allows; a short rest, or an item while slots are free, is covered by one lease.
 func TestLeaseLength(t *testing.T) {
 	const scarce, free = 0.9, 0.3
 	for _, test := range []struct {
@@ -79,11 +80,11 @@
 		{"a very long item with free slots", 0, time.Minute, free, maxLease},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			term := &leaseSizer{}
+			sizer := &leaseSizer{}
 			if test.resume > 0 {
-				term.observe(test.resume)
+				sizer.observe(test.resume)
 			}
-			if got := term.length(test.left, test.taken); got != test.want {
+			if got := sizer.length(test.left, test.taken); got != test.want {
 				t.Errorf("a lease of %s, want %s", got, test.want)
 			}
 		})
--- a/internal/batch/item_order.go
+++ b/internal/batch/item_order.go
@@ -44,8 +44,8 @@
 	return !c.due.IsZero() && c.remaining > c.due.Sub(now)
 }
 
-// compareCandidates orders items: first those that can be in time, by due time and acceptance, those with the most text first; then
-// the late ones, in the order of acceptance.
+// compareCandidates orders items: those that can be in time come first, by due time; late ones follow. Equal items are ordered by
+// acceptance, and within a job by the size of their text, the largest first.
 func compareCandidates(a, b candidate) int {
 	if a.late != b.late {
 		if a.late {
--- a/internal/batch/item_pace.go
+++ b/internal/batch/item_pace.go
@@ -25,24 +25,24 @@
 	tokens int64
 	// text is the size of the result, in bytes.
 	text int
-	// ran is the time at replicas.
-	ran time.Duration
+	// runTime is the time at replicas.
+	runTime time.Duration
 }
 
 // observe adds a finished item to the estimate.
 func (p *itemPace) observe(finished finishedItem) {
-	if finished.tokens <= 0 || finished.ran <= 0 {
+	if finished.tokens <= 0 || finished.runTime <= 0 {
 		return
 	}
-	perToken := float64(finished.ran) / float64(finished.tokens)
-	textPerToken := float64(finished.text) / float64(finished.tokens)
+	timePerToken := float64(finished.runTime) / float64(finished.tokens)
+	bytesPerToken := float64(finished.text) / float64(finished.tokens)
 	p.seen++
 	if p.seen == 1 {
-		p.timePerToken, p.bytesPerToken = time.Duration(perToken), textPerToken
+		p.timePerToken, p.bytesPerToken = time.Duration(timePerToken), bytesPerToken
 		return
 	}
-	p.timePerToken += time.Duration(paceWeight * (perToken - float64(p.timePerToken)))
-	p.bytesPerToken += paceWeight * (textPerToken - p.bytesPerToken)
+	p.timePerToken += time.Duration(paceWeight * (timePerToken - float64(p.timePerToken)))
+	p.bytesPerToken += paceWeight * (bytesPerToken - p.bytesPerToken)
 }
 
 // remaining returns the estimated time at replicas that an item still needs after generating textSize bytes.
@@ -50,10 +50,10 @@
 	if p.seen == 0 {
 		return time.Duration(tokens) * defaultTimePerToken
 	}
-	whole := float64(tokens) * float64(p.timePerToken)
-	made := 0.0
+	total := float64(tokens) * float64(p.timePerToken)
+	madeShare := 0.0
 	if expected := p.bytesPerToken * float64(tokens); expected > 0 {
-		made = float64(textSize) / expected
+		madeShare = float64(textSize) / expected
 	}
-	return time.Duration(whole * max(minRemainingShare, 1-made))
+	return time.Duration(total * max(minRemainingShare, 1-madeShare))
 }
--- a/internal/batch/item_plan.go
+++ b/internal/batch/item_plan.go
@@ -20,9 +20,9 @@
 // slotCapacity is the recent mean number of slots available to batch items. It starts with all slots, so that few items are marked
 // late before more is known. It is safe for concurrent use.
 type slotCapacity struct {
-	mutex sync.Mutex
-	known bool
-	mean  float64
+	mutex    sync.Mutex
+	observed bool
+	mean     float64
 	// firstAt is the time of the first observation, lastAt that of the last one.
 	firstAt time.Time
 	lastAt  time.Time
@@ -32,7 +32,7 @@
 func (c *slotCapacity) slots() float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.known {
+	if !c.observed {
 		return math.Inf(1)
 	}
 	return c.mean
@@ -42,8 +42,8 @@
 func (c *slotCapacity) observe(slots, all int, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.known {
-		c.known, c.mean, c.firstAt, c.lastAt = true, float64(all), now, now
+	if !c.observed {
+		c.observed, c.mean, c.firstAt, c.lastAt = true, float64(all), now, now
 		return
 	}
 	span := min(capacityTimeConstant, now.Sub(c.firstAt)+initialCapacitySpan)
--- a/internal/batch/item_plan_test.go
+++ b/internal/batch/item_plan_test.go
@@ -15,28 +15,28 @@
 
 func TestPlanGivesUpWhatCannotBeInTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	type given struct {
+	type input struct {
 		dueIn, left time.Duration
 		begun       bool
 	}
 	for _, test := range []struct {
 		name  string
 		slots float64
-		items []given
+		items []input
 		late  []bool
 	}{
-		{"all fit", 2, []given{{10 * time.Second, 5 * time.Second, false}, {10 * time.Second, 5 * time.Second, false}}, []bool{false, false}},
-		{"alone it would be late", 9, []given{{3 * time.Second, 5 * time.Second, true}}, []bool{true}},
-		{"the last due is given up, however long the others are", 1, []given{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, false}}, []bool{false, false, true}},
-		{"what has begun is kept", 1, []given{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, true}}, []bool{false, true, false}},
-		{"what has begun is given up last", 1, []given{{6 * time.Second, 4 * time.Second, true}, {7 * time.Second, 4 * time.Second, true}, {8 * time.Second, time.Second, false}}, []bool{false, true, false}},
-		{"without a due time", 1, []given{{0, time.Hour, false}}, []bool{false}},
+		{"all fit", 2, []input{{10 * time.Second, 5 * time.Second, false}, {10 * time.Second, 5 * time.Second, false}}, []bool{false, false}},
+		{"alone it would be late", 9, []input{{3 * time.Second, 5 * time.Second, true}}, []bool{true}},
+		{"the last due is given up, however long the others are", 1, []input{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, false}}, []bool{false, false, true}},
+		{"what has begun is kept", 1, []input{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, true}}, []bool{false, true, false}},
+		{"what has begun is given up last", 1, []input{{6 * time.Second, 4 * time.Second, true}, {7 * time.Second, 4 * time.Second, true}, {8 * time.Second, time.Second, false}}, []bool{false, true, false}},
+		{"without a due time", 1, []input{{0, time.Hour, false}}, []bool{false}},
 	} {
 		items := make([]candidate, 0, len(test.items))
-		for _, input := range test.items {
-			item := candidate{remaining: input.left, started: input.begun}
-			if input.dueIn > 0 {
-				item.due = now.Add(input.dueIn)
+		for _, planned := range test.items {
+			item := candidate{remaining: planned.left, started: planned.begun}
+			if planned.dueIn > 0 {
+				item.due = now.Add(planned.dueIn)
 			}
 			items = append(items, item)
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestPlannedItemsFit: what a plan leaves unmarked can be done in the order in which it is due.
+// TestPlannedItemsFit checks that the items that a plan does not mark late can be done in the order of their due times.
 func TestPlannedItemsFit(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -81,7 +81,7 @@
 		t.Errorf("%s left before any item has finished", left)
 	}
 	for range 200 {
-		pace.observe(finishedItem{tokens: 500, text: 2000, ran: 5 * time.Second})
+		pace.observe(finishedItem{tokens: 500, text: 2000, runTime: 5 * time.Second})
 	}
 	if left := pace.remaining(1000, 0); left < 9900*time.Millisecond || left > 10100*time.Millisecond {
 		t.Errorf("%s left of an item twice as large as those of 5 s", left)
@@ -115,13 +115,13 @@
 	}
 }
 
-// TestItemsInTimeGoBeforeLateOnes: an owner that is behind does not send first what is late anyway.
+// TestItemsInTimeGoBeforeLateOnes checks that an owner with a backlog does not start with items that will be late anyway.
 func TestItemsInTimeGoBeforeLateOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Refuse()))
-		owner.mustSubmit(t, batchOf("old", 3))
+		owner := startOwner(t, singleReplica(replicatest.Refuse()))
+		owner.mustSubmit(t, testSubmission("old", 3))
 		time.Sleep(20 * time.Second)
-		owner.mustSubmit(t, batchOf("new", 3))
+		owner.mustSubmit(t, testSubmission("new", 3))
 		table := testTableDue(18 * time.Second)
 		time.Sleep(pauseAfterRefusal)
 		owner.mutex.Lock()
@@ -129,19 +129,19 @@
 		owner.mutex.Unlock()
 		found := owner.candidates(table)
 		if len(found) != 6 || found[0].key.job != "new" || found[0].late || !found[5].late || found[5].key.job != "old" {
-			t.Errorf("order is %v", jobsOf(found))
+			t.Errorf("order is %v", jobIDs(found))
 		}
 		owner.mutex.Lock()
 		owner.inTimeSinceLate = inTimePerLate
 		owner.mutex.Unlock()
 		if found := owner.candidates(table); found[0].key.job != "old" {
-			t.Errorf("after %d in time, the order is %v: no late one is begun", inTimePerLate, jobsOf(found))
+			t.Errorf("after %d in time, the order is %v: no late one is begun", inTimePerLate, jobIDs(found))
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-func jobsOf(found []candidate) (jobs []string) {
+func jobIDs(found []candidate) (jobs []string) {
 	for _, item := range found {
 		jobs = append(jobs, item.key.job)
 	}
@@ -154,14 +154,14 @@
 	}}, nil, route.Limits{})
 }
 
-// TestLateRunGivesWay: a run that will be late is cut off for an item that can be in time; what it has made is kept.
+// TestLateRunGivesWay checks that a run that will be late is cut off for an item that can be in time, and that its text is kept.
 func TestLateRunGivesWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, true, eventOne)))
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, true, eventOne)))
 		owner.routes.Offer(testTableDue(5 * time.Second))
-		owner.mustSubmit(t, batchOf("old", 4))
+		owner.mustSubmit(t, testSubmission("old", 4))
 		time.Sleep(4 * time.Second)
-		owner.mustSubmit(t, batchOf("new", 1))
+		owner.mustSubmit(t, testSubmission("new", 1))
 		time.Sleep(1500 * time.Millisecond)
 		owner.mutex.RLock()
 		run := owner.runs[itemKey{job: "new"}]
@@ -173,6 +173,6 @@
 		if owner.state.jobs["old"].items[0].state == batchpb.State_STATE_DEAD_LETTER {
 			t.Error("a late item was given up")
 		}
-		owner.end()
+		owner.stop()
 	})
 }
--- a/internal/batch/item_route_test.go
+++ b/internal/batch/item_route_test.go
@@ -9,15 +9,15 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// TestOwnerBehindTheConfigurationGivesNothingUp: an item was given up as one whose route is gone where its owner had not heard of the route yet: an edge that had the newer
-// configuration had accepted the job, and the owner was cut off from it for over five seconds. Found by looking for items that are given up for good on a
-// guess, after some that were held back on one.
+// TestOwnerBehindTheConfigurationGivesNothingUp guards against giving up an item as one without a route if its owner does not know
+// the route yet: an edge with a newer configuration had accepted the job, and the owner was cut off from that configuration for over
+// five seconds.
 func TestOwnerBehindTheConfigurationGivesNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, false, eventOne)))
-		defer owner.end()
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne)))
+		defer owner.stop()
 		owner.routes.Offer(testTable(2, false))
-		submission := batchOf("j", 1)
+		submission := testSubmission("j", 1)
 		submission.ConfigurationVersion = 3
 		owner.mustSubmit(t, submission)
 		time.Sleep(3 * routeMissingTimeout)
@@ -31,14 +31,14 @@
 	})
 }
 
-// TestRouteThatComesBackIsNotMissing: the time for which an item's route is missing went on counting while the route was there and no replica had room, so that a second
-// short absence gave the item up.
+// TestRouteThatComesBackIsNotMissing guards against adding up separate absences of an item's route: the time continued to count
+// while the route was back and no replica had room, so that a second short absence gave the item up.
 func TestRouteThatComesBackIsNotMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, false, eventOne)))
-		defer owner.end()
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne)))
+		defer owner.stop()
 		owner.routes.Offer(testTable(2, false))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(2 * time.Second)
 		owner.pauseItem(itemKey{job: "j"}, 0)
 		for _, handle := range owner.service.directory.View().Of("s") {
--- a/internal/batch/item_run.go
+++ b/internal/batch/item_run.go
@@ -49,20 +49,20 @@
 // then the one due last, then the one that started last. The mutex is held.
 func (p *partition) leastUrgentRun(service string, homes region.Set) (least itemKey, run *itemRun) {
 	var worst candidate
-	for key, candidateRun := range p.runs {
-		if !candidateRun.running || candidateRun.interrupted || candidateRun.finishing || candidateRun.handle == nil || candidateRun.handle.Info().Service != service {
+	for key, other := range p.runs {
+		if !other.running || other.interrupted || other.finishing || other.handle == nil || other.handle.Info().Service != service {
 			continue
 		}
-		if candidateRun.handle.Evacuated() {
+		if other.handle.Evacuated() {
 			// It ends without being preempted, and preempting it frees no room at the remaining replicas.
 			continue
 		}
-		if !p.service.picker.Allowed(homes, candidateRun.handle) {
+		if !p.service.picker.Allowed(homes, other.handle) {
 			continue
 		}
-		rated := runAsCandidate(candidateRun)
-		if run == nil || compareRuns(rated, candidateRun, worst, run) > 0 {
-			least, run, worst = key, candidateRun, rated
+		rated := runAsCandidate(other)
+		if run == nil || compareRuns(rated, other, worst, run) > 0 {
+			least, run, worst = key, other, rated
 		}
 	}
 	return least, run
--- a/internal/batch/item_stalled.go
+++ b/internal/batch/item_stalled.go
@@ -40,13 +40,13 @@
 
 // stalledItems summarizes the stalled items of a partition.
 type stalledItems struct {
-	counts  map[stallReason]int
-	longest stalledItem
+	byReason map[stallReason]int
+	longest  stalledItem
 }
 
 // stalled returns the items that have made no progress for stalledAfter, among the maxScanned that were accepted first.
 func (p *partition) stalled() stalledItems {
-	found := stalledItems{counts: map[stallReason]int{}}
+	found := stalledItems{byReason: map[stallReason]int{}}
 	scanned := 0
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
@@ -71,7 +71,7 @@
 }
 
 func (s *stalledItems) add(item stalledItem) {
-	s.counts[item.reason]++
+	s.byReason[item.reason]++
 	if item.duration > s.longest.duration {
 		s.longest = item
 	}
@@ -129,12 +129,12 @@
 // not finish.
 func (p *partition) reportStalled() {
 	found := p.stalled()
-	if len(found.counts) == 0 {
+	if len(found.byReason) == 0 {
 		return
 	}
 	event := p.logger.Info()
 	for _, reason := range stallReasons {
-		event.Int(string(reason), found.counts[reason])
+		event.Int(string(reason), found.byReason[reason])
 	}
 	longest := found.longest
 	event.Str(logging.FieldJob, longest.key.job).Int("item", longest.key.number).Str(logging.FieldReason, string(longest.reason)).
--- a/internal/batch/item_stalled_test.go
+++ b/internal/batch/item_stalled_test.go
@@ -10,7 +10,8 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// TestStalledItemsAreReported: an accepted item was on no replica for twenty seconds, and no line or figure said so, nor what it waited for.
+// TestStalledItemsAreReported guards against stalled items that are not visible: an accepted item was on no replica for 20 s, and no
+// log line or metric showed it or what the item waited for.
 func TestStalledItemsAreReported(t *testing.T) {
 	for name, test := range map[string]struct {
 		bound int
@@ -21,43 +22,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				owner := ownWith(t, newCountingRegister(test.bound), crashOn("/p/j-0", "a"))
-				owner.mustSubmit(t, batchOf("j", 2))
+				owner := startOwnerWithRegister(t, newCountingRegister(test.bound), crashingScripts("/p/j-0", "a"))
+				owner.mustSubmit(t, testSubmission("j", 2))
 				owner.results(t, "j", 1, 5*time.Second)
-				if found := owner.stalled(); len(found.counts) != 0 {
-					t.Errorf("stalled at the start: %v", found.counts)
+				if found := owner.stalled(); len(found.byReason) != 0 {
+					t.Errorf("stalled at the start: %v", found.byReason)
 				}
 				owner.pauseItem(itemKey{job: "j"}, 2*stalledAfter)
 				time.Sleep(stalledAfter + time.Second)
 				found := owner.stalled()
-				if found.counts[test.want] != 1 || len(found.counts) != 1 || found.longest.key.number != 0 {
-					t.Errorf("stalled: %v, longest %v", found.counts, found.longest.key)
+				if found.byReason[test.want] != 1 || len(found.byReason) != 1 || found.longest.key.number != 0 {
+					t.Errorf("stalled: %v, longest %v", found.byReason, found.longest.key)
 				}
 				if series := testutil.CollectAndCount(owner.service); series != len(stallReasons)+1 {
 					t.Errorf("%d series", series)
 				}
-				owner.end()
+				owner.stop()
 			})
 		})
 	}
 }
 
-// pauseItem keeps an item from being sent again for a while.
-func (o *ownerUnderTest) pauseItem(key itemKey, length time.Duration) {
+// pauseItem keeps an item from being sent again for the time length.
+func (o *testOwner) pauseItem(key itemKey, length time.Duration) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.ensureRun(key).notBefore = o.elapsed() + length
 }
 
-// TestItemAtAReplicaIsNotMissed: an item that was sent, and of which nothing comes, is told apart from one that waits.
+// TestItemAtAReplicaIsNotMissed checks that an item that was sent and makes no progress is reported differently from one that waits.
 func TestItemAtAReplicaIsNotMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Hang()))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(replicatest.Hang()))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(stalledAfter + time.Second/2)
-		if found := owner.stalled(); found.counts[stalledAtReplica] != 1 {
-			t.Errorf("stalled: %v", found.counts)
+		if found := owner.stalled(); found.byReason[stalledAtReplica] != 1 {
+			t.Errorf("stalled: %v", found.byReason)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -17,14 +17,14 @@
 func (s *Service) Collect(metrics chan<- prometheus.Metric) {
 	s.mutex.RLock()
 	owned := make([]*partition, 0, len(s.partitions))
-	for _, partition := range s.partitions {
-		owned = append(owned, partition)
+	for _, ownedPartition := range s.partitions {
+		owned = append(owned, ownedPartition)
 	}
 	s.mutex.RUnlock()
 	counts, longest := map[stallReason]int{}, 0.0
-	for _, partition := range owned {
-		found := partition.stalled()
-		for reason, count := range found.counts {
+	for _, ownedPartition := range owned {
+		found := ownedPartition.stalled()
+		for reason, count := range found.byReason {
 			counts[reason] += count
 		}
 		longest = max(longest, found.longest.duration.Seconds())
--- a/internal/batch/online_load.go
+++ b/internal/batch/online_load.go
@@ -119,12 +119,12 @@
 	now := clock.Now()
 	s.mutex.RLock()
 	owned := make([]*partition, 0, len(s.partitions))
-	for _, partition := range s.partitions {
-		owned = append(owned, partition)
+	for _, ownedPartition := range s.partitions {
+		owned = append(owned, ownedPartition)
 	}
 	s.mutex.RUnlock()
-	for _, partition := range owned {
-		partition.preemptExcess(now)
+	for _, ownedPartition := range owned {
+		ownedPartition.preemptExcess(now)
 	}
 }
 
--- a/internal/batch/online_load_test.go
+++ b/internal/batch/online_load_test.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// fakeFleet is what the other nodes have at the replicas.
+// fakeFleet reports fixed loads of the other nodes.
 type fakeFleet struct {
 	mutex  sync.Mutex
 	online loadshare.Demand
@@ -59,17 +59,17 @@
 	}
 }
 
-// TestOwnerBeginsFewItemsRightAfterItsStart: the room that seems idle then is wanted by callers who come back.
+// TestOwnerBeginsFewItemsRightAfterItsStart: the room that seems idle right after a start is needed by callers who return.
 func TestOwnerBeginsFewItemsRightAfterItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		service, fleet, _, _ := newService(only(replicatest.Refuse()))
+		service, fleet, _, _ := newService(singleReplica(replicatest.Refuse()))
 		fleet.setSince(time.Now())
 		if begin, _, _ := service.itemLimits("s", time.Now()); begin != 0 {
 			t.Errorf("%d items may begin at once", begin)
 		}
 		time.Sleep(rampSpan / 2)
 		if ramp := service.ramp(time.Now()); ramp < 0.45 || ramp > 0.55 {
-			t.Errorf("%f of the room half way", ramp)
+			t.Errorf("ramp is %f half way", ramp)
 		}
 		time.Sleep(rampSpan)
 		if begin, _, _ := service.itemLimits("s", time.Now()); begin < 3 {
@@ -78,28 +78,28 @@
 	})
 }
 
-// TestRoomIsSharedAmongOwners: items of other nodes take room, and what is too much is cut off by each in part.
+// TestRoomIsSharedAmongOwners checks that items of other nodes take room, and that each node cuts off its share of the excess.
 func TestRoomIsSharedAmongOwners(t *testing.T) {
 	service, fleet, _, _ := newService(map[string]replicatest.Script{"a": replicatest.Refuse(), "b": replicatest.Refuse(), "c": replicatest.Refuse()})
-	alone, _, _ := service.itemLimits("s", time.Now())
+	limitAlone, _, _ := service.itemLimits("s", time.Now())
 	fleet.set(loadshare.Demand{}, 5)
-	if begin, _, _ := service.itemLimits("s", time.Now()); begin != alone-5 {
-		t.Errorf("%d items may begin beside 5 of others, %d without these", begin, alone)
+	if begin, _, _ := service.itemLimits("s", time.Now()); begin != limitAlone-5 {
+		t.Errorf("%d items may start besides 5 of other nodes, %d without those", begin, limitAlone)
 	}
 	for _, test := range []struct{ keep, running, elsewhere, want int }{
 		{12, 4, 4, 8}, {12, 0, 12, 0}, {6, 6, 6, 3}, {0, 5, 5, 0}, {6, 9, 0, 6},
 	} {
 		if got := ownShare(test.keep, test.running, test.elsewhere); got != test.want {
-			t.Errorf("ownPart(%d, %d, %d) is %d, want %d", test.keep, test.running, test.elsewhere, got, test.want)
+			t.Errorf("ownShare(%d, %d, %d) is %d, want %d", test.keep, test.running, test.elsewhere, got, test.want)
 		}
 	}
 }
 
-// TestRequestsThatAreHeldBackTakeRoom: items give way to callers whose requests wait for it.
+// TestRequestsThatAreHeldBackTakeRoom checks that items yield to callers' requests that wait for room.
 func TestRequestsThatAreHeldBackTakeRoom(t *testing.T) {
-	service, fleet, _, _ := newService(only(replicatest.Refuse()))
+	service, fleet, _, _ := newService(singleReplica(replicatest.Refuse()))
 	fleet.set(loadshare.Demand{InUse: 1, Waiting: 3}, 0)
 	if begin, keep, _ := service.itemLimits("s", time.Now()); begin != 0 || keep != 0 {
-		t.Errorf("begin %d, keep %d beside 4 wanted slots of 4", begin, keep)
+		t.Errorf("start limit %d, keep limit %d with 4 slots wanted of 4", begin, keep)
 	}
 }
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -93,7 +93,7 @@
 	defer p.mutex.Unlock()
 	pending := p.submitting[submission.JobId]
 	if p.stopped {
-		// Adding to the wait group after Stop has begun to wait for it would panic.
+		// Adding work after Stop has begun to wait for all work would panic and end the process.
 		pending.err = errNotOwner()
 		close(pending.done)
 		return pending
--- a/internal/batch/partition_test.go
+++ b/internal/batch/partition_test.go
@@ -21,8 +21,8 @@
 	eventTwo = "id: 2\ndata: b\n\n"
 )
 
-func batchOf(jobID string, items int) *batchpb.Submission {
-	submission := submissionOf(jobID, items)
+func testSubmission(jobID string, items int) *batchpb.Submission {
+	submission := plainSubmission(jobID, items)
 	submission.Host = testHost
 	for _, item := range submission.Items {
 		item.Path = "/p/" + item.Id
@@ -30,35 +30,35 @@
 	return submission
 }
 
-func only(script replicatest.Script) map[string]replicatest.Script {
+func singleReplica(script replicatest.Script) map[string]replicatest.Script {
 	return map[string]replicatest.Script{"a": script}
 }
 
 func TestItemsAreRunAndListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, false, eventOne, eventTwo)))
-		owner.mustSubmit(t, batchOf("j", 5))
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne, eventTwo)))
+		owner.mustSubmit(t, testSubmission("j", 5))
 		for _, result := range owner.results(t, "j", 5, 5*time.Second) {
 			if result.State != batchpb.State_STATE_SUCCEEDED || result.Text != "a\nb" {
 				t.Errorf("item %s: %v %q", result.ItemId, result.State, result.Text)
 			}
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestCutItemGoesOnBehindItsLastEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := replicatest.Stream("s", false, false, eventOne, "id: 2\nda")
-		owner := own(t, only(replicatest.Then(first, replicatest.Stream("s", true, false, eventTwo))))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(replicatest.Then(first, replicatest.Stream("s", true, false, eventTwo))))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		if text := owner.results(t, "j", 1, 5*time.Second)[0].Text; text != "a\nb" {
 			t.Errorf("text is %q", text)
 		}
 		if resumed := owner.replicas.Requests()[1].Header.Get("Last-Event-Id"); resumed != "1" {
 			t.Errorf("went on behind %q, want 1", resumed)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
@@ -73,21 +73,21 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				owner := own(t, only(test.script))
-				owner.mustSubmit(t, batchOf("j", 1))
+				owner := startOwner(t, singleReplica(test.script))
+				owner.mustSubmit(t, testSubmission("j", 1))
 				if state := owner.results(t, "j", 1, 30*time.Second)[0].State; state != batchpb.State_STATE_DEAD_LETTER {
 					t.Errorf("state is %v", state)
 				}
 				if runs := countPosts(owner); runs != test.runs {
 					t.Errorf("sent %d times, want %d", runs, test.runs)
 				}
-				owner.end()
+				owner.stop()
 			})
 		})
 	}
 }
 
-func countPosts(owner *ownerUnderTest) int {
+func countPosts(owner *testOwner) int {
 	posts := 0
 	for _, request := range owner.replicas.Requests() {
 		if request.Method == "POST" {
@@ -99,34 +99,34 @@
 
 func TestRefusedItemIsNeverADeadLetter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Refuse()))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(replicatest.Refuse()))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(10 * time.Second)
 		response, err := owner.read(t.Context(), &batchpb.ReadRequest{JobId: "j"})
 		if err != nil || len(response.Results) != 0 || !response.Found {
 			t.Errorf("results are %v, %v", response, err)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestSubmissionIsTakenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Hang()))
+		owner := startOwner(t, singleReplica(replicatest.Hang()))
 		owner.owned.set(true, nil)
 		impatient, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := owner.submit(impatient, &batchpb.SubmitRequest{Submission: batchOf("j", 2)})
+		_, err := owner.submit(impatient, &batchpb.SubmitRequest{Submission: testSubmission("j", 2)})
 		if outcome.Of(err) != outcome.Indeterminate {
-			t.Errorf("a submission whose append is not decided ends with %v; it must promise nothing", err)
+			t.Errorf("submission with an undecided append ends with %v, want an indeterminate outcome", err)
 		}
 		owner.owned.set(false, nil)
-		owner.mustSubmit(t, batchOf("j", 2))
-		owner.mustSubmit(t, batchOf("j", 2))
+		owner.mustSubmit(t, testSubmission("j", 2))
+		owner.mustSubmit(t, testSubmission("j", 2))
 		accepted := 0
 		owner.owned.mutex.Lock()
 		for _, record := range owner.owned.records {
-			if record.Kind == acceptanceRecords(batchOf("j", 2), 1)[0].Kind {
+			if record.Kind == acceptanceRecords(testSubmission("j", 2), 1)[0].Kind {
 				accepted++
 			}
 		}
@@ -134,15 +134,15 @@
 		if accepted != 1 {
 			t.Errorf("the job is accepted %d times", accepted)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestRefusedSubmissionNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, false, eventOne)))
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne)))
 		owner.owned.set(false, outcome.New(outcome.NotRun, outcome.ReasonStorageFull, "full"))
-		if _, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: batchOf("j", 2)}); outcome.Of(err) != outcome.NotRun {
+		if _, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: testSubmission("j", 2)}); outcome.Of(err) != outcome.NotRun {
 			t.Errorf("error is %v, want not run", err)
 		}
 		owner.owned.set(false, nil)
@@ -150,15 +150,15 @@
 		if posts := countPosts(owner); posts != 0 {
 			t.Errorf("%d items of a refused job were sent", posts)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Hang()))
+		owner := startOwner(t, singleReplica(replicatest.Hang()))
 		request := func(job string) *batchpb.SubmitRequest {
-			return &batchpb.SubmitRequest{Submission: batchOf(job, 2), MaxWaitingTokens: 50}
+			return &batchpb.SubmitRequest{Submission: testSubmission(job, 2), MaxWaitingTokens: 50}
 		}
 		for _, step := range []struct {
 			job      string
@@ -175,14 +175,14 @@
 		if response, err := owner.submit(t.Context(), request("j3")); err != nil || !response.Accepted {
 			t.Errorf("after the end of a job another does not fit: %v, %v", response, err)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestEndedJobIsNotSentAnyMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Refuse()))
-		owner.mustSubmit(t, batchOf("j", 3))
+		owner := startOwner(t, singleReplica(replicatest.Refuse()))
+		owner.mustSubmit(t, testSubmission("j", 3))
 		time.Sleep(time.Second)
 		for range 2 {
 			if response, err := owner.partition.end(t.Context(), &batchpb.EndRequest{JobId: "j"}); err != nil || !response.Found {
@@ -198,16 +198,17 @@
 		if response, err := owner.partition.end(t.Context(), &batchpb.EndRequest{JobId: "none"}); err != nil || response.Found {
 			t.Errorf("end of an unknown job: %v, %v", response, err)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-// TestNothingIsDeniedWithoutProofOfOwnership: an owner that was replaced unaware may lack a job, so it must not deny it.
+// TestNothingIsDeniedWithoutProofOfOwnership: an owner that was replaced without noticing it may lack a job, so it must not report
+// that the job is unknown.
 func TestNothingIsDeniedWithoutProofOfOwnership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Hang()))
+		owner := startOwner(t, singleReplica(replicatest.Hang()))
 		owner.owned.set(true, nil)
-		// The recovery itself is a proof for what is asked at its moment.
+		// Right after the recovery the ownership counts as proved.
 		time.Sleep(time.Millisecond)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -221,14 +222,14 @@
 		if response, err := owner.read(t.Context(), &batchpb.ReadRequest{JobId: "j"}); err != nil || response.Found {
 			t.Errorf("a read with proof gives %v, %v", response, err)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestOwnerThatCannotProveItselfSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Refuse()))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(replicatest.Refuse()))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(time.Second)
 		owner.owned.set(true, nil)
 		time.Sleep(confirmWindow + dispatchInterval)
@@ -238,35 +239,35 @@
 			t.Errorf("%d items were sent by an owner without proof", after-before)
 		}
 		owner.owned.set(false, nil)
-		owner.end()
+		owner.stop()
 	})
 }
 
-// TestSuccessorGoesOnWhereTheLogEnds: what a running item made is in the log within the interval of checkpoints.
+// TestSuccessorGoesOnWhereTheLogEnds checks that the text of a running item is in the log within checkpointInterval.
 func TestSuccessorGoesOnWhereTheLogEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Behind the first event the replica makes nothing for long.
-		owner := own(t, only(replicatest.Then(replicatest.Stream("s", true, true, eventOne), replicatest.Stream("s", true, true))))
-		owner.mustSubmit(t, batchOf("j", 1))
+		// After the first event the replica sends nothing for a long time.
+		owner := startOwner(t, singleReplica(replicatest.Then(replicatest.Stream("s", true, true, eventOne), replicatest.Stream("s", true, true))))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(checkpointInterval + 100*time.Millisecond)
-		owner.end()
-		successor := own(t, only(replicatest.Stream("s", true, false, eventTwo)), owner.owned.records...)
+		owner.stop()
+		successor := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventTwo)), owner.owned.records...)
 		if text := successor.results(t, "j", 1, 5*time.Second)[0].Text; text != "a\nb" {
 			t.Errorf("text is %q", text)
 		}
 		if resumed := successor.replicas.Requests()[0].Header.Get("Last-Event-Id"); resumed != "1" {
 			t.Errorf("went on behind %q, want 1", resumed)
 		}
-		successor.end()
+		successor.stop()
 	})
 }
 
 func TestItemsYieldToOnlineRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, map[string]replicatest.Script{
+		owner := startOwner(t, map[string]replicatest.Script{
 			"a": replicatest.Stream("s", true, true, eventOne), "b": replicatest.Stream("s", true, true, eventOne),
 		})
-		owner.mustSubmit(t, batchOf("j", 8))
+		owner.mustSubmit(t, testSubmission("j", 8))
 		time.Sleep(500 * time.Millisecond)
 		if _, _, running := owner.service.itemLimits("s", time.Now()); running < 5 {
 			t.Errorf("%d items run on 8 idle slots", running)
@@ -277,26 +278,26 @@
 		if _, keep, running := owner.service.itemLimits("s", time.Now()); running > keep || running > 2 {
 			t.Errorf("%d items run beside 6 online requests on 8 slots", running)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestItemOfARouteThatIsGoneIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Refuse()))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(replicatest.Refuse()))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		owner.routes.Offer(testTable(2, false))
 		if state := owner.results(t, "j", 1, 20*time.Second)[0].State; state != batchpb.State_STATE_DEAD_LETTER {
 			t.Errorf("state is %v", state)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
 func TestOldJobsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, false, eventOne)))
-		owner.mustSubmit(t, batchOf("j", 1))
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne)))
+		owner.mustSubmit(t, testSubmission("j", 1))
 		owner.results(t, "j", 1, 5*time.Second)
 		time.Sleep(50 * time.Second)
 		if response, err := owner.read(t.Context(), &batchpb.ReadRequest{JobId: "j"}); err != nil || len(response.Results) != 1 {
@@ -306,28 +307,28 @@
 		if response, err := owner.read(t.Context(), &batchpb.ReadRequest{JobId: "j"}); err != nil || response.Found {
 			t.Errorf("results are kept for ever: %v, %v", response, err)
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
-// TestFullDisksRefuseNewJobsOnly: what was accepted is run, listed, read and ended also where only the stores' reserve is left.
+// TestFullDisksRefuseNewJobsOnly checks that accepted jobs are run, listed, read and ended even if only the stores' reserve is left.
 func TestFullDisksRefuseNewJobsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Stream("s", true, false, eventOne, eventTwo)))
-		owner.mustSubmit(t, batchOf("j", 3))
+		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne, eventTwo)))
+		owner.mustSubmit(t, testSubmission("j", 3))
 		owner.owned.mutex.Lock()
 		owner.owned.full = true
 		owner.owned.mutex.Unlock()
-		_, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: batchOf("later", 1)})
+		_, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: testSubmission("later", 1)})
 		if refused := outcome.As(err); refused == nil || refused.Outcome != outcome.NotRun || refused.Reason != outcome.ReasonStorageFull {
 			t.Errorf("a job that finds the disks full: %v", err)
 		}
-		if _, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: batchOf("j", 3)}); err != nil {
+		if _, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: testSubmission("j", 3)}); err != nil {
 			t.Errorf("a job that is accepted already: %v", err)
 		}
 		if results := owner.results(t, "j", 3, 5*time.Second); len(results) != 3 {
 			t.Errorf("%d of 3 items are listed", len(results))
 		}
-		owner.end()
+		owner.stop()
 	})
 }
--- a/internal/batch/saturation_test.go
+++ b/internal/batch/saturation_test.go
@@ -8,66 +8,68 @@
 	"time"
 )
 
-// replayedLoad is a load whose decisions are replayed without input and output.
-type replayedLoad struct {
+// simulatedLoad is a load for which the owner's decisions are simulated without I/O.
+type simulatedLoad struct {
 	slots int
-	// online are the slots that callers' requests take in the mean; they go between low and high of it by turns.
+	// online is the mean number of slots that callers' requests take; it alternates between the multiples low and high of that, for
+	// lowFor and highFor.
 	online          float64
 	low, high       float64
 	lowFor, highFor time.Duration
-	// jobs come at intervals, each of so many items that need so much time and are due so long after.
-	every   time.Duration
-	items   int
-	needs   time.Duration
-	due     time.Duration
-	lasting time.Duration
+	// A job arrives per jobInterval, with items that each need about runTime and are due dueAfter later.
+	jobInterval time.Duration
+	items       int
+	runTime     time.Duration
+	dueAfter    time.Duration
+	duration    time.Duration
 }
 
-// tooMuch is three times the work that the replicas can do, beside callers that come in steps.
-var tooMuch = replayedLoad{
+// overload is three times the work that the replicas can do, with callers' requests that change in steps.
+var overload = simulatedLoad{
 	slots: 80, online: 10, low: 0.38, high: 1.85, lowFor: 3 * time.Second, highFor: 2200 * time.Millisecond,
-	every: 125 * time.Millisecond, items: 5, needs: 4900 * time.Millisecond, due: 18 * time.Second, lasting: 60 * time.Second,
+	jobInterval: 125 * time.Millisecond, items: 5, runTime: 4900 * time.Millisecond, dueAfter: 18 * time.Second, duration: 60 * time.Second,
 }
 
-// replayedItem is an item of a replay: what the owner knows of it, and how much of it is made.
-type replayedItem struct {
+// simulatedItem is an item of a simulation: what the owner knows of it, and how long it has run.
+type simulatedItem struct {
 	candidate
-	made     time.Duration
+	ran      time.Duration
 	leaseEnd time.Time
 	runs     int
 }
 
-// replayed is what came of a load.
-type replayed struct {
-	inTime, late, waiting, cut int
-	// onlineHeldUp counts the steps at which callers' requests and items together were more than the slots.
-	onlineHeldUp int
+// simulationResult counts the outcomes of a simulated load.
+type simulationResult struct {
+	inTime, late, waiting, cutOff int
+	// onlineBlocked counts the steps at which callers' requests and items together exceeded the slots.
+	onlineBlocked int
 }
 
-// replay has the owner's decisions made at each interval of the dispatcher: which items can be in time, which begin, which are cut off.
-func replay(load replayedLoad) replayed {
+// simulate makes the owner's decisions at each interval of the dispatcher: which items can be in time, which start, which are cut
+// off.
+func simulate(load simulatedLoad) simulationResult {
 	random := rand.New(rand.NewPCG(1, 2))
-	began := time.Unix(1000, 0)
-	var items []replayedItem
-	var result replayed
+	start := time.Unix(1000, 0)
+	var items []simulatedItem
+	var result simulationResult
 	var capacity slotCapacity
-	var term leaseSizer
-	nextJob := began
-	for now := began; now.Before(began.Add(load.lasting)); now = now.Add(dispatchInterval) {
-		for ; !nextJob.After(now); nextJob = nextJob.Add(load.every) {
+	var sizer leaseSizer
+	nextJob := start
+	for now := start; now.Before(start.Add(load.duration)); now = now.Add(dispatchInterval) {
+		for ; !nextJob.After(now); nextJob = nextJob.Add(load.jobInterval) {
 			for number := range load.items {
-				needs := time.Duration(float64(load.needs) * (0.6 + 0.8*random.Float64()))
-				items = append(items, replayedItem{candidate: candidate{
-					key: itemKey{job: fmt.Sprint(nextJob.UnixNano()), number: number}, acceptedAt: nextJob.UnixMilli(), due: nextJob.Add(load.due), remaining: needs,
+				runTime := time.Duration(float64(load.runTime) * (0.6 + 0.8*random.Float64()))
+				items = append(items, simulatedItem{candidate: candidate{
+					key: itemKey{job: fmt.Sprint(nextJob.UnixNano()), number: number}, acceptedAt: nextJob.UnixMilli(), due: nextJob.Add(load.dueAfter), remaining: runTime,
 				}})
 			}
 		}
-		online := load.onlineAt(now.Sub(began))
-		begin := int(float64(load.slots)*(1-startFreeShare) - float64(online)*startOnlineGrowth)
-		keep := max(begin, int(float64(load.slots)*(1-keepFreeShare)-float64(online)*keepOnlineGrowth))
-		capacity.observe(begin, load.slots, now)
-		result.step(items, now, begin, keep, &term, float64(load.slots), online, capacity.slots())
-		items = slices.DeleteFunc(items, func(item replayedItem) bool {
+		online := load.onlineAt(now.Sub(start))
+		startLimit := int(float64(load.slots)*(1-startFreeShare) - float64(online)*startOnlineGrowth)
+		keepLimit := max(startLimit, int(float64(load.slots)*(1-keepFreeShare)-float64(online)*keepOnlineGrowth))
+		capacity.observe(startLimit, load.slots, now)
+		result.step(items, now, startLimit, keepLimit, &sizer, float64(load.slots), online, capacity.slots())
+		items = slices.DeleteFunc(items, func(item simulatedItem) bool {
 			if item.remaining > 0 {
 				return false
 			}
@@ -83,7 +85,7 @@
 	return result
 }
 
-func (l replayedLoad) onlineAt(since time.Duration) int {
+func (l simulatedLoad) onlineAt(since time.Duration) int {
 	if since%(l.lowFor+l.highFor) < l.lowFor {
 		return int(l.online * l.low)
 	}
@@ -91,7 +93,7 @@
 }
 
 // step makes the decisions of one interval.
-func (r *replayed) step(items []replayedItem, now time.Time, begin, keep int, term *leaseSizer, slots float64, online int, capacity float64) {
+func (r *simulationResult) step(items []simulatedItem, now time.Time, startLimit, keepLimit int, sizer *leaseSizer, slots float64, online int, capacity float64) {
 	candidates := make([]candidate, len(items))
 	running := 0
 	for index := range items {
@@ -104,86 +106,87 @@
 	for index := range items {
 		items[index].late = candidates[index].late
 	}
-	order := make([]*replayedItem, len(items))
+	order := make([]*simulatedItem, len(items))
 	for index := range items {
 		order[index] = &items[index]
 	}
-	slices.SortStableFunc(order, func(a, b *replayedItem) int { return compareCandidates(a.candidate, b.candidate) })
-	for place := len(order) - 1; place >= 0 && running > keep; place-- {
-		if order[place].running {
-			order[place].running = false
+	slices.SortStableFunc(order, func(a, b *simulatedItem) int { return compareCandidates(a.candidate, b.candidate) })
+	for index := len(order) - 1; index >= 0 && running > keepLimit; index-- {
+		if order[index].running {
+			order[index].running = false
 			running--
-			r.cut++
+			r.cutOff++
 		}
 	}
 	for _, item := range order {
 		if item.running {
 			continue
 		}
-		if running >= begin && !item.late {
-			running -= r.replaceLate(order, now)
+		if running >= startLimit && !item.late {
+			running -= r.preemptLateRun(order, now)
 		}
-		if running >= begin {
+		if running >= startLimit {
 			break
 		}
 		item.running, item.started = true, true
 		item.runs++
-		item.leaseEnd = now.Add(term.length(item.remaining, float64(running+online)/slots))
+		item.leaseEnd = now.Add(sizer.length(item.remaining, float64(running+online)/slots))
 		running++
 	}
 	if float64(running+online) > slots {
-		r.onlineHeldUp++
+		r.onlineBlocked++
 	}
 	for _, item := range order {
 		if !item.running {
 			continue
 		}
 		item.remaining -= dispatchInterval
-		item.made += dispatchInterval
-		item.textSize = int(item.made.Milliseconds())
+		item.ran += dispatchInterval
+		item.textSize = int(item.ran.Milliseconds())
 		if item.remaining > 0 && !now.Before(item.leaseEnd.Add(-leaseMargin)) {
-			r.cut++
-			item.leaseEnd = now.Add(term.length(item.remaining, float64(running+online)/slots))
+			r.cutOff++
+			item.leaseEnd = now.Add(sizer.length(item.remaining, float64(running+online)/slots))
 		}
 	}
 }
 
-// replaceLate cuts off a run that will be late whatever it gets, for one that can be in time; it returns how many.
-func (r *replayed) replaceLate(order []*replayedItem, now time.Time) int {
+// preemptLateRun cuts off a run that is certain to be late, in favour of an item that can be in time. It returns the number of runs
+// cut off, 0 or 1.
+func (r *simulationResult) preemptLateRun(order []*simulatedItem, now time.Time) int {
 	for place := len(order) - 1; place >= 0 && order[place].late; place-- {
 		if order[place].running && order[place].certainlyLate(now) {
 			order[place].running = false
-			r.cut++
+			r.cutOff++
 			return 1
 		}
 	}
 	return 0
 }
 
-// TestFarTooMuchWork: with three times the work that can be done, what is done is done in time, most of what could be is, few runs are cut off,
-// and callers' requests find room.
+// TestFarTooMuchWork checks that, with three times the work that can be done, most of what can be done is done, and in time, few
+// runs are cut off, and callers' requests find room.
 func TestFarTooMuchWork(t *testing.T) {
-	result := replay(tooMuch)
+	result := simulate(overload)
 	t.Logf("%+v", result)
-	free := float64(tooMuch.slots)*(1-startFreeShare) - tooMuch.online*startOnlineGrowth
-	possible := free * tooMuch.lasting.Seconds() / tooMuch.needs.Seconds()
+	free := float64(overload.slots)*(1-startFreeShare) - overload.online*startOnlineGrowth
+	possible := free * overload.duration.Seconds() / overload.runTime.Seconds()
 	if share := float64(result.inTime) / possible; share < 0.8 {
 		t.Errorf("%.2f of what could be done was done in time", share)
 	}
-	if cuts := float64(result.cut) / float64(result.inTime+result.late); cuts > 1 {
+	if cuts := float64(result.cutOff) / float64(result.inTime+result.late); cuts > 1 {
 		t.Errorf("%.2f runs were cut off for each result, want 1 at most", cuts)
 	}
-	if result.onlineHeldUp > 0 {
-		t.Errorf("callers' requests found no room at %d steps", result.onlineHeldUp)
+	if result.onlineBlocked > 0 {
+		t.Errorf("callers' requests found no room at %d steps", result.onlineBlocked)
 	}
 }
 
-// TestLittleWork: with free replicas each item is one run.
+// TestLittleWork checks that each item is one run while replicas are free.
 func TestLittleWork(t *testing.T) {
-	load := tooMuch
-	load.slots, load.every = 800, 200*time.Millisecond
-	result := replay(load)
-	if result.cut > 0 || result.late > 0 {
-		t.Errorf("%d runs were cut off and %d of %d items late with free replicas", result.cut, result.late, result.inTime+result.late)
+	load := overload
+	load.slots, load.jobInterval = 800, 200*time.Millisecond
+	result := simulate(load)
+	if result.cutOff > 0 || result.late > 0 {
+		t.Errorf("%d runs were cut off and %d of %d items late with free replicas", result.cutOff, result.late, result.inTime+result.late)
 	}
 }
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -111,8 +111,8 @@
 func (s *Service) Works() bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	for _, partition := range s.partitions {
-		if partition.hasWork() {
+	for _, ownedPartition := range s.partitions {
+		if ownedPartition.hasWork() {
 			return true
 		}
 	}
@@ -142,12 +142,12 @@
 // pollLoad asks a replica for its load in the background, with at most one request in flight.
 func (s *Service) pollLoad(ctx context.Context, handle *replica.Handle) {
 	s.mutex.Lock()
-	waits := s.polling[handle] || !handle.Usable()
-	if !waits {
+	skip := s.polling[handle] || !handle.Usable()
+	if !skip {
 		s.polling[handle] = true
 	}
 	s.mutex.Unlock()
-	if waits {
+	if skip {
 		return
 	}
 	go func() {
--- a/internal/batch/snapshot.go
+++ b/internal/batch/snapshot.go
@@ -44,8 +44,8 @@
 		if failures := j.items[number].failures; failures > 0 {
 			encoded.Failed = append(encoded.Failed, &batchpb.Failed{JobId: j.submission.JobId, Item: uint32(number), Failures: uint32(failures)})
 		}
-		for _, ended := range j.items[number].crashes {
-			encoded.Crashed = append(encoded.Crashed, newCrashed(itemKey{job: j.submission.JobId, number: number}, ended))
+		for _, crash := range j.items[number].crashes {
+			encoded.Crashed = append(encoded.Crashed, newCrashed(itemKey{job: j.submission.JobId, number: number}, crash))
 		}
 	}
 	return encoded
--- a/internal/batch/state.go
+++ b/internal/batch/state.go
@@ -163,7 +163,7 @@
 		}
 		text = before + text
 		s.paceOf(job.submission.Route).observe(finishedItem{
-			tokens: job.submission.Items[result.Item].Tokens, text: len(text), ran: time.Duration(result.RanMillis) * time.Millisecond,
+			tokens: job.submission.Items[result.Item].Tokens, text: len(text), runTime: time.Duration(result.RanMillis) * time.Millisecond,
 		})
 	}
 	s.list(job, int(result.Item), result.State, text)
@@ -298,8 +298,8 @@
 		return nil
 	}
 	delete(s.jobs, forgotten.JobId)
-	for index, accepted := range s.order {
-		if accepted == job {
+	for index, other := range s.order {
+		if other == job {
 			s.order = append(s.order[:index:index], s.order[index+1:]...)
 			break
 		}
--- a/internal/batch/state_test.go
+++ b/internal/batch/state_test.go
@@ -12,7 +12,7 @@
 	"github.com/sloelift/sloelift/internal/ledger"
 )
 
-func submissionOf(jobID string, items int) *batchpb.Submission {
+func plainSubmission(jobID string, items int) *batchpb.Submission {
 	submission := &batchpb.Submission{JobId: jobID, Host: "h", Route: "r"}
 	for number := range items {
 		submission.Items = append(submission.Items, &batchpb.Item{Id: fmt.Sprintf("%s-%d", jobID, number), Path: "/p", Body: []byte("body"), Tokens: 10})
@@ -20,7 +20,7 @@
 	return submission
 }
 
-// log applies records and keeps them, as the ledger does.
+// log applies and keeps records, as the ledger does.
 type log struct {
 	t       *testing.T
 	state   *state
@@ -56,18 +56,18 @@
 
 func TestResultGoesOnBehindProgress(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 2), 1)...)
 	log.add(progressRecord("j", 0, 0, "a\nb"), progressRecord("j", 0, 3, "\nc"), successRecord("j", 0, 5, "\nd"))
 	if text, listed := log.text("j", 0); text != "a\nb\nc\nd" || !listed {
 		t.Errorf("text is %q, listed %t", text, listed)
 	}
 }
 
-// TestPartThatDoesNotFitIsPassedOver: a result that overtakes its last progress is neither listed with a hole in its text nor
-// an error, which would make the partition unreadable.
+// TestPartThatDoesNotFitIsPassedOver checks that a result that overtakes its last progress is neither listed with a gap in its text
+// nor treated as an error, which would make the partition unreadable.
 func TestPartThatDoesNotFitIsPassedOver(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 1), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 1), 1)...)
 	log.add(successRecord("j", 0, 3, "\nc"), progressRecord("j", 0, 0, "a\nb"), progressRecord("j", 0, 7, "late"))
 	if text, listed := log.text("j", 0); listed {
 		t.Fatalf("item is listed with text %q", text)
@@ -80,7 +80,7 @@
 
 func TestFirstResultStands(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 2), 1)...)
 	dead := newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 1, State: batchpb.State_STATE_DEAD_LETTER})
 	log.add(successRecord("j", 1, 0, "one"), dead, successRecord("j", 1, 0, "two"), successRecord("j", 0, 0, "zero"))
 	found := log.state.jobs["j"]
@@ -94,8 +94,8 @@
 
 func TestAcceptedOnceAndWaitingTokens(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 3), 1)...)
-	log.add(acceptanceRecords(submissionOf("j", 3), 2)...)
+	log.add(acceptanceRecords(plainSubmission("j", 3), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 3), 2)...)
 	if waiting := log.state.waitingTokens[quotaKey{route: "r"}]; waiting != 30 {
 		t.Errorf("%d tokens wait after a resend, want 30", waiting)
 	}
@@ -112,7 +112,7 @@
 }
 
 func TestLargeSubmissionIsAcceptedFromParts(t *testing.T) {
-	submission := submissionOf("j", 3)
+	submission := plainSubmission("j", 3)
 	for _, item := range submission.Items {
 		item.Body = make([]byte, chunkBytes)
 	}
@@ -131,7 +131,8 @@
 	}
 }
 
-// TestSnapshotIsTheState: at any point the state restored from a snapshot equals the state from the log, and goes on the same.
+// TestSnapshotIsTheState checks that at any point the state restored from a snapshot equals the state from the log, and stays equal
+// as further records are applied.
 func TestSnapshotIsTheState(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		log := newLog(t)
@@ -146,7 +147,7 @@
 			offset := max(0, made+rapid.SampledFrom([]int{0, 0, 0, -1, 1}).Draw(r, "shift"))
 			switch rapid.SampledFrom(kinds).Draw(r, "kind") {
 			case "accept":
-				return acceptanceRecords(submissionOf(job, 3), 1)[0]
+				return acceptanceRecords(plainSubmission(job, 3), 1)[0]
 			case "progress":
 				return progressRecord(job, number, offset, "xy")
 			case "result":
@@ -207,10 +208,10 @@
 	}
 }
 
-// TestNextOwnerKnowsThePace: what finished items tell of the time that others need comes with the log, and with a snapshot of it.
+// TestNextOwnerKnowsThePace checks that the run time estimates from finished items are restored from the log and from a snapshot.
 func TestNextOwnerKnowsThePace(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 3), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 3), 1)...)
 	log.add(newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 0, State: batchpb.State_STATE_SUCCEEDED, Text: "text", RanMillis: 5000}))
 	log.add(successRecord("j", 1, 0, "its time is not known"))
 	encoded, err := log.state.snapshot()
--- a/internal/batch/stopped_test.go
+++ b/internal/batch/stopped_test.go
@@ -8,18 +8,15 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// A submission that came while its partition stopped ended the whole process of a storage node: it began its work in the moment between
-// the end of all other work and the return of the wait for it. Real processes that were stopped in turn wrote
-//
-//	partition_lost cause=released partition=2
-//	panic: sync: WaitGroup is reused before previous Wait has returned
-//
-// from the partition's Stop. Whatever comes after the stop has begun is answered at once and begins nothing.
+// TestSubmissionToAStoppedPartitionBeginsNothing guards against a panic that ended the process of a storage node: a submission that
+// arrived while its partition stopped started its work between the end of all other work and the return of Stop's wait for it
+// ("sync: WaitGroup is reused before previous Wait has returned"). This happened to real processes that were stopped in turn. A
+// submission after the beginning of the stop must be answered at once and start nothing.
 func TestSubmissionToAStoppedPartitionBeginsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, only(replicatest.Hang()))
-		owner.end()
-		submission := batchOf("j", 1)
+		owner := startOwner(t, singleReplica(replicatest.Hang()))
+		owner.stop()
+		submission := testSubmission("j", 1)
 		owner.submitting["j"] = &pendingSubmission{done: make(chan struct{})}
 		pending := owner.startAppend(submission)
 		select {
--- a/internal/batch/tenant_test.go
+++ b/internal/batch/tenant_test.go
@@ -9,17 +9,18 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// TestItemsNameTheirTenant: each run of an item names the job's tenant, whatever the item's own headers say, and none has a key.
+// TestItemsNameTheirTenant checks that each run of an item names the job's tenant, whatever the item's own headers contain, and that
+// none carries an API key.
 func TestItemsNameTheirTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cut := replicatest.Stream("s", false, false, eventOne)
-		owner := own(t, only(replicatest.Then(cut, replicatest.Stream("s", true, false, eventTwo))))
-		submission := batchOf("j", 1)
+		owner := startOwner(t, singleReplica(replicatest.Then(cut, replicatest.Stream("s", true, false, eventTwo))))
+		submission := testSubmission("j", 1)
 		submission.Tenant = "one"
 		submission.Items[0].Headers = []*batchpb.Header{{Name: "X-Tenant", Value: "forged"}, {Name: "x-key", Value: "secret"}}
 		owner.mustSubmit(t, submission)
 		owner.results(t, "j", 1, 5*time.Second)
-		owner.end()
+		owner.stop()
 		runs := owner.replicas.Requests()
 		if len(runs) != 2 {
 			t.Fatalf("%d runs, want 2", len(runs))
@@ -32,22 +33,22 @@
 	})
 }
 
-// TestEachTenantHasItsOwnQuota: what one tenant has waiting does not count for another.
+// TestEachTenantHasItsOwnQuota checks that the waiting tokens of one tenant do not count for another.
 func TestEachTenantHasItsOwnQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := own(t, nil)
+		owner := startOwner(t, nil)
 		for _, step := range []struct {
 			job, tenant string
 			accepted    bool
 		}{{"j1", "one", true}, {"j2", "one", false}, {"j3", "two", true}, {"j4", "two", false}, {"j1", "one", true}} {
-			submission := batchOf(step.job, 4)
+			submission := testSubmission(step.job, 4)
 			submission.Tenant = step.tenant
 			response, err := owner.submit(t.Context(), &batchpb.SubmitRequest{Submission: submission, MaxWaitingTokens: tokensOf(submission)})
 			if err != nil || response.Accepted != step.accepted {
 				t.Errorf("%s of %s: %v, %v, want accepted %t", step.job, step.tenant, response, err, step.accepted)
 			}
 		}
-		owner.end()
+		owner.stop()
 	})
 }
 
