--- a/internal/batch/cold_test.go
+++ b/internal/batch/cold_test.go
@@ -55,7 +55,7 @@
 		limiter.open.Store(1)
 		owner.results(t, "j", 1, 20*time.Second)
 		if sent, asked := countPosts(owner), limiter.asked.Load(); int(asked) < sent {
-			t.Errorf("%d leases were begun, the limiter was asked %d times", sent, asked)
+			t.Errorf("%d leases were started, the limiter was asked %d times", sent, asked)
 		}
 		owner.stop()
 	})
--- a/internal/batch/dispatch_view.go
+++ b/internal/batch/dispatch_view.go
@@ -17,8 +17,8 @@
 	}
 	slots, all := 0, 0
 	for _, service := range batchServices(table) {
-		begin, _, _ := s.itemLimits(service, now)
-		slots += begin
+		startLimit, _, _ := s.itemLimits(service, now)
+		slots += startLimit
 		all += s.directory.View().Slots(service)
 	}
 	s.capacity.observe(slots, all, now)
@@ -63,9 +63,11 @@
 	p.mutex.RUnlock()
 	now := clock.Now()
 	for service, count := range running {
-		begin, keep, _ := p.service.itemLimits(service, now)
-		p.logger.Info().Str("service", service).Int("waiting", waiting).Int("running", count).Int("begin", begin).Int("keep", keep).
-			Int("online", p.service.fleet.Others(service, now).Online()).Int("late", late).Float64("capacity", capacity).Int64("kept_bytes", kept).Int64("yielded", p.preemptions.Load()).Msg("batch_state")
+		startLimit, keepLimit, _ := p.service.itemLimits(service, now)
+		p.logger.Info().Str("service", service).Int("waiting", waiting).Int("running", count).
+			Int("begin", startLimit).Int("keep", keepLimit).Int("online", p.service.fleet.Others(service, now).Online()).
+			Int("late", late).Float64("capacity", capacity).Int64("kept_bytes", kept).Int64("yielded", p.preemptions.Load()).
+			Msg("batch_state")
 	}
 }
 
--- a/internal/batch/door.go
+++ b/internal/batch/door.go
@@ -54,7 +54,10 @@
 }
 
 // NewDoor returns a Door and registers its relay method.
-func NewDoor(locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer, logger zerolog.Logger) *Door {
+func NewDoor(
+	locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer,
+	logger zerolog.Logger,
+) *Door {
 	door := &Door{
 		locator: locator, homes: homes, caller: caller, viewer: viewer, unreached: unreached.NewPeers(unreachableWindow),
 		logger: logger.With().Str(logging.FieldSlice, "batch").Logger(),
--- a/internal/batch/door_homes.go
+++ b/internal/batch/door_homes.go
@@ -72,7 +72,9 @@
 
 // searchPartitions asks all partitions concurrently and returns the first answer that found something. If none did, it returns an
 // answer without a find only if all partitions answered, otherwise one of the errors.
-func searchPartitions[Response foundResponse](ctx context.Context, partitions []uint32, ask func(ctx context.Context, partition uint32) (Response, error)) (Response, error) {
+func searchPartitions[Response foundResponse](
+	ctx context.Context, partitions []uint32, ask func(ctx context.Context, partition uint32) (Response, error),
+) (Response, error) {
 	if len(partitions) == 1 {
 		return ask(ctx, partitions[0])
 	}
--- a/internal/batch/door_homes_test.go
+++ b/internal/batch/door_homes_test.go
@@ -89,9 +89,18 @@
 		{name: "no place at home", regions: region.NewSet("north"), refusal: noHome, reason: outcome.ReasonNoHome, silent: unrelated, jobIn: unrelated},
 		{name: "accepted elsewhere before homes changed", regions: region.NewSet("north"), settling: true, silent: unrelated, jobIn: formerHome},
 		{name: "accepted at home before homes were widened", settling: true, silent: unrelated, jobIn: home},
-		{name: "accepted nowhere before homes changed", regions: region.NewSet("north"), settling: true, silent: unrelated, jobIn: home, want: []ledger.PartitionID{home}},
-		{name: "a former home does not answer", regions: region.NewSet("north"), settling: true, silent: formerHome, reason: outcome.ReasonUnavailable, jobIn: unrelated},
-		{name: "a former home does not answer long after", regions: region.NewSet("north"), silent: formerHome, jobIn: unrelated, want: []ledger.PartitionID{home}},
+		{
+			name: "accepted nowhere before homes changed", regions: region.NewSet("north"), settling: true, silent: unrelated, jobIn: home,
+			want: []ledger.PartitionID{home},
+		},
+		{
+			name: "a former home does not answer", regions: region.NewSet("north"), settling: true, silent: formerHome,
+			reason: outcome.ReasonUnavailable, jobIn: unrelated,
+		},
+		{
+			name: "a former home does not answer long after", regions: region.NewSet("north"), silent: formerHome, jobIn: unrelated,
+			want: []ledger.PartitionID{home},
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -101,7 +110,8 @@
 				made.jobs[test.jobIn] = []string{"j"}
 				made.silent[test.silent] = true
 				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, test.regions)
-				if reason := outcome.As(err); (err != nil) != (test.reason != "") || (err != nil && (reason.Reason != test.reason || reason.Outcome != outcome.NotRun || reason.RetryAfter == 0)) {
+				if failure := outcome.As(err); (err != nil) != (test.reason != "") ||
+					(err != nil && (failure.Reason != test.reason || failure.Outcome != outcome.NotRun || failure.RetryAfter == 0)) {
 					t.Errorf("submission ends with %v", err)
 				}
 				if !slices.Equal(made.submitted, test.want) {
--- a/internal/batch/door_test.go
+++ b/internal/batch/door_test.go
@@ -89,7 +89,7 @@
 		return memory.Conditions{Delay: time.Millisecond}
 	})
 	var transports []*memory.Transport
-	start := func(address netip.AddrPort) *memory.Transport {
+	connect := func(address netip.AddrPort) *memory.Transport {
 		started, err := memory.NewTransport(made.network, address, prometheus.NewRegistry())
 		if err != nil {
 			t.Fatal(err)
@@ -97,10 +97,14 @@
 		transports = append(transports, started)
 		return started
 	}
-	register(start(made.owner))
-	members := []membership.Member{{ID: "e1", PeerAddress: testAddress(9001)}, {ID: "e2", PeerAddress: testAddress(9002), Zone: otherZone}, {ID: "s", PeerAddress: made.owner, Store: true}}
+	register(connect(made.owner))
+	members := []membership.Member{
+		{ID: "e1", PeerAddress: testAddress(9001)},
+		{ID: "e2", PeerAddress: testAddress(9002), Zone: otherZone},
+		{ID: "s", PeerAddress: made.owner, Store: true},
+	}
 	for _, self := range members[:2] {
-		edge := start(self.PeerAddress)
+		edge := connect(self.PeerAddress)
 		view := fixedView{&membership.View{Self: self.ID, Members: members}}
 		made.doors = append(made.doors, NewDoor(fixedLocator{made.owner}, made.homes, edge, edge, view, zerolog.Nop()))
 	}
--- a/internal/batch/evacuation_test.go
+++ b/internal/batch/evacuation_test.go
@@ -55,11 +55,11 @@
 				view.Find("a").Acquire()
 			}
 			service.directory.SetEvacuated(test.zones)
-			begin, keep, running := service.itemLimits("s", now)
-			if begins := begin > running; begins != test.startsMore {
-				t.Errorf("%d may begin, %d run", begin, running)
+			startLimit, keepLimit, running := service.itemLimits("s", now)
+			if mayStart := startLimit > running; mayStart != test.startsMore {
+				t.Errorf("%d may run, %d run", startLimit, running)
 			}
-			if cut := max(0, running-keep); cut != test.preempted {
+			if cut := max(0, running-keepLimit); cut != test.preempted {
 				t.Errorf("%d of %d are cut off, want %d", cut, running, test.preempted)
 			}
 		})
@@ -129,7 +129,7 @@
 		}
 		inZone, elsewhere := startsAt(first), startsAt(second)
 		if slices.ContainsFunc(inZone, func(at time.Time) bool { return at.After(evacuated) }) || len(elsewhere) == 0 {
-			t.Errorf("begun in the evacuated zone at %v, elsewhere at %v; evacuated at %s", inZone, elsewhere, evacuated)
+			t.Errorf("runs started in the evacuated zone at %v, elsewhere at %v; evacuated at %s", inZone, elsewhere, evacuated)
 		}
 	})
 }
--- a/internal/batch/fake_test.go
+++ b/internal/batch/fake_test.go
@@ -151,7 +151,10 @@
 }
 
 // startPartition is startOwner for a partition of an existing service.
-func startPartition(t *testing.T, id ledger.PartitionID, service *Service, fleet *fakeFleet, network *replicatest.Network, routes *route.Holder, records ...ledger.Record) *testOwner {
+func startPartition(
+	t *testing.T, id ledger.PartitionID, service *Service, fleet *fakeFleet, network *replicatest.Network, routes *route.Holder,
+	records ...ledger.Record,
+) *testOwner {
 	t.Helper()
 	owner := newPartition(id, service)
 	owned := &fakeOwned{lost: make(chan struct{}), records: records}
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -137,7 +137,9 @@
 	options := Options{Zone: nodeSettings.Zone, MaxBytes: 1 << 20, KeepResults: time.Hour, Report: replica.LoadReport{
 		Path: "/load", Parse: func([]byte) (replica.Load, error) { return replica.Load{}, nil },
 	}}
-	service := NewService(options, c.routes, directory, &fakeFleet{}, picker, replica.NewClient(c.replicas, replicatest.Headers), node.transport, zerolog.Nop())
+	service := NewService(
+		options, c.routes, directory, &fakeFleet{}, picker, replica.NewClient(c.replicas, replicatest.Headers), node.transport, zerolog.Nop(),
+	)
 	timing := ledger.DefaultTiming()
 	timing.Replace, timing.Formation, timing.Silence, timing.Request = 2*time.Second, time.Second, 800*time.Millisecond, time.Second
 	node.manager = ledger.NewManager(ledger.Dependencies{
@@ -235,7 +237,8 @@
 		}
 	}
 	for _, request := range c.replicas.Requests() {
-		if replicaID := request.Header.Get(replicatest.Headers.ExpectInstance); replicaID != "" && !slices.Contains(allowed, strings.TrimPrefix(replicaID, "replica-")) {
+		if replicaID := request.Header.Get(replicatest.Headers.ExpectInstance); replicaID != "" &&
+			!slices.Contains(allowed, strings.TrimPrefix(replicaID, "replica-")) {
 			c.t.Errorf("an item came to %s", replicaID)
 		}
 	}
--- a/internal/batch/item_attempt.go
+++ b/internal/batch/item_attempt.go
@@ -153,7 +153,8 @@
 	if errors.Is(a.err, replica.ErrEvacuated) {
 		return
 	}
-	if !errors.Is(a.err, errLeaseExpired) && !errors.Is(a.err, quarantine.ErrSuspected) && (!errors.Is(a.err, context.Canceled) || errors.Is(a.err, errSilent)) {
+	if !errors.Is(a.err, errLeaseExpired) && !errors.Is(a.err, quarantine.ErrSuspected) &&
+		(!errors.Is(a.err, context.Canceled) || errors.Is(a.err, errSilent)) {
 		a.handle.Failed(clock.Now())
 	}
 }
@@ -304,7 +305,8 @@
 		if err == nil {
 			continue
 		}
-		p.logger.Warn().Str(logging.FieldJob, key.job).Int("item", key.number).Err(err).Str(logging.FieldReason, string(outcome.As(err).Reason)).Msg(failed)
+		p.logger.Warn().Str(logging.FieldJob, key.job).Int("item", key.number).Err(err).
+			Str(logging.FieldReason, string(outcome.As(err).Reason)).Msg(failed)
 		if !pause.Sleep(p.ctx, appendRetryDelay) {
 			return false
 		}
--- a/internal/batch/item_chance_test.go
+++ b/internal/batch/item_chance_test.go
@@ -55,7 +55,10 @@
 }
 
 func newCrashingReplicas(count int) *crashingReplicas {
-	made := &crashingReplicas{Network: &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}}, ended: map[netip.AddrPort]chan struct{}{}, fatalEvent: -1, interval: eventInterval}
+	made := &crashingReplicas{
+		Network: &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}}, ended: map[netip.AddrPort]chan struct{}{},
+		fatalEvent: -1, interval: eventInterval,
+	}
 	for number := range count {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+number))
 		made.ended[address] = make(chan struct{})
--- a/internal/batch/item_crash_test.go
+++ b/internal/batch/item_crash_test.go
@@ -256,7 +256,8 @@
 		}
 		owner.stop()
 		if register.runs != 2 || owner.service.directory.View().Find("a").FailureRate() != 0 {
-			t.Errorf("%d runs, want 2; failure rate of the replica is %v, want 0: this node cut the run off", register.runs, owner.service.directory.View().Find("a").FailureRate())
+			t.Errorf("%d runs, want 2; failure rate of the replica is %v, want 0: this node cut the run off",
+				register.runs, owner.service.directory.View().Find("a").FailureRate())
 		}
 		if len(register.crashed) != 0 {
 			t.Error("a run that was cut off counts as an end")
--- a/internal/batch/item_plan_test.go
+++ b/internal/batch/item_plan_test.go
@@ -16,8 +16,8 @@
 func TestPlanGivesUpWhatCannotBeInTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	type input struct {
-		dueIn, left time.Duration
-		begun       bool
+		dueIn, remaining time.Duration
+		started          bool
 	}
 	for _, test := range []struct {
 		name  string
@@ -27,14 +27,26 @@
 	}{
 		{"all fit", 2, []input{{10 * time.Second, 5 * time.Second, false}, {10 * time.Second, 5 * time.Second, false}}, []bool{false, false}},
 		{"alone it would be late", 9, []input{{3 * time.Second, 5 * time.Second, true}}, []bool{true}},
-		{"the last due is given up, however long the others are", 1, []input{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, false}}, []bool{false, false, true}},
-		{"what has begun is kept", 1, []input{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, true}}, []bool{false, true, false}},
-		{"what has begun is given up last", 1, []input{{6 * time.Second, 4 * time.Second, true}, {7 * time.Second, 4 * time.Second, true}, {8 * time.Second, time.Second, false}}, []bool{false, true, false}},
+		{
+			"the last due is given up, however long the others are", 1,
+			[]input{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, false}},
+			[]bool{false, false, true},
+		},
+		{
+			"what has begun is kept", 1,
+			[]input{{6 * time.Second, 4 * time.Second, false}, {7 * time.Second, 3 * time.Second, false}, {8 * time.Second, 3 * time.Second, true}},
+			[]bool{false, true, false},
+		},
+		{
+			"what has begun is given up last", 1,
+			[]input{{6 * time.Second, 4 * time.Second, true}, {7 * time.Second, 4 * time.Second, true}, {8 * time.Second, time.Second, false}},
+			[]bool{false, true, false},
+		},
 		{"without a due time", 1, []input{{0, time.Hour, false}}, []bool{false}},
 	} {
 		items := make([]candidate, 0, len(test.items))
 		for _, planned := range test.items {
-			item := candidate{remaining: planned.left, started: planned.begun}
+			item := candidate{remaining: planned.remaining, started: planned.started}
 			if planned.dueIn > 0 {
 				item.due = now.Add(planned.dueIn)
 			}
@@ -135,7 +147,7 @@
 		owner.inTimeSinceLate = inTimePerLate
 		owner.mutex.Unlock()
 		if found := owner.candidates(table); found[0].key.job != "old" {
-			t.Errorf("after %d in time, the order is %v: no late one is begun", inTimePerLate, jobIDs(found))
+			t.Errorf("after %d items in time the order is %v, want a late one first", inTimePerLate, jobIDs(found))
 		}
 		owner.stop()
 	})
@@ -165,9 +177,9 @@
 		time.Sleep(1500 * time.Millisecond)
 		owner.mutex.RLock()
 		run := owner.runs[itemKey{job: "new"}]
-		begun := run != nil && run.running
+		running := run != nil && run.running
 		owner.mutex.RUnlock()
-		if !begun {
+		if !running {
 			t.Error("the new item waits behind late ones")
 		}
 		if owner.state.jobs["old"].items[0].state == batchpb.State_STATE_DEAD_LETTER {
--- a/internal/batch/online_load.go
+++ b/internal/batch/online_load.go
@@ -110,8 +110,8 @@
 }
 
 func (s *Service) hasRoom(service string, now time.Time) bool {
-	begin, _, running := s.itemLimits(service, now)
-	return running < begin
+	startLimit, _, running := s.itemLimits(service, now)
+	return running < startLimit
 }
 
 // preemptExcess cuts off the least urgent items where online requests need their room.
@@ -137,9 +137,9 @@
 			continue
 		}
 		service := run.handle.Info().Service
-		if _, known := excess[service]; !known {
-			_, keep, running := p.service.itemLimits(service, now)
-			excess[service] = running - keep
+		if _, computed := excess[service]; !computed {
+			_, keepLimit, running := p.service.itemLimits(service, now)
+			excess[service] = running - keepLimit
 		}
 	}
 	for service, count := range excess {
--- a/internal/batch/online_load_test.go
+++ b/internal/batch/online_load_test.go
@@ -64,16 +64,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		service, fleet, _, _ := newService(singleReplica(replicatest.Refuse()))
 		fleet.setSince(time.Now())
-		if begin, _, _ := service.itemLimits("s", time.Now()); begin != 0 {
-			t.Errorf("%d items may begin at once", begin)
+		if startLimit, _, _ := service.itemLimits("s", time.Now()); startLimit != 0 {
+			t.Errorf("%d items may start at once", startLimit)
 		}
 		time.Sleep(rampSpan / 2)
 		if ramp := service.ramp(time.Now()); ramp < 0.45 || ramp > 0.55 {
 			t.Errorf("ramp is %f half way", ramp)
 		}
 		time.Sleep(rampSpan)
-		if begin, _, _ := service.itemLimits("s", time.Now()); begin < 3 {
-			t.Errorf("%d items may begin on 4 idle slots", begin)
+		if startLimit, _, _ := service.itemLimits("s", time.Now()); startLimit < 3 {
+			t.Errorf("%d items may start on 4 idle slots", startLimit)
 		}
 	})
 }
@@ -83,8 +83,8 @@
 	service, fleet, _, _ := newService(map[string]replicatest.Script{"a": replicatest.Refuse(), "b": replicatest.Refuse(), "c": replicatest.Refuse()})
 	limitAlone, _, _ := service.itemLimits("s", time.Now())
 	fleet.set(loadshare.Demand{}, 5)
-	if begin, _, _ := service.itemLimits("s", time.Now()); begin != limitAlone-5 {
-		t.Errorf("%d items may start besides 5 of other nodes, %d without those", begin, limitAlone)
+	if startLimit, _, _ := service.itemLimits("s", time.Now()); startLimit != limitAlone-5 {
+		t.Errorf("%d items may start besides 5 of other nodes, %d without those", startLimit, limitAlone)
 	}
 	for _, test := range []struct{ keep, running, elsewhere, want int }{
 		{12, 4, 4, 8}, {12, 0, 12, 0}, {6, 6, 6, 3}, {0, 5, 5, 0}, {6, 9, 0, 6},
@@ -99,7 +99,7 @@
 func TestRequestsThatAreHeldBackTakeRoom(t *testing.T) {
 	service, fleet, _, _ := newService(singleReplica(replicatest.Refuse()))
 	fleet.set(loadshare.Demand{InUse: 1, Waiting: 3}, 0)
-	if begin, keep, _ := service.itemLimits("s", time.Now()); begin != 0 || keep != 0 {
-		t.Errorf("start limit %d, keep limit %d with 4 slots wanted of 4", begin, keep)
+	if startLimit, keepLimit, _ := service.itemLimits("s", time.Now()); startLimit != 0 || keepLimit != 0 {
+		t.Errorf("start limit %d, keep limit %d with 4 slots wanted of 4", startLimit, keepLimit)
 	}
 }
--- a/internal/batch/owner.go
+++ b/internal/batch/owner.go
@@ -74,8 +74,8 @@
 	quota := quotaOf(submission)
 	waiting := p.state.waitingTokens[quota] + p.reserved[quota]
 	if maxTokens > 0 && waiting+tokens > maxTokens {
-		p.logger.Info().Str(logging.FieldJob, submission.JobId).Str(logging.FieldTenant, submission.Tenant).Int64("waiting_tokens", waiting).Int64("tokens", tokens).
-			Int64("allowed", maxTokens).Msg("job_over_quota")
+		p.logger.Info().Str(logging.FieldJob, submission.JobId).Str(logging.FieldTenant, submission.Tenant).
+			Int64("waiting_tokens", waiting).Int64("tokens", tokens).Int64("allowed", maxTokens).Msg("job_over_quota")
 		return nil, &batchpb.SubmitResponse{OverQuota: true}, nil
 	}
 	if err := p.checkBacklog(submission); err != nil {
--- a/internal/batch/partition_test.go
+++ b/internal/batch/partition_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("text is %q", text)
 		}
 		if resumed := owner.replicas.Requests()[1].Header.Get("Last-Event-Id"); resumed != "1" {
-			t.Errorf("went on behind %q, want 1", resumed)
+			t.Errorf("resumed after event %q, want 1", resumed)
 		}
 		owner.stop()
 	})
@@ -256,7 +256,7 @@
 			t.Errorf("text is %q", text)
 		}
 		if resumed := successor.replicas.Requests()[0].Header.Get("Last-Event-Id"); resumed != "1" {
-			t.Errorf("went on behind %q, want 1", resumed)
+			t.Errorf("resumed after event %q, want 1", resumed)
 		}
 		successor.stop()
 	})
--- a/internal/batch/saturation_test.go
+++ b/internal/batch/saturation_test.go
@@ -60,7 +60,8 @@
 			for number := range load.items {
 				runTime := time.Duration(float64(load.runTime) * (0.6 + 0.8*random.Float64()))
 				items = append(items, simulatedItem{candidate: candidate{
-					key: itemKey{job: fmt.Sprint(nextJob.UnixNano()), number: number}, acceptedAt: nextJob.UnixMilli(), due: nextJob.Add(load.dueAfter), remaining: runTime,
+					key: itemKey{job: fmt.Sprint(nextJob.UnixNano()), number: number}, acceptedAt: nextJob.UnixMilli(),
+					due: nextJob.Add(load.dueAfter), remaining: runTime,
 				}})
 			}
 		}
@@ -93,7 +94,9 @@
 }
 
 // step makes the decisions of one interval.
-func (r *simulationResult) step(items []simulatedItem, now time.Time, startLimit, keepLimit int, sizer *leaseSizer, slots float64, online int, capacity float64) {
+func (r *simulationResult) step(
+	items []simulatedItem, now time.Time, startLimit, keepLimit int, sizer *leaseSizer, slots float64, online int, capacity float64,
+) {
 	candidates := make([]candidate, len(items))
 	running := 0
 	for index := range items {
@@ -111,9 +114,9 @@
 		order[index] = &items[index]
 	}
 	slices.SortStableFunc(order, func(a, b *simulatedItem) int { return compareCandidates(a.candidate, b.candidate) })
-	for index := len(order) - 1; index >= 0 && running > keepLimit; index-- {
-		if order[index].running {
-			order[index].running = false
+	for last := len(order) - 1; last >= 0 && running > keepLimit; last-- {
+		if order[last].running {
+			order[last].running = false
 			running--
 			r.cutOff++
 		}
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -61,7 +61,10 @@
 }
 
 // NewService returns a Service and registers its methods.
-func NewService(options Options, routes *route.Holder, directory *replica.Directory, fleet FleetLoad, picker *balance.Picker, client *replica.Client, registrar transport.Registrar, logger zerolog.Logger) *Service {
+func NewService(
+	options Options, routes *route.Holder, directory *replica.Directory, fleet FleetLoad, picker *balance.Picker, client *replica.Client,
+	registrar transport.Registrar, logger zerolog.Logger,
+) *Service {
 	service := &Service{
 		options: options, routes: routes, directory: directory, picker: picker, client: client,
 		logger:     logger.With().Str(logging.FieldSlice, "batch").Logger(),
--- a/internal/batch/state_test.go
+++ b/internal/batch/state_test.go
@@ -204,7 +204,8 @@
 		r.Fatalf("states differ:\n%v\n%v", wantSnapshot, gotSnapshot)
 	}
 	if want.bytes != got.bytes || want.waitingTokens[quotaKey{route: "r"}] != got.waitingTokens[quotaKey{route: "r"}] {
-		r.Fatalf("bytes %d and %d, waiting tokens %d and %d", want.bytes, got.bytes, want.waitingTokens[quotaKey{route: "r"}], got.waitingTokens[quotaKey{route: "r"}])
+		r.Fatalf("bytes %d and %d, waiting tokens %d and %d", want.bytes, got.bytes,
+			want.waitingTokens[quotaKey{route: "r"}], got.waitingTokens[quotaKey{route: "r"}])
 	}
 }
 
