--- a/internal/batch/appender.go
+++ b/internal/batch/appender.go
@@ -27,11 +27,11 @@
 }
 
 func newProposal(records ...ledger.Record) *proposal {
-	made := &proposal{records: records, done: make(chan error, 1)}
+	created := &proposal{records: records, done: make(chan error, 1)}
 	for _, record := range records {
-		made.bytes += len(record.Payload)
+		created.bytes += len(record.Payload)
 	}
-	return made
+	return created
 }
 
 func newRecord(kind ledger.RecordKind, message proto.Message) ledger.Record {
--- a/internal/batch/cold_test.go
+++ b/internal/batch/cold_test.go
@@ -13,10 +13,10 @@
 )
 
 // switchedLimiter admits while it is open.
-type switchedLimiter struct{ open, asked atomic.Int64 }
+type switchedLimiter struct{ open, calls atomic.Int64 }
 
 func (s *switchedLimiter) Take(*replica.Handle) bool {
-	s.asked.Add(1)
+	s.calls.Add(1)
 	return s.open.Load() > 0
 }
 
@@ -28,8 +28,8 @@
 		owner.service.options.ColdStarts = limiter
 		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(2 * time.Second)
-		if sent := countPosts(owner); sent != 0 || limiter.asked.Load() == 0 {
-			t.Errorf("%d items were sent, the limiter was asked %d times", sent, limiter.asked.Load())
+		if sent := countPosts(owner); sent != 0 || limiter.calls.Load() == 0 {
+			t.Errorf("%d items were sent, the limiter was asked %d times", sent, limiter.calls.Load())
 		}
 		limiter.open.Store(1)
 		owner.results(t, "j", 1, 5*time.Second)
@@ -54,7 +54,7 @@
 		}
 		limiter.open.Store(1)
 		owner.results(t, "j", 1, 20*time.Second)
-		if sent, asked := countPosts(owner), limiter.asked.Load(); int(asked) < sent {
+		if sent, asked := countPosts(owner), limiter.calls.Load(); int(asked) < sent {
 			t.Errorf("%d leases were started, the limiter was asked %d times", sent, asked)
 		}
 		owner.stop()
@@ -133,7 +133,7 @@
 		for began := time.Now(); time.Since(began) < span; time.Sleep(10 * time.Millisecond) {
 			owner.wake()
 		}
-		if asked, most := limiter.asked.Load(), int64(span/suspectedRetryDelay)+1; asked == 0 || asked > most {
+		if asked, most := limiter.calls.Load(), int64(span/suspectedRetryDelay)+1; asked == 0 || asked > most {
 			t.Errorf("a replica was chosen %d times in %s, want 1 to %d", asked, span, most)
 		}
 		limiter.open.Store(1)
--- a/internal/batch/dispatcher.go
+++ b/internal/batch/dispatcher.go
@@ -45,7 +45,7 @@
 	// handle is the replica of the current run, startedAt the start of that run, since the partition's start.
 	handle    *replica.Handle
 	startedAt time.Duration
-	// interrupted is true once this process has cut off the current run.
+	// interrupted is true once interrupt has cut off the current run.
 	interrupted bool
 	// acceptedAt is when the job was accepted, in milliseconds since 1970; route is the route by which the item was last sent.
 	acceptedAt int64
--- a/internal/batch/door_homes_test.go
+++ b/internal/batch/door_homes_test.go
@@ -37,30 +37,30 @@
 
 func newTestHomes(t *testing.T) *testHomes {
 	t.Helper()
-	made := &testHomes{jobs: map[ledger.PartitionID][]string{}, silent: map[ledger.PartitionID]bool{}}
-	made.testEdges = newEdgesWith(t, func(owner *memory.Transport) {
+	homes := &testHomes{jobs: map[ledger.PartitionID][]string{}, silent: map[ledger.PartitionID]bool{}}
+	homes.testEdges = newEdgesWith(t, func(owner *memory.Transport) {
 		transport.Handle(owner, methodSubmit, func() *batchpb.SubmitRequest { return &batchpb.SubmitRequest{} },
 			func(_ context.Context, _ netip.AddrPort, request *batchpb.SubmitRequest) (*batchpb.SubmitResponse, error) {
-				made.mutex.Lock()
-				defer made.mutex.Unlock()
+				homes.mutex.Lock()
+				defer homes.mutex.Unlock()
 				partition := ledger.PartitionID(request.Partition)
-				made.submitted = append(made.submitted, partition)
-				made.jobs[partition] = append(made.jobs[partition], request.Submission.JobId)
+				homes.submitted = append(homes.submitted, partition)
+				homes.jobs[partition] = append(homes.jobs[partition], request.Submission.JobId)
 				return &batchpb.SubmitResponse{Accepted: true}, nil
 			})
 		transport.Handle(owner, methodRead, func() *batchpb.ReadRequest { return &batchpb.ReadRequest{} },
 			func(_ context.Context, _ netip.AddrPort, request *batchpb.ReadRequest) (*batchpb.ReadResponse, error) {
-				found, err := made.has(request.Partition, request.JobId)
+				found, err := homes.has(request.Partition, request.JobId)
 				return &batchpb.ReadResponse{Found: found}, err
 			})
 		transport.Handle(owner, methodEnd, func() *batchpb.EndRequest { return &batchpb.EndRequest{} },
 			func(_ context.Context, _ netip.AddrPort, request *batchpb.EndRequest) (*batchpb.EndResponse, error) {
-				found, err := made.has(request.Partition, request.JobId)
+				found, err := homes.has(request.Partition, request.JobId)
 				return &batchpb.EndResponse{Found: found}, err
 			})
 	})
-	made.homes.within = []ledger.PartitionID{home, formerHome}
-	return made
+	homes.homes.within = []ledger.PartitionID{home, formerHome}
+	return homes
 }
 
 func (h *testHomes) has(partition uint32, job string) (bool, error) {
@@ -104,18 +104,18 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newTestHomes(t)
-				defer made.stop()
-				made.homes.refusal, made.homes.settling = test.refusal, test.settling
-				made.jobs[test.jobIn] = []string{"j"}
-				made.silent[test.silent] = true
-				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, test.regions)
+				homes := newTestHomes(t)
+				defer homes.stop()
+				homes.homes.refusal, homes.homes.settling = test.refusal, test.settling
+				homes.jobs[test.jobIn] = []string{"j"}
+				homes.silent[test.silent] = true
+				err := homes.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, test.regions)
 				if failure := outcome.As(err); (err != nil) != (test.reason != "") ||
 					(err != nil && (failure.Reason != test.reason || failure.Outcome != outcome.NotRun || failure.RetryAfter == 0)) {
 					t.Errorf("submission ends with %v", err)
 				}
-				if !slices.Equal(made.submitted, test.want) {
-					t.Errorf("submitted to %v, want %v", made.submitted, test.want)
+				if !slices.Equal(homes.submitted, test.want) {
+					t.Errorf("submitted to %v, want %v", homes.submitted, test.want)
 				}
 			})
 		})
@@ -137,16 +137,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newTestHomes(t)
-				defer made.stop()
-				made.jobs[test.jobIn] = []string{"j"}
-				made.silent[test.silent] = true
+				homes := newTestHomes(t)
+				defer homes.stop()
+				homes.jobs[test.jobIn] = []string{"j"}
+				homes.silent[test.silent] = true
 				caller := Caller{Host: testHost}
-				response, err := made.doors[0].Read(t.Context(), caller, "j", 0, 0)
+				response, err := homes.doors[0].Read(t.Context(), caller, "j", 0, 0)
 				if (err != nil) != test.fails || (err == nil && response.Found != test.found) {
 					t.Errorf("read: %v, %v", response, err)
 				}
-				ended, err := made.doors[0].End(t.Context(), caller, "j")
+				ended, err := homes.doors[0].End(t.Context(), caller, "j")
 				if (err != nil) != test.fails || (err == nil && ended.Found != test.found) {
 					t.Errorf("end: %v, %v", ended, err)
 				}
@@ -161,17 +161,17 @@
 	for name, outside := range map[string]bool{"edge in a home": false, "edge abroad": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newTestHomes(t)
-				defer made.stop()
-				made.homes.outside = map[string]bool{otherZone: outside}
+				homes := newTestHomes(t)
+				defer homes.stop()
+				homes.homes.outside = map[string]bool{otherZone: outside}
 				cutOff := testAddress(9001)
-				made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-					cut := (from == cutOff && to == made.owner) || (from == made.owner && to == cutOff)
+				homes.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
+					cut := (from == cutOff && to == homes.owner) || (from == homes.owner && to == cutOff)
 					return memory.Conditions{Delay: time.Millisecond, Cut: cut}
 				})
-				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.NewSet("north"))
-				if (err != nil) != outside || (len(made.submitted) == 0) != outside {
-					t.Errorf("submission ends with %v, submitted to %v", err, made.submitted)
+				err := homes.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.NewSet("north"))
+				if (err != nil) != outside || (len(homes.submitted) == 0) != outside {
+					t.Errorf("submission ends with %v, submitted to %v", err, homes.submitted)
 				}
 			})
 		})
--- a/internal/batch/door_test.go
+++ b/internal/batch/door_test.go
@@ -84,39 +84,39 @@
 // newEdgesWith starts an owner with the methods that register adds.
 func newEdgesWith(t *testing.T, register func(owner *memory.Transport)) *testEdges {
 	t.Helper()
-	made := &testEdges{homes: &fixedHomes{}, network: memory.NewNetwork(1), owner: testAddress(9000)}
-	made.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
+	created := &testEdges{homes: &fixedHomes{}, network: memory.NewNetwork(1), owner: testAddress(9000)}
+	created.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: time.Millisecond}
 	})
 	var transports []*memory.Transport
 	connect := func(address netip.AddrPort) *memory.Transport {
-		started, err := memory.NewTransport(made.network, address, prometheus.NewRegistry())
+		started, err := memory.NewTransport(created.network, address, prometheus.NewRegistry())
 		if err != nil {
 			t.Fatal(err)
 		}
 		transports = append(transports, started)
 		return started
 	}
-	register(connect(made.owner))
+	register(connect(created.owner))
 	members := []membership.Member{
 		{ID: "e1", PeerAddress: testAddress(9001)},
 		{ID: "e2", PeerAddress: testAddress(9002), Zone: otherZone},
-		{ID: "s", PeerAddress: made.owner, Store: true},
+		{ID: "s", PeerAddress: created.owner, Store: true},
 	}
 	for _, self := range members[:2] {
 		edge := connect(self.PeerAddress)
 		view := fixedView{&membership.View{Self: self.ID, Members: members}}
-		made.doors = append(made.doors, NewDoor(fixedLocator{made.owner}, made.homes, edge, edge, view, zerolog.Nop()))
+		created.doors = append(created.doors, NewDoor(fixedLocator{created.owner}, created.homes, edge, edge, view, zerolog.Nop()))
 	}
 	for _, endpoint := range transports {
 		endpoint.Start()
 	}
-	made.stop = func() {
+	created.stop = func() {
 		for _, endpoint := range transports {
 			endpoint.Stop()
 		}
 	}
-	return made
+	return created
 }
 
 var batchRoute = &route.Route{Name: "r", Kind: route.Batch}
@@ -140,10 +140,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				made := newEdges(t, test.answer)
-				defer made.stop()
+				cluster := newEdges(t, test.answer)
+				defer cluster.stop()
 				began := time.Now()
-				err := made.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.Set{})
+				err := cluster.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.Set{})
 				if outcome.Of(err) != test.want || (err != nil && outcome.As(err).Reason != test.reason) {
 					t.Errorf("submission ends with %v", err)
 				}
@@ -158,18 +158,18 @@
 // TestOwnerOutOfReachIsAskedThroughAnotherEdge checks that an edge that is cut off from the owner still gets its jobs accepted.
 func TestOwnerOutOfReachIsAskedThroughAnotherEdge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		made := newEdges(t, func() (*batchpb.SubmitResponse, error) { return &batchpb.SubmitResponse{Accepted: true}, nil })
-		defer made.stop()
+		cluster := newEdges(t, func() (*batchpb.SubmitResponse, error) { return &batchpb.SubmitResponse{Accepted: true}, nil })
+		defer cluster.stop()
 		cutOff := testAddress(9001)
-		made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-			cut := (from == cutOff && to == made.owner) || (from == made.owner && to == cutOff)
+		cluster.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
+			cut := (from == cutOff && to == cluster.owner) || (from == cluster.owner && to == cutOff)
 			return memory.Conditions{Delay: time.Millisecond, Cut: cut}
 		})
-		if err := made.doors[0].Submit(t.Context(), testSubmission("j1", 1), batchRoute, region.Set{}); err != nil {
+		if err := cluster.doors[0].Submit(t.Context(), testSubmission("j1", 1), batchRoute, region.Set{}); err != nil {
 			t.Errorf("first submission: %v", err)
 		}
 		began := time.Now()
-		if err := made.doors[0].Submit(t.Context(), testSubmission("j2", 1), batchRoute, region.Set{}); err != nil || time.Since(began) > 100*time.Millisecond {
+		if err := cluster.doors[0].Submit(t.Context(), testSubmission("j2", 1), batchRoute, region.Set{}); err != nil || time.Since(began) > 100*time.Millisecond {
 			t.Errorf("second submission: %v after %s", err, time.Since(began))
 		}
 	})
--- a/internal/batch/item_chance_test.go
+++ b/internal/batch/item_chance_test.go
@@ -55,18 +55,18 @@
 }
 
 func newCrashingReplicas(count int) *crashingReplicas {
-	made := &crashingReplicas{
+	replicas := &crashingReplicas{
 		Network: &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{}}, ended: map[netip.AddrPort]chan struct{}{},
 		fatalEvent: -1, interval: eventInterval,
 	}
 	for number := range count {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+number))
-		made.ended[address] = make(chan struct{})
-		made.Scripts[address] = func(connection net.Conn, request *http.Request) bool {
-			return made.answer(address, connection, request)
+		replicas.ended[address] = make(chan struct{})
+		replicas.Scripts[address] = func(connection net.Conn, request *http.Request) bool {
+			return replicas.answer(address, connection, request)
 		}
 	}
-	return made
+	return replicas
 }
 
 func (m *crashingReplicas) infos() []replica.Info {
@@ -166,9 +166,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	alone := membership.Member{ID: "n", State: membership.Alive, PeerAddress: address}
+	self := membership.Member{ID: "n", State: membership.Alive, PeerAddress: address}
 	register := quarantine.NewService(quarantine.Options{
-		Network: replicas, Directory: service.directory, Viewer: membershiptest.NewViewer(&membership.View{Self: "n", Members: []membership.Member{alone}}),
+		Network: replicas, Directory: service.directory, Viewer: membershiptest.NewViewer(&membership.View{Self: "n", Members: []membership.Member{self}}),
 		Caller: connected, Registrar: connected, Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
 	})
 	connected.Start()
@@ -264,9 +264,9 @@
 func TestRecordedEndsThatTheTextHasPassedAreNotRecalled(t *testing.T) {
 	text := func(events int) string { return strings.TrimSuffix(strings.Repeat("x\n", events), "\n") }
 	for name, test := range map[string]struct {
-		reached []*uint32
-		made    int
-		want    batchpb.State
+		reached      []*uint32
+		loggedEvents int
+		want         batchpb.State
 	}{
 		"it has come further":               {[]*uint32{proto.Uint32(8), proto.Uint32(38), proto.Uint32(120)}, 200, batchpb.State_STATE_SUCCEEDED},
 		"records of another build":          {[]*uint32{nil, nil, nil}, 200, batchpb.State_STATE_DEAD_LETTER},
@@ -279,8 +279,8 @@
 				for number, reached := range test.reached {
 					records = append(records, newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: "j", Replica: uint64(100 + number), Reached: reached}))
 				}
-				if test.made > 0 {
-					records = append(records, newRecord(ledger.KindBatchProgress, &batchpb.Progress{JobId: "j", Text: text(test.made), LastEvent: fmt.Sprint(test.made)}))
+				if test.loggedEvents > 0 {
+					records = append(records, newRecord(ledger.KindBatchProgress, &batchpb.Progress{JobId: "j", Text: text(test.loggedEvents), LastEvent: fmt.Sprint(test.loggedEvents)}))
 				}
 				owner := startOwnerWithQuarantine(t, newCrashingReplicas(12), records...)
 				defer owner.stop()
--- a/internal/batch/item_deferred_test.go
+++ b/internal/batch/item_deferred_test.go
@@ -22,17 +22,17 @@
 
 // newCrashSeries starts a series in which every replica that gets an item crashes.
 func newCrashSeries(replicas int, lasts time.Duration) *crashSeries {
-	made := &crashSeries{crashingReplicas: newCrashingReplicas(replicas), until: time.Now().Add(lasts)}
-	made.closeConnections = true
-	for address, script := range made.Scripts {
-		made.Scripts[address] = func(connection net.Conn, request *http.Request) bool {
-			if request.Method != http.MethodGet && time.Now().Before(made.until) {
-				time.AfterFunc(3*eventInterval, func() { made.end(address) })
+	series := &crashSeries{crashingReplicas: newCrashingReplicas(replicas), until: time.Now().Add(lasts)}
+	series.closeConnections = true
+	for address, script := range series.Scripts {
+		series.Scripts[address] = func(connection net.Conn, request *http.Request) bool {
+			if request.Method != http.MethodGet && time.Now().Before(series.until) {
+				time.AfterFunc(3*eventInterval, func() { series.end(address) })
 			}
 			return script(connection, request)
 		}
 	}
-	return made
+	return series
 }
 
 // crashOthers ends one replica without items per interval, each under a different message, as it appears to nodes that send requests
@@ -82,10 +82,10 @@
 		defer owner.stop()
 		accepted := time.Now()
 		owner.mustSubmit(t, testSubmission("j", 1))
-		beside := *series
-		beside.until = accepted.Add(50 * time.Second)
+		others := *series
+		others.until = accepted.Add(50 * time.Second)
 		var running sync.WaitGroup
-		running.Go(func() { beside.crashOthers(t, owner, 400*time.Millisecond) })
+		running.Go(func() { others.crashOthers(t, owner, 400*time.Millisecond) })
 		defer running.Wait()
 		result := owner.results(t, "j", 1, 50*time.Second)[0]
 		// The route keeps items for a minute, and a deciding run is deferred for half of that.
--- a/internal/batch/online_load.go
+++ b/internal/batch/online_load.go
@@ -78,11 +78,11 @@
 	slots := view.WorkingSlots(service, now) + view.EvacuatedInUse(service, now)
 	running = runningAt(view, service)
 	others := s.fleet.Others(service, now)
-	present, elsewhere := others.Online(), others.Batch
+	present, otherItems := others.Online(), others.Batch
 	recent := s.peaks.observe(service, present, now)
 	startLimit = int((float64(slots)*(1-startFreeShare) - float64(recent)*startOnlineGrowth) * s.ramp(now))
 	keepLimit = max(startLimit, int(float64(slots)*(1-keepFreeShare)-float64(present)*keepOnlineGrowth))
-	return max(0, startLimit-elsewhere), ownShare(max(0, keepLimit), running, elsewhere), running
+	return max(0, startLimit-otherItems), ownShare(max(0, keepLimit), running, otherItems), running
 }
 
 // occupancy returns the share of the slots of service that is used by the requests and items of all nodes.
--- a/internal/batch/state_test.go
+++ b/internal/batch/state_test.go
@@ -140,11 +140,11 @@
 		step := func(s *state) ledger.Record {
 			job := fmt.Sprintf("j%d", rapid.IntRange(0, 2).Draw(r, "job"))
 			number := rapid.IntRange(0, 2).Draw(r, "item")
-			made := 0
+			loggedSize := 0
 			if found := s.jobs[job]; found != nil {
-				made = len(found.items[number].loggedText())
+				loggedSize = len(found.items[number].loggedText())
 			}
-			offset := max(0, made+rapid.SampledFrom([]int{0, 0, 0, -1, 1}).Draw(r, "shift"))
+			offset := max(0, loggedSize+rapid.SampledFrom([]int{0, 0, 0, -1, 1}).Draw(r, "shift"))
 			switch rapid.SampledFrom(kinds).Draw(r, "kind") {
 			case "accept":
 				return acceptanceRecords(plainSubmission(job, 3), 1)[0]
--- a/internal/batch/tenant_test.go
+++ b/internal/batch/tenant_test.go
@@ -13,8 +13,8 @@
 // none carries an API key.
 func TestItemsNameTheirTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cut := replicatest.Stream("s", false, false, eventOne)
-		owner := startOwner(t, singleReplica(replicatest.Then(cut, replicatest.Stream("s", true, false, eventTwo))))
+		interrupted := replicatest.Stream("s", false, false, eventOne)
+		owner := startOwner(t, singleReplica(replicatest.Then(interrupted, replicatest.Stream("s", true, false, eventTwo))))
 		submission := testSubmission("j", 1)
 		submission.Tenant = "one"
 		submission.Items[0].Headers = []*batchpb.Header{{Name: "X-Tenant", Value: "forged"}, {Name: "x-key", Value: "secret"}}
