--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -3,8 +3,12 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 var (
-	stalledDescription = prometheus.NewDesc("sloelift_batch_items_stalled", "Items of open jobs that have made nothing for five seconds, by what they wait for.", []string{"reason"}, nil)
-	longestDescription = prometheus.NewDesc("sloelift_batch_item_stalled_seconds_max", "The longest time for which an item of an open job has made nothing.", nil, nil)
+	stalledDescription = prometheus.NewDesc(
+		"sloelift_batch_items_stalled", "Items of open jobs without progress for five seconds, by what they wait for.", []string{"reason"}, nil,
+	)
+	longestDescription = prometheus.NewDesc(
+		"sloelift_batch_item_stalled_seconds_max", "The longest time for which an item of an open job has made no progress.", nil, nil,
+	)
 )
 
 // Describe implements prometheus.Collector.
@@ -13,21 +17,21 @@
 	descriptions <- longestDescription
 }
 
-// Collect implements prometheus.Collector: what the partitions owned here show now.
+// Collect implements prometheus.Collector for the partitions owned by this process.
 func (s *Service) Collect(metrics chan<- prometheus.Metric) {
 	s.mutex.RLock()
 	owned := make([]*partition, 0, len(s.partitions))
-	for _, each := range s.partitions {
-		owned = append(owned, each)
+	for _, ownedPartition := range s.partitions {
+		owned = append(owned, ownedPartition)
 	}
 	s.mutex.RUnlock()
 	counts, longest := map[stallReason]int{}, 0.0
-	for _, each := range owned {
-		found := each.stalled()
-		for reason, count := range found.counts {
+	for _, ownedPartition := range owned {
+		found := ownedPartition.stalled()
+		for reason, count := range found.byReason {
 			counts[reason] += count
 		}
-		longest = max(longest, found.longest.lasted.Seconds())
+		longest = max(longest, found.longest.duration.Seconds())
 	}
 	for _, reason := range stallReasons {
 		metrics <- prometheus.MustNewConstMetric(stalledDescription, prometheus.GaugeValue, float64(counts[reason]), string(reason))
--- a/internal/batch/state_test.go
+++ b/internal/batch/state_test.go
@@ -12,7 +12,7 @@
 	"github.com/sloelift/sloelift/internal/ledger"
 )
 
-func submissionOf(jobID string, items int) *batchpb.Submission {
+func plainSubmission(jobID string, items int) *batchpb.Submission {
 	submission := &batchpb.Submission{JobId: jobID, Host: "h", Route: "r"}
 	for number := range items {
 		submission.Items = append(submission.Items, &batchpb.Item{Id: fmt.Sprintf("%s-%d", jobID, number), Path: "/p", Body: []byte("body"), Tokens: 10})
@@ -20,7 +20,7 @@
 	return submission
 }
 
-// log applies records and keeps them, as the ledger does.
+// log applies and keeps records, as the ledger does.
 type log struct {
 	t       *testing.T
 	state   *state
@@ -33,41 +33,41 @@
 	l.t.Helper()
 	for _, record := range records {
 		l.records = append(l.records, record)
-		if err := l.state.step(ledger.Position(len(l.records)), record); err != nil {
+		if err := l.state.apply(ledger.Position(len(l.records)), record); err != nil {
 			l.t.Fatalf("record %d: %v", len(l.records), err)
 		}
 	}
 }
 
 func (l *log) text(jobID string, number int) (text string, listed bool) {
-	of := l.state.jobs[jobID].items[number]
-	return of.text, of.listed
+	item := l.state.jobs[jobID].items[number]
+	return item.text, item.listed
 }
 
 func progressRecord(jobID string, number int, offset int, text string) ledger.Record {
-	return recordOf(ledger.KindBatchProgress, &batchpb.Progress{JobId: jobID, Item: uint32(number), LastEvent: "1", Text: text, Offset: uint64(offset)})
+	return newRecord(ledger.KindBatchProgress, &batchpb.Progress{JobId: jobID, Item: uint32(number), LastEvent: "1", Text: text, Offset: uint64(offset)})
 }
 
 func successRecord(jobID string, number int, offset int, text string) ledger.Record {
-	return recordOf(ledger.KindBatchResult, &batchpb.Result{
+	return newRecord(ledger.KindBatchResult, &batchpb.Result{
 		JobId: jobID, Item: uint32(number), State: batchpb.State_STATE_SUCCEEDED, Text: text, Offset: uint64(offset),
 	})
 }
 
 func TestResultGoesOnBehindProgress(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 2), 1)...)
 	log.add(progressRecord("j", 0, 0, "a\nb"), progressRecord("j", 0, 3, "\nc"), successRecord("j", 0, 5, "\nd"))
 	if text, listed := log.text("j", 0); text != "a\nb\nc\nd" || !listed {
 		t.Errorf("text is %q, listed %t", text, listed)
 	}
 }
 
-// TestPartThatDoesNotFitIsPassedOver: a result that overtakes its last progress is neither listed with a hole in its text nor
-// an error, which would make the partition unreadable.
+// TestPartThatDoesNotFitIsPassedOver checks that a result that overtakes its last progress is neither listed with a gap in its text
+// nor treated as an error, which would make the partition unreadable.
 func TestPartThatDoesNotFitIsPassedOver(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 1), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 1), 1)...)
 	log.add(successRecord("j", 0, 3, "\nc"), progressRecord("j", 0, 0, "a\nb"), progressRecord("j", 0, 7, "late"))
 	if text, listed := log.text("j", 0); listed {
 		t.Fatalf("item is listed with text %q", text)
@@ -80,8 +80,8 @@
 
 func TestFirstResultStands(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 2), 1)...)
-	dead := recordOf(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 1, State: batchpb.State_STATE_DEAD_LETTER})
+	log.add(acceptanceRecords(plainSubmission("j", 2), 1)...)
+	dead := newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 1, State: batchpb.State_STATE_DEAD_LETTER})
 	log.add(successRecord("j", 1, 0, "one"), dead, successRecord("j", 1, 0, "two"), successRecord("j", 0, 0, "zero"))
 	found := log.state.jobs["j"]
 	if text, _ := log.text("j", 1); text != "one" || found.items[1].state != batchpb.State_STATE_SUCCEEDED {
@@ -94,25 +94,25 @@
 
 func TestAcceptedOnceAndWaitingTokens(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 3), 1)...)
-	log.add(acceptanceRecords(submissionOf("j", 3), 2)...)
+	log.add(acceptanceRecords(plainSubmission("j", 3), 1)...)
+	log.add(acceptanceRecords(plainSubmission("j", 3), 2)...)
 	if waiting := log.state.waitingTokens[quotaKey{route: "r"}]; waiting != 30 {
 		t.Errorf("%d tokens wait after a resend, want 30", waiting)
 	}
 	log.add(successRecord("j", 0, 0, "x"))
-	log.add(recordOf(ledger.KindBatchEnded, &batchpb.Ended{JobId: "j"}))
+	log.add(newRecord(ledger.KindBatchEnded, &batchpb.Ended{JobId: "j"}))
 	log.add(successRecord("j", 1, 0, "y"))
 	if waiting := log.state.waitingTokens[quotaKey{route: "r"}]; waiting != 0 {
 		t.Errorf("%d tokens wait after the end, want 0", waiting)
 	}
-	log.add(recordOf(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: "j"}))
+	log.add(newRecord(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: "j"}))
 	if log.state.bytes != 0 || len(log.state.jobs) != 0 {
 		t.Errorf("%d bytes and %d jobs are kept after all is forgotten", log.state.bytes, len(log.state.jobs))
 	}
 }
 
 func TestLargeSubmissionIsAcceptedFromParts(t *testing.T) {
-	submission := submissionOf("j", 3)
+	submission := plainSubmission("j", 3)
 	for _, item := range submission.Items {
 		item.Body = make([]byte, chunkBytes)
 	}
@@ -131,7 +131,8 @@
 	}
 }
 
-// TestSnapshotIsTheState: at any point the state restored from a snapshot equals the state from the log, and goes on the same.
+// TestSnapshotIsTheState checks that at any point the state restored from a snapshot equals the state from the log, and stays equal
+// as further records are applied.
 func TestSnapshotIsTheState(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		log := newLog(t)
@@ -139,28 +140,28 @@
 		step := func(s *state) ledger.Record {
 			job := fmt.Sprintf("j%d", rapid.IntRange(0, 2).Draw(r, "job"))
 			number := rapid.IntRange(0, 2).Draw(r, "item")
-			made := 0
+			loggedSize := 0
 			if found := s.jobs[job]; found != nil {
-				made = len(found.items[number].made())
+				loggedSize = len(found.items[number].loggedText())
 			}
-			offset := max(0, made+rapid.SampledFrom([]int{0, 0, 0, -1, 1}).Draw(r, "shift"))
+			offset := max(0, loggedSize+rapid.SampledFrom([]int{0, 0, 0, -1, 1}).Draw(r, "shift"))
 			switch rapid.SampledFrom(kinds).Draw(r, "kind") {
 			case "accept":
-				return acceptanceRecords(submissionOf(job, 3), 1)[0]
+				return acceptanceRecords(plainSubmission(job, 3), 1)[0]
 			case "progress":
 				return progressRecord(job, number, offset, "xy")
 			case "result":
 				return successRecord(job, number, offset, "z")
 			case "dead":
-				return recordOf(ledger.KindBatchResult, &batchpb.Result{JobId: job, Item: uint32(number), State: batchpb.State_STATE_DEAD_LETTER})
+				return newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: job, Item: uint32(number), State: batchpb.State_STATE_DEAD_LETTER})
 			case "crash":
-				return recordOf(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: job, Item: uint32(number), Replica: uint64(rapid.IntRange(1, 5).Draw(r, "replica"))})
+				return newRecord(ledger.KindBatchCrashed, &batchpb.Crashed{JobId: job, Item: uint32(number), Replica: uint64(rapid.IntRange(1, 5).Draw(r, "replica"))})
 			case "fail":
-				return recordOf(ledger.KindBatchFailed, &batchpb.Failed{JobId: job, Item: uint32(number), Failures: uint32(rapid.IntRange(1, 5).Draw(r, "failures"))})
+				return newRecord(ledger.KindBatchFailed, &batchpb.Failed{JobId: job, Item: uint32(number), Failures: uint32(rapid.IntRange(1, 5).Draw(r, "failures"))})
 			case "end":
-				return recordOf(ledger.KindBatchEnded, &batchpb.Ended{JobId: job})
+				return newRecord(ledger.KindBatchEnded, &batchpb.Ended{JobId: job})
 			default:
-				return recordOf(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: job})
+				return newRecord(ledger.KindBatchForgotten, &batchpb.Forgotten{JobId: job})
 			}
 		}
 		for range rapid.IntRange(0, 30).Draw(r, "before") {
@@ -177,7 +178,7 @@
 		for range rapid.IntRange(0, 10).Draw(r, "after") {
 			record := step(log.state)
 			log.add(record)
-			if err := restored.step(ledger.Position(len(log.records)), record); err != nil {
+			if err := restored.apply(ledger.Position(len(log.records)), record); err != nil {
 				r.Fatal(err)
 			}
 		}
@@ -187,15 +188,15 @@
 
 func sameState(r *rapid.T, want, got *state) {
 	wantSnapshot, gotSnapshot := &batchpb.Snapshot{}, &batchpb.Snapshot{}
-	for _, each := range []struct {
+	for _, side := range []struct {
 		state *state
 		into  *batchpb.Snapshot
 	}{{want, wantSnapshot}, {got, gotSnapshot}} {
-		encoded, err := each.state.snapshot()
+		encoded, err := side.state.snapshot()
 		if err != nil {
 			r.Fatal(err)
 		}
-		if err := proto.Unmarshal(encoded, each.into); err != nil {
+		if err := proto.Unmarshal(encoded, side.into); err != nil {
 			r.Fatal(err)
 		}
 	}
@@ -203,15 +204,16 @@
 		r.Fatalf("states differ:\n%v\n%v", wantSnapshot, gotSnapshot)
 	}
 	if want.bytes != got.bytes || want.waitingTokens[quotaKey{route: "r"}] != got.waitingTokens[quotaKey{route: "r"}] {
-		r.Fatalf("bytes %d and %d, waiting tokens %d and %d", want.bytes, got.bytes, want.waitingTokens[quotaKey{route: "r"}], got.waitingTokens[quotaKey{route: "r"}])
+		r.Fatalf("bytes %d and %d, waiting tokens %d and %d", want.bytes, got.bytes,
+			want.waitingTokens[quotaKey{route: "r"}], got.waitingTokens[quotaKey{route: "r"}])
 	}
 }
 
-// TestNextOwnerKnowsThePace: what finished items tell of the time that others need comes with the log, and with a snapshot of it.
+// TestNextOwnerKnowsThePace checks that the run time estimates from finished items are restored from the log and from a snapshot.
 func TestNextOwnerKnowsThePace(t *testing.T) {
 	log := newLog(t)
-	log.add(acceptanceRecords(submissionOf("j", 3), 1)...)
-	log.add(recordOf(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 0, State: batchpb.State_STATE_SUCCEEDED, Text: "text", RanMillis: 5000}))
+	log.add(acceptanceRecords(plainSubmission("j", 3), 1)...)
+	log.add(newRecord(ledger.KindBatchResult, &batchpb.Result{JobId: "j", Item: 0, State: batchpb.State_STATE_SUCCEEDED, Text: "text", RanMillis: 5000}))
 	log.add(successRecord("j", 1, 0, "its time is not known"))
 	encoded, err := log.state.snapshot()
 	if err != nil {
@@ -221,8 +223,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, each := range map[string]*state{"log": log.state, "snapshot": restored} {
-		if left := each.paceOf("r").left(20, 0); left != 10*time.Second {
+	for name, source := range map[string]*state{"log": log.state, "snapshot": restored} {
+		if left := source.paceOf("r").remaining(20, 0); left != 10*time.Second {
 			t.Errorf("%s: an item of 20 tokens needs %s, want 10s, as one of 10 took 5s", name, left)
 		}
 	}
