--- a/internal/quarantine/left_test.go
+++ b/internal/quarantine/aborted_test.go
@@ -15,7 +15,7 @@
 			handle := c.handle(c.nodes[1], 1)
 			run := c.nodes[1].Admit(t.Context(), key).Begin(handle, func() { close(cut) })
 			beside := c.nodes[2].Admit(t.Context(), other).Begin(c.handle(c.nodes[2], 1), nil)
-			c.crashing(c.nodes[0], 0, key)
+			c.runCrashing(c.nodes[0], 0, key)
 			<-cut
 			run.End(t.Context(), Left)
 			time.Sleep(50 * time.Millisecond)
@@ -24,9 +24,9 @@
 				beside.End(t.Context(), Lost)
 			}
 			time.Sleep(time.Second)
-			for _, each := range c.nodes {
-				wantVerdict(t, each, key, Rejected)
-				wantVerdict(t, each, other, Allowed)
+			for _, member := range c.nodes {
+				wantVerdict(t, member, key, Rejected)
+				wantVerdict(t, member, other, Allowed)
 			}
 		})
 	}
@@ -37,17 +37,17 @@
 		at, key := c.nodes[0], keyOf("a")
 		handle := c.handle(at, 0)
 		at.Admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
-		time.Sleep(2 * lingerTime)
+		time.Sleep(2 * abortedRunGrace)
 		c.machines.end(handle.Info().Address)
 		at.Admit(t.Context(), keyOf("b")).Begin(handle, nil).End(t.Context(), Lost)
 		wantVerdict(t, at, key, Allowed)
-		for range 3 * maxLeft {
+		for range 3 * maxAbortedRuns {
 			at.Admit(t.Context(), key).Begin(c.handle(at, 1), nil).End(t.Context(), Left)
 		}
 		at.mutex.Lock()
 		defer at.mutex.Unlock()
-		if at.leftCount > maxLeft {
-			t.Errorf("%d runs are remembered", at.leftCount)
+		if at.abortedCount > maxAbortedRuns {
+			t.Errorf("%d runs are remembered", at.abortedCount)
 		}
 	})
 }
@@ -58,9 +58,9 @@
 		ending Ending
 		want   Verdict
 	}{
-		"long, came on":  {2 * shortRun, Interrupted, Allowed},
-		"short, came on": {shortRun / 4, Interrupted, Apart},
-		"long, nothing":  {2 * shortRun, Lost, Apart},
+		"long, came on":  {2 * shortRunDuration, Interrupted, Allowed},
+		"short, came on": {shortRunDuration / 4, Interrupted, Apart},
+		"long, nothing":  {2 * shortRunDuration, Lost, Apart},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
@@ -97,10 +97,10 @@
 				handle := c.handle(at, 0)
 				admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
 				time.Sleep(200 * time.Millisecond)
-				at.crashReplicaUnder(c, keyOf("b"), 0)
+				at.crashReplicaDuring(c, keyOf("b"), 0)
 				at.mutex.Lock()
 				defer at.mutex.Unlock()
-				if seen, unseen := at.book.count(key), at.book.unseenEnds(key); seen != test.seen || unseen != test.unseen {
+				if seen, unseen := at.evidence.endCount(key), at.evidence.unseenEndCount(key); seen != test.seen || unseen != test.unseen {
 					t.Errorf("%d ends are counted and %d that nobody saw, want %d and %d", seen, unseen, test.seen, test.unseen)
 				}
 			})
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// longestWait bounds the wait of a suspected message for the end of another run of it: most callers leave a stream that does not begin
+	// maxAdmitWait bounds the wait of a suspected message for the end of another run of it: most callers leave a stream that does not begin
 	// within two seconds.
-	longestWait = time.Second
-	// firstPause and longestPause bound the wait before a keeper that has another run under way is asked again.
-	firstPause   = 20 * time.Millisecond
-	longestPause = 160 * time.Millisecond
+	maxAdmitWait = time.Second
+	// minBusyPause and longestPause bound the wait before a keeper that has another run under way is asked again.
+	minBusyPause = 20 * time.Millisecond
+	maxBusyPause = 160 * time.Millisecond
 	// keeperTimeout is how long a keeper is waited for, mostKeepers how many are asked one after the other: a killed one refuses at once, and
 	// many may be killed together.
-	keeperTimeout = 150 * time.Millisecond
-	mostKeepers   = 6
-	// unreachedFor is how long a keeper that gave no answer is passed over.
-	unreachedFor = time.Second
+	keeperTimeout   = 150 * time.Millisecond
+	maxKeepersTried = 6
+	// unreachedTime is how long a keeper that gave no answer is passed over.
+	unreachedTime = time.Second
 )
 
 // errNoKeeper says that none of the nodes that may keep a message was reached: this one may be cut off.
@@ -44,32 +44,32 @@
 
 // admit waits, where the message is suspected, until it is decided whether it may run.
 func (s *Service) admit(ctx context.Context, key Key) *permit {
-	known, inquired := s.look(key)
+	known, inquired := s.currentPermit(key)
 	if known.verdict == Allowed && !inquired {
 		return known
 	}
-	bounded, cancel := context.WithTimeout(ctx, longestWait)
+	bounded, cancel := context.WithTimeout(ctx, maxAdmitWait)
 	defer cancel()
 	admitted := s.admitSuspect(bounded, key)
 	s.metrics.admitted.WithLabelValues(admitted.verdict.String()).Inc()
 	return admitted
 }
 
-// look returns the permit by what is known of a message, and whether an inquiry into a replica that it was lost at is under way.
-func (s *Service) look(key Key) (known *permit, inquired bool) {
+// currentPermit returns the permit by what is known of a message, and whether an inquiry into a replica that it was lost at is under way.
+func (s *Service) currentPermit(key Key) (known *permit, inquired bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.permitFor(key, s.book.verdict(key)), s.inquired[key] > 0
+	return s.permitFor(key, s.evidence.verdict(key)), s.pendingInquiries[key] > 0
 }
 
 // permitFor returns a permit that rests on all that is known of the message now. The mutex is held.
 func (s *Service) permitFor(key Key, verdict Verdict) *permit {
-	return &permit{service: s, key: key, verdict: verdict, known: len(s.book.open(key))}
+	return &permit{service: s, key: key, verdict: verdict, knownIncidents: len(s.evidence.openIncidents(key))}
 }
 
-// decided returns the permit of a message that its keeper has decided on.
-func (s *Service) decided(key Key, verdict Verdict) *permit {
-	s.leaveQueue(key)
+// permitAfterDecision returns the permit of a message that its keeper has decided on.
+func (s *Service) permitAfterDecision(key Key, verdict Verdict) *permit {
+	s.releaseQueue(key)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.permitFor(key, verdict)
@@ -79,11 +79,11 @@
 func (s *Service) admitSuspect(ctx context.Context, key Key) *permit {
 	for {
 		s.mutex.Lock()
-		verdict, inquired, waiting, changed := s.book.verdict(key), s.inquired[key] > 0, s.queues[key], s.changed
+		verdict, inquired, waiting, changed := s.evidence.verdict(key), s.pendingInquiries[key] > 0, s.queues[key], s.changed
 		if !inquired && verdict == Apart && waiting == nil {
 			s.queues[key] = make(chan struct{})
 			s.mutex.Unlock()
-			return s.seek(ctx, key)
+			return s.requestGrant(ctx, key)
 		}
 		if !inquired && verdict != Apart {
 			defer s.mutex.Unlock()
@@ -94,84 +94,84 @@
 		case <-changed:
 		case <-waiting:
 		case <-ctx.Done():
-			return s.undecided(key)
+			return s.permitAfterTimeout(key)
 		case <-s.ctx.Done():
-			return s.undecided(key)
+			return s.permitAfterTimeout(key)
 		}
 	}
 }
 
-// undecided returns the permit for a message after the wait for a decision: a suspect without a grant is not sent, and one that no replica is known
+// permitAfterTimeout returns the permit for a message after the wait for a decision: a suspect without a grant is not sent, and one that no replica is known
 // to have ended under is sent like any other, though an inquiry into a replica goes on.
-func (s *Service) undecided(key Key) *permit {
-	known, _ := s.look(key)
-	if known.verdict == Apart {
-		known.verdict = Rejected
+func (s *Service) permitAfterTimeout(key Key) *permit {
+	timedOut, _ := s.currentPermit(key)
+	if timedOut.verdict == Apart {
+		timedOut.verdict = Rejected
 	}
-	return known
+	return timedOut
 }
 
-// leaveQueue gives up the queue of a message, so that the next caller on this node may ask for the grant.
-func (s *Service) leaveQueue(key Key) {
+// releaseQueue gives up the queue of a message, so that the next caller on this node may ask for the grant.
+func (s *Service) releaseQueue(key Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if held := s.queues[key]; held != nil {
-		close(held)
+	if queue := s.queues[key]; queue != nil {
+		close(queue)
 		delete(s.queues, key)
 	}
 }
 
-// seek asks the keeper for the grant until it is given or the message is decided on. The queue is held until the permit is given back.
-func (s *Service) seek(ctx context.Context, key Key) *permit {
+// requestGrant asks the keeper for the grant until it is given or the message is decided on. The queue is held until the permit is given back.
+func (s *Service) requestGrant(ctx context.Context, key Key) *permit {
 	// 0 stands for no run.
 	run := max(1, rand.Uint64())
-	pause := firstPause
+	pause := minBusyPause
 	for {
 		response, keeper, err := s.askKeepers(ctx, key, run)
 		if err != nil {
 			s.logger.Info().Stringer("digest", key).Err(err).Msg("suspect_not_decided")
-			return s.decided(key, Rejected)
+			return s.permitAfterDecision(key, Rejected)
 		}
-		s.noteDisagreement(key, keeper, response.GetVerdict())
+		s.logDisagreement(key, keeper, response.GetVerdict())
 		switch response.GetVerdict() {
 		case quarantinepb.Verdict_VERDICT_GRANTED:
-			return s.granted(key, run, keeper)
+			return s.grantedPermit(key, run, keeper)
 		case quarantinepb.Verdict_VERDICT_ALLOWED:
-			return s.decided(key, Allowed)
+			return s.permitAfterDecision(key, Allowed)
 		case quarantinepb.Verdict_VERDICT_BUSY:
 		default:
-			return s.decided(key, Rejected)
+			return s.permitAfterDecision(key, Rejected)
 		}
-		if !s.pauseUnlessDecided(ctx, key, pause) {
-			s.leaveQueue(key)
-			return s.undecided(key)
+		if !s.waitUnlessDecided(ctx, key, pause) {
+			s.releaseQueue(key)
+			return s.permitAfterTimeout(key)
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxBusyPause)
 	}
 }
 
-// noteDisagreement logs that a keeper decides otherwise than this node does by all that both know of the message.
-func (s *Service) noteDisagreement(key Key, keeper membership.Member, decided quarantinepb.Verdict) {
+// logDisagreement logs that a keeper decides otherwise than this node does by all that both know of the message.
+func (s *Service) logDisagreement(key Key, keeper membership.Member, decided quarantinepb.Verdict) {
 	if decided == quarantinepb.Verdict_VERDICT_GRANTED || decided == quarantinepb.Verdict_VERDICT_BUSY {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	own := s.book.verdict(key)
+	own := s.evidence.verdict(key)
 	if own != Apart {
 		return
 	}
 	s.logger.Info().Stringer("digest", key).Stringer(logging.FieldPeer, keeper.PeerAddress).Stringer("keeper_verdict", decided).Stringer("own_verdict", own).
-		Strs("evidence", s.book.evidence(key, clock.Now())).Msg("keeper_decided_otherwise")
+		Strs("evidence", s.evidence.describeEvidence(key, clock.Now())).Msg("keeper_decided_otherwise")
 }
 
-// pauseUnlessDecided waits for pause and returns true; false as soon as the message is no longer suspected, or one of the contexts ends.
-func (s *Service) pauseUnlessDecided(ctx context.Context, key Key, pause time.Duration) bool {
+// waitUnlessDecided waits for pause and returns true; false as soon as the message is no longer suspected, or one of the contexts ends.
+func (s *Service) waitUnlessDecided(ctx context.Context, key Key, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
 		s.mutex.Lock()
-		verdict, changed := s.book.verdict(key), s.changed
+		verdict, changed := s.evidence.verdict(key), s.changed
 		s.mutex.Unlock()
 		if verdict != Apart {
 			return false
@@ -188,28 +188,28 @@
 	}
 }
 
-// granted returns the permit of a run that the keeper has granted, and renews the grant until it is given back.
-func (s *Service) granted(key Key, run uint64, keeper membership.Member) *permit {
+// grantedPermit returns the permit of a run that the keeper has granted, and renews the grant until it is given back.
+func (s *Service) grantedPermit(key Key, run uint64, keeper membership.Member) *permit {
 	renewing, stop := context.WithCancel(s.ctx)
-	given := &permit{service: s, key: key, verdict: Apart, grant: run, keeper: keeper, placed: make(chan struct{}, 1), stopRenewing: stop}
-	s.inBackground(func() { s.renew(renewing, given) })
-	return given
+	granted := &permit{service: s, key: key, verdict: Apart, grantedRun: run, keeper: keeper, replicaChosen: make(chan struct{}, 1), stopRenewing: stop}
+	s.inBackground(func() { s.renewGrant(renewing, granted) })
+	return granted
 }
 
-// renew renews a grant until ctx ends, and at once when its run is sent to a replica: the keeper is to know where it was if the grant lapses. A renewal without
+// renewGrant renews a grant until ctx ends, and at once when its run is sent to a replica: the keeper is to know where it was if the grant lapses. A renewal without
 // an answer is only logged: the next may come through before.
-func (s *Service) renew(ctx context.Context, given *permit) {
+func (s *Service) renewGrant(ctx context.Context, granted *permit) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-given.placed:
+		case <-granted.replicaChosen:
 		case <-ctx.Done():
 			return
 		}
-		if _, err := s.askKeeper(ctx, given.key, given.grant, replica.Key(given.place.Load()), given.keeper); err != nil && ctx.Err() == nil {
-			s.logger.Info().Stringer("digest", given.key).Err(err).Msg("grant_not_renewed")
+		if _, err := s.askKeeper(ctx, granted.key, granted.grantedRun, replica.Key(granted.replicaKey.Load()), granted.keeper); err != nil && ctx.Err() == nil {
+			s.logger.Info().Stringer("digest", granted.key).Err(err).Msg("grant_not_renewed")
 		}
 	}
 }
@@ -223,27 +223,27 @@
 		return nil, membership.Member{}, errNoKeeper
 	}
 	s.mutex.Lock()
-	last := s.book.lastRun(key)
+	nextEndRejects := s.evidence.nextEndRejects(key)
 	s.mutex.Unlock()
-	most := mostKeepers
-	if last {
-		most = 1
+	remaining := maxKeepersTried
+	if nextEndRejects {
+		remaining = 1
 	}
 	for _, keeper := range ranked {
-		if !last && s.unreached.Recent(keeper.PeerAddress, clock.Now()) {
+		if !nextEndRejects && s.unreached.Recent(keeper.PeerAddress, clock.Now()) {
 			continue
 		}
-		if most--; most < 0 {
+		if remaining--; remaining < 0 {
 			break
 		}
-		if keeper.ID == view.Self && !s.inTouch(ctx, key, ranked) {
+		if keeper.ID == view.Self && !s.reachesNextKeeper(ctx, key, ranked) {
 			break
 		}
 		response, err := s.askKeeper(ctx, key, run, 0, keeper)
 		if err == nil {
 			return response, keeper, nil
 		}
-		s.abandon(key, run, keeper)
+		s.abandonGrant(key, run, keeper)
 		if ctx.Err() != nil {
 			break
 		}
@@ -252,26 +252,26 @@
 	return nil, membership.Member{}, errNoKeeper
 }
 
-// abandon gives back, in the background, what a keeper may have granted in an answer that has not come: a grant that lapses counts as the end
+// abandonGrant gives back, in the background, what a keeper may have granted in an answer that has not come: a grant that lapses counts as the end
 // of a replica.
-func (s *Service) abandon(key Key, run uint64, keeper membership.Member) {
+func (s *Service) abandonGrant(key Key, run uint64, keeper membership.Member) {
 	request := &quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run}
 	s.inBackground(func() { s.sendRelease(keeper.PeerAddress, request) })
 }
 
-// inTouch says that this node, which is the keeper itself, reaches one of the next nodes in rank; a node that is cut off would grant itself
+// reachesNextKeeper says that this node, which is the keeper itself, reaches one of the next nodes in rank; a node that is cut off would grant itself
 // what the keeper of the others grants as well. The call carries the incidents of the message, since the next in rank is keeper after this
 // node.
-func (s *Service) inTouch(ctx context.Context, key Key, ranked []membership.Member) bool {
+func (s *Service) reachesNextKeeper(ctx context.Context, key Key, ranked []membership.Member) bool {
 	now, self := clock.Now(), s.viewer.View().Self
 	// No run is given back.
-	request := s.releaseOf(key, 0, now)
-	tries := mostKeepers
+	request := s.releaseRequest(key, 0, now)
+	remaining := maxKeepersTried
 	for _, other := range ranked {
 		if other.ID == self || s.unreached.Recent(other.PeerAddress, now) {
 			continue
 		}
-		if tries--; tries < 0 || ctx.Err() != nil {
+		if remaining--; remaining < 0 || ctx.Err() != nil {
 			return false
 		}
 		bounded, cancel := context.WithTimeout(ctx, keeperTimeout)
@@ -286,13 +286,13 @@
 }
 
 // askKeeper asks one keeper for the grant, or renews it for a run at the replica of that key, and takes in what that node knows of the message.
-func (s *Service) askKeeper(ctx context.Context, key Key, run uint64, at replica.Key, keeper membership.Member) (*quarantinepb.GrantResponse, error) {
+func (s *Service) askKeeper(ctx context.Context, key Key, run uint64, replicaKey replica.Key, keeper membership.Member) (*quarantinepb.GrantResponse, error) {
 	now := clock.Now()
 	s.mutex.Lock()
-	request := &quarantinepb.GrantRequest{Message: keyBytes(key), Run: run, Incidents: s.book.of(key, now), Losses: s.book.losses.encode(key, now), Replica: uint64(at)}
+	request := &quarantinepb.GrantRequest{Message: keyBytes(key), Run: run, Incidents: s.evidence.encodeIncidents(key, now), Losses: s.evidence.losses.encode(key, now), Replica: uint64(replicaKey)}
 	s.mutex.Unlock()
 	if keeper.ID == s.viewer.View().Self {
-		return s.give(request, now), nil
+		return s.handleGrant(request, now), nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
@@ -304,20 +304,20 @@
 	return response, nil
 }
 
-// releaseOf returns the message that gives the grant of a run back, with what this node knows of the message.
-func (s *Service) releaseOf(key Key, run uint64, now time.Time) *quarantinepb.ReleaseRequest {
+// releaseRequest returns the message that gives the grant of a run back, with what this node knows of the message.
+func (s *Service) releaseRequest(key Key, run uint64, now time.Time) *quarantinepb.ReleaseRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return &quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run, Incidents: s.book.of(key, now), Losses: s.book.losses.encode(key, now)}
+	return &quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run, Incidents: s.evidence.encodeIncidents(key, now), Losses: s.evidence.losses.encode(key, now)}
 }
 
-// release gives a grant back in the background; without an answer it lapses.
-func (s *Service) release(key Key, run uint64, keeper membership.Member) {
-	s.leaveQueue(key)
+// releaseGrant gives a grant back in the background; without an answer it lapses.
+func (s *Service) releaseGrant(key Key, run uint64, keeper membership.Member) {
+	s.releaseQueue(key)
 	now := clock.Now()
-	request := s.releaseOf(key, run, now)
+	request := s.releaseRequest(key, run, now)
 	if keeper.ID == s.viewer.View().Self {
-		s.takeBack(request, now)
+		s.handleRelease(request, now)
 		return
 	}
 	s.inBackground(func() { s.sendRelease(keeper.PeerAddress, request) })
--- a/internal/quarantine/bound_test.go
+++ b/internal/quarantine/bound_test.go
@@ -28,41 +28,41 @@
 	var all sync.WaitGroup
 	for number, key := range bad {
 		at := c.nodes[number]
-		c.crashing(at, number, key)
+		c.runCrashing(at, number, key)
 	}
 	for range 150 {
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 		at, number := c.nodes[random.IntN(5)], random.IntN(10)
 		if random.IntN(4) == 0 {
 			key := bad[random.IntN(len(bad))]
-			all.Go(func() { c.crashing(at, number, key) })
+			all.Go(func() { c.runCrashing(at, number, key) })
 			continue
 		}
 		key, length := good[random.IntN(len(good))], time.Duration(20+random.IntN(200))*time.Millisecond
-		all.Go(func() { c.bystander(at, number, key, length) })
+		all.Go(func() { c.runBystander(at, number, key, length) })
 	}
 	all.Wait()
 	time.Sleep(100 * time.Millisecond)
 	for number, key := range bad {
-		if ended := c.crashes(key); ended > mostEnded {
+		if ended := c.crashes(key); ended > maxEndedReplicas {
 			t.Errorf("%d replicas ended under message %d", ended, number)
 		}
 		wantVerdict(t, c.nodes[0], key, Rejected)
 	}
 	for _, key := range good {
-		c.bystander(c.nodes[5], 0, key, 20*time.Millisecond)
+		c.runBystander(c.nodes[5], 0, key, 20*time.Millisecond)
 		wantVerdict(t, c.nodes[5], key, Allowed)
 	}
 }
 
-// bystander runs a harmless message to its end, or to that of its replica; a cut ends it as well.
-func (c *cluster) bystander(at *node, number int, key Key, length time.Duration) {
+// runBystander runs a harmless message to its end, or to that of its replica; a cut ends it as well.
+func (c *cluster) runBystander(at *node, number int, key Key, length time.Duration) {
 	permit := at.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
 		return
 	}
-	handle := c.place(at, permit, key, number)
+	handle := c.placeRun(at, permit, key, number)
 	cut := make(chan struct{})
 	run := permit.Begin(handle, func() { close(cut) })
 	for passed := time.Duration(0); passed < length; passed += time.Millisecond {
--- a/internal/quarantine/codec.go
+++ b/internal/quarantine/codec.go
@@ -7,26 +7,26 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// encodeHead returns an incident as it is sent, without its suspects.
-func encodeHead(of *incident, now time.Time) *quarantinepb.Incident {
-	return &quarantinepb.Incident{Replica: uint64(of.replica), AgeMillis: uint64(max(0, now.Sub(of.learned)).Milliseconds()), TimeAssumed: of.timeAssumed, Service: of.service}
+// encodeIncidentHead returns an incident as it is sent, without its suspects.
+func encodeIncidentHead(incident *incident, now time.Time) *quarantinepb.Incident {
+	return &quarantinepb.Incident{Replica: uint64(incident.replica), AgeMillis: uint64(max(0, now.Sub(incident.learnedAt)).Milliseconds()), TimeAssumed: incident.timeAssumed, Service: incident.service}
 }
 
-// encode returns an incident as it is sent.
-func encode(of *incident, now time.Time) *quarantinepb.Incident {
-	encoded := encodeHead(of, now)
-	for key, each := range of.suspects {
-		encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, each))
+// encodeIncident returns an incident as it is sent.
+func encodeIncident(incident *incident, now time.Time) *quarantinepb.Incident {
+	encoded := encodeIncidentHead(incident, now)
+	for key, suspected := range incident.suspects {
+		encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, suspected))
 	}
 	return encoded
 }
 
-func encodeSuspect(key Key, of *suspect) *quarantinepb.Suspect {
-	encoded := &quarantinepb.Suspect{Message: key[:], RanMillis: uint32(of.ran.Milliseconds()), Cleared: of.cleared, Granted: of.granted, Reached: uint32(of.reached), Unseen: of.unseen, Item: of.item}
+func encodeSuspect(key Key, suspected *suspect) *quarantinepb.Suspect {
+	encoded := &quarantinepb.Suspect{Message: key[:], RanMillis: uint32(suspected.runDuration.Milliseconds()), Cleared: suspected.cleared, Granted: suspected.granted, Reached: uint32(suspected.reached), Unseen: suspected.unseen, Item: suspected.item}
 	switch {
-	case of.progressed:
+	case suspected.progressed:
 		encoded.Progress = quarantinepb.Progress_PROGRESS_MADE
-	case of.reachedKnown:
+	case suspected.reachedKnown:
 		encoded.Progress = quarantinepb.Progress_PROGRESS_NONE
 	}
 	return encoded
@@ -34,52 +34,52 @@
 
 // decodeSuspect returns a suspect that another node knows of. Nodes of other builds do not say what the run had made: then it speaks no more strongly against
 // the message than a run that nobody saw.
-func decodeSuspect(doubt *quarantinepb.Suspect) suspect {
+func decodeSuspect(encoded *quarantinepb.Suspect) suspect {
 	decoded := suspect{
-		ran: time.Duration(doubt.RanMillis) * time.Millisecond, cleared: doubt.Cleared, granted: doubt.Granted, unseen: doubt.Unseen, origin: originShared,
-		item:       doubt.Item,
-		progressed: doubt.Progress == quarantinepb.Progress_PROGRESS_MADE, reached: int(doubt.Reached),
-		reachedKnown: doubt.Progress != quarantinepb.Progress_PROGRESS_UNSPECIFIED,
+		runDuration: time.Duration(encoded.RanMillis) * time.Millisecond, cleared: encoded.Cleared, granted: encoded.Granted, unseen: encoded.Unseen, origin: originShared,
+		item:       encoded.Item,
+		progressed: encoded.Progress == quarantinepb.Progress_PROGRESS_MADE, reached: int(encoded.Reached),
+		reachedKnown: encoded.Progress != quarantinepb.Progress_PROGRESS_UNSPECIFIED,
 	}
-	if doubt.Progress == quarantinepb.Progress_PROGRESS_UNSPECIFIED {
-		decoded.ran = max(decoded.ran, unseenRun)
+	if encoded.Progress == quarantinepb.Progress_PROGRESS_UNSPECIFIED {
+		decoded.runDuration = max(decoded.runDuration, unseenRunDuration)
 	}
 	return decoded
 }
 
-// all returns the whole book as it is sent.
-func (b *book) all(now time.Time) []*quarantinepb.Incident {
-	encoded := make([]*quarantinepb.Incident, 0, len(b.incidents))
-	for _, each := range b.incidents {
-		encoded = append(encoded, encode(each, now))
+// encodeAll returns the whole book as it is sent.
+func (e *evidenceStore) encodeAll(now time.Time) []*quarantinepb.Incident {
+	encoded := make([]*quarantinepb.Incident, 0, len(e.incidents))
+	for _, incident := range e.incidents {
+		encoded = append(encoded, encodeIncident(incident, now))
 	}
 	return encoded
 }
 
-// of returns the incidents of one message, with all that ran beside it: alone it would seem to be the cause.
-func (b *book) of(message Key, now time.Time) []*quarantinepb.Incident {
+// encodeIncidents returns the incidents of one message, with all that ran beside it: alone it would seem to be the cause.
+func (e *evidenceStore) encodeIncidents(message Key, now time.Time) []*quarantinepb.Incident {
 	var encoded []*quarantinepb.Incident
-	for _, each := range b.byMessage[message] {
-		encoded = append(encoded, encode(each, now))
+	for _, incident := range e.byMessage[message] {
+		encoded = append(encoded, encodeIncident(incident, now))
 	}
 	return encoded
 }
 
 // join takes in incidents of another node; it returns the messages of which something is new.
-func (b *book) join(encoded []*quarantinepb.Incident, now time.Time) []Key {
+func (e *evidenceStore) join(encoded []*quarantinepb.Incident, now time.Time) []Key {
 	var changed []Key
-	for _, each := range encoded {
-		age := time.Duration(min(each.AgeMillis, uint64(remember.Milliseconds()))) * time.Millisecond
-		if age >= remember {
+	for _, incident := range encoded {
+		age := time.Duration(min(incident.AgeMillis, uint64(retention.Milliseconds()))) * time.Millisecond
+		if age >= retention {
 			continue
 		}
-		for _, doubt := range each.Suspects {
-			key, valid := decodeKey(doubt.Message)
-			if valid && b.addSuspect(b.incidentAt(replica.Key(each.Replica), now.Add(-age), each.TimeAssumed), key, decodeSuspect(doubt)) {
+		for _, suspected := range incident.Suspects {
+			key, valid := decodeKey(suspected.Message)
+			if valid && e.addSuspect(e.incidentFor(replica.Key(incident.Replica), now.Add(-age), incident.TimeAssumed), key, decodeSuspect(suspected)) {
 				changed = append(changed, key)
 			}
 		}
-		b.noteService(replica.Key(each.Replica), each.Service)
+		e.setService(replica.Key(incident.Replica), incident.Service)
 	}
 	return changed
 }
--- a/internal/quarantine/disagreement_test.go
+++ b/internal/quarantine/disagreement_test.go
@@ -8,8 +8,8 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// placedElsewhere returns a key whose first keeper is another node than the given one.
-func (c *cluster) placedElsewhere(than *node) Key {
+// keyKeptElsewhere returns a key whose first keeper is another node than the given one.
+func (c *cluster) keyKeptElsewhere(than *node) Key {
 	for number := range 100 {
 		if key := keyOf(fmt.Sprint("placed-", number)); keepers(c.nodes[0].view.View(), key)[0].ID != than.id {
 			return key
@@ -26,17 +26,17 @@
 func TestRunThatTheKeeperAllowsIsNotCutOff(t *testing.T) {
 	inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
 		owner := c.nodes[0]
-		item, cause := c.placedElsewhere(owner), keyOf("cause")
+		item, cause := c.keyKeptElsewhere(owner), keyOf("cause")
 		keeper := c.nodeOf(item, 0)
 		// Each node knows of an end that the other has not been told of yet: with both, another message explains what the item met.
 		now := time.Now()
 		keeper.mutex.Lock()
-		keeper.book.add(1, now.Add(-2*time.Second), cause, suspect{ran: 50 * time.Millisecond})
-		keeper.book.add(1, now.Add(-2*time.Second), item, suspect{ran: time.Second})
-		keeper.book.add(2, now.Add(-time.Second), cause, suspect{ran: 50 * time.Millisecond})
+		keeper.evidence.add(1, now.Add(-2*time.Second), cause, suspect{runDuration: 50 * time.Millisecond})
+		keeper.evidence.add(1, now.Add(-2*time.Second), item, suspect{runDuration: time.Second})
+		keeper.evidence.add(2, now.Add(-time.Second), cause, suspect{runDuration: 50 * time.Millisecond})
 		keeper.mutex.Unlock()
 		owner.mutex.Lock()
-		owner.book.add(1, now.Add(-2*time.Second), item, suspect{ran: time.Second})
+		owner.evidence.add(1, now.Add(-2*time.Second), item, suspect{runDuration: time.Second})
 		owner.mutex.Unlock()
 		wantVerdict(t, owner, item, Apart)
 		wantVerdict(t, keeper, item, Allowed)
@@ -51,7 +51,7 @@
 			t.Error("the run that the keeper allowed is cut off as it begins")
 		}
 		// What is learned from then on counts.
-		keeper.crashReplicaUnder(c, item, 1)
+		keeper.crashReplicaDuring(c, item, 1)
 		time.Sleep(50 * time.Millisecond)
 		if cut != 1 {
 			t.Errorf("cut off %d times after one more replica ended under the message elsewhere", cut)
@@ -60,11 +60,11 @@
 	})
 }
 
-// crashReplicaUnder has the replica of that number end under a run of the message at this node that asked nobody.
-func (n *node) crashReplicaUnder(c *cluster, message Key, number int) {
+// crashReplicaDuring has the replica of that number end under a run of the message at this node that asked nobody.
+func (n *node) crashReplicaDuring(c *cluster, message Key, number int) {
 	handle := c.handle(n, number)
-	begun := &permit{service: n.Service, key: message, verdict: Allowed}
-	run := begun.Begin(handle, nil)
+	admitted := &permit{service: n.Service, key: message, verdict: Allowed}
+	run := admitted.Begin(handle, nil)
 	c.machines.end(handle.Info().Address)
 	run.End(c.t.Context(), Lost)
 }
@@ -79,12 +79,12 @@
 		c.cut(owner)
 		now := time.Now()
 		seer.mutex.Lock()
-		seer.book.add(1, now.Add(-300*time.Millisecond), cause, suspect{ran: 50 * time.Millisecond, reachedKnown: true})
-		seer.book.add(1, now.Add(-300*time.Millisecond), bystander, suspect{ran: 50 * time.Millisecond, reachedKnown: true})
-		seer.book.add(2, now.Add(-100*time.Millisecond), cause, suspect{ran: 50 * time.Millisecond, reachedKnown: true, granted: true})
+		seer.evidence.add(1, now.Add(-300*time.Millisecond), cause, suspect{runDuration: 50 * time.Millisecond, reachedKnown: true})
+		seer.evidence.add(1, now.Add(-300*time.Millisecond), bystander, suspect{runDuration: 50 * time.Millisecond, reachedKnown: true})
+		seer.evidence.add(2, now.Add(-100*time.Millisecond), cause, suspect{runDuration: 50 * time.Millisecond, reachedKnown: true, granted: true})
 		seer.mutex.Unlock()
-		owner.Recall(cause, recorded(1, 2), 0)
-		owner.Recall(bystander, recorded(1), 0)
+		owner.Recall(cause, recordedEnds(1, 2), 0)
+		owner.Recall(bystander, recordedEnds(1), 0)
 		c.cut()
 		time.Sleep(10 * refreshInterval)
 		for _, at := range c.nodes {
@@ -94,9 +94,9 @@
 	})
 }
 
-// loseHolder has a message under which one replica has ended run apart, kills the node that holds its grant, and returns where the run was.
-func (c *cluster) loseHolder(key Key) *replica.Handle {
-	c.nodes[0].Recall(key, recorded(1), 0)
+// killHolder has a message under which one replica has ended run apart, kills the node that holds its grant, and returns where the run was.
+func (c *cluster) killHolder(key Key) *replica.Handle {
+	c.nodes[0].Recall(key, recordedEnds(1), 0)
 	time.Sleep(50 * time.Millisecond)
 	holder := c.nodeOf(key, 3)
 	permit := holder.Admit(c.t.Context(), key)
@@ -125,17 +125,17 @@
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 				key := keyOf("a")
-				handle := c.loseHolder(key)
+				handle := c.killHolder(key)
 				if test.replicaEnds {
 					c.machines.end(handle.Info().Address)
 				}
-				time.Sleep(2*grantTerm + lingerTime)
+				time.Sleep(2*grantDuration + abortedRunGrace)
 				other := c.nodeOf(key, 2)
 				next := other.Admit(t.Context(), key)
 				next.Release()
 				other.mutex.Lock()
 				defer other.mutex.Unlock()
-				if seen, unseen := other.book.count(key), other.book.unseenEnds(key); seen != 1 || unseen != test.want-1 {
+				if seen, unseen := other.evidence.endCount(key), other.evidence.unseenEndCount(key); seen != 1 || unseen != test.want-1 {
 					t.Errorf("%d ends are counted and %d that nobody saw, want %d in all", seen, unseen, test.want)
 				}
 			})
@@ -149,18 +149,18 @@
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
 		holder := c.nodeOf(key, 3)
-		holder.crashReplicaUnder(c, key, 0)
+		holder.crashReplicaDuring(c, key, 0)
 		time.Sleep(50 * time.Millisecond)
 		permit := holder.Admit(t.Context(), key)
 		run := permit.Begin(c.handle(holder, 1), nil)
 		time.Sleep(50 * time.Millisecond)
-		asked := c.machines.asked
-		for _, each := range c.nodes {
-			each.cleared(key)
+		asked := c.machines.dials
+		for _, member := range c.nodes {
+			member.clearMessage(key)
 		}
-		time.Sleep(2*grantTerm + refreshInterval)
-		if c.machines.asked != asked {
-			t.Errorf("the replica was asked %d times", c.machines.asked-asked)
+		time.Sleep(2*grantDuration + refreshInterval)
+		if c.machines.dials != asked {
+			t.Errorf("the replica was asked %d times", c.machines.dials-asked)
 		}
 		run.End(t.Context(), Other)
 		permit.Release()
@@ -171,15 +171,15 @@
 func TestEndOfALapsedRunIsNotStrong(t *testing.T) {
 	inCluster(t, 5, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.machines.end(c.loseHolder(key).Info().Address)
+		c.machines.end(c.killHolder(key).Info().Address)
 		// The next run that asks finds the grant lapsed; otherwise the keeper does so a while later.
-		time.Sleep(grantTerm)
+		time.Sleep(grantDuration)
 		c.nodeOf(key, 2).Admit(t.Context(), key).Release()
 		time.Sleep(500 * time.Millisecond)
 		keeper := c.nodeOf(key, 0)
 		keeper.mutex.Lock()
 		defer keeper.mutex.Unlock()
-		counted, unseen, strong := keeper.book.count(key), keeper.book.unseenEnds(key), keeper.book.strong(key)
+		counted, unseen, strong := keeper.evidence.endCount(key), keeper.evidence.unseenEndCount(key), keeper.evidence.strongIncidents(key)
 		if counted != 1 || unseen != 1 || len(strong) != 0 {
 			t.Errorf("%d ends are counted and %d that nobody saw, %d of them strong; want 1, 1 and none", counted, unseen, len(strong))
 		}
--- a/internal/quarantine/fake_test.go
+++ b/internal/quarantine/fake_test.go
@@ -29,7 +29,7 @@
 	// ended are the addresses that refuse, cut those that do not answer.
 	ended map[netip.AddrPort]bool
 	cut   map[netip.AddrPort]bool
-	asked int
+	dials int
 }
 
 // Listen fails: nothing is served here.
@@ -41,7 +41,7 @@
 func (f *fakeMachines) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	f.mutex.Lock()
-	f.asked++
+	f.dials++
 	ended, cut := f.ended[address], f.cut[address]
 	f.mutex.Unlock()
 	if cut {
@@ -62,7 +62,7 @@
 	f.ended[address] = true
 }
 
-func (f *fakeMachines) begin(address netip.AddrPort) {
+func (f *fakeMachines) restart(address netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	delete(f.ended, address)
@@ -133,40 +133,40 @@
 	// sides holds the side of a cut on which a node is; 0 is that of most.
 	sides map[netip.AddrPort]int
 	// infos are the replicas; drawn counts all that there ever were.
-	infos []replica.Info
-	drawn int
+	infos   []replica.Info
+	created int
 	// crashed counts the replicas that ended, by the message that ended them.
 	crashed map[Key]int
 }
 
 func newCluster(t *testing.T, nodes, replicas int) *cluster {
-	made := &cluster{
+	created := &cluster{
 		t: t, network: memory.NewNetwork(1), store: &recordStore{KeyValue: platformtest.NewKeyValue()}, sides: map[netip.AddrPort]int{}, crashed: map[Key]int{},
 		machines: &fakeMachines{ended: map[netip.AddrPort]bool{}, cut: map[netip.AddrPort]bool{}},
 	}
-	made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-		made.mutex.Lock()
-		defer made.mutex.Unlock()
-		return memory.Conditions{Delay: time.Millisecond, Cut: made.sides[from] != made.sides[to]}
+	created.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
+		created.mutex.Lock()
+		defer created.mutex.Unlock()
+		return memory.Conditions{Delay: time.Millisecond, Cut: created.sides[from] != created.sides[to]}
 	})
 	for range replicas {
-		made.infos = append(made.infos, made.newReplica())
+		created.infos = append(created.infos, created.newReplica())
 	}
 	for index := range nodes {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+index))
-		made.nodes = append(made.nodes, &node{id: membership.NodeID(fmt.Sprintf("node-%02d", index)), address: address, view: membershiptest.NewViewer(nil)})
+		created.nodes = append(created.nodes, &node{id: membership.NodeID(fmt.Sprintf("node-%02d", index)), address: address, view: membershiptest.NewViewer(nil)})
 	}
-	for _, each := range made.nodes {
-		made.start(each)
+	for _, member := range created.nodes {
+		created.start(member)
 	}
-	made.agree()
-	return made
+	created.agree()
+	return created
 }
 
 // newReplica returns another incarnation at another address.
 func (c *cluster) newReplica() replica.Info {
-	c.drawn++
-	return replica.Info{ID: fmt.Sprintf("replica-%d", c.drawn), Service: "s", Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(c.drawn)), Slots: 8}
+	c.created++
+	return replica.Info{ID: fmt.Sprintf("replica-%d", c.created), Service: "s", Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(c.created)), Slots: 8}
 }
 
 // start starts a node's process, which knows nothing of the one before.
@@ -197,15 +197,15 @@
 }
 
 func (c *cluster) stop() {
-	for _, each := range c.nodes {
-		if each.up {
-			c.kill(each)
+	for _, member := range c.nodes {
+		if member.up {
+			c.kill(member)
 		}
 	}
 }
 
-func (c *cluster) member(of *node, state membership.State) membership.Member {
-	return membership.Member{ID: of.id, PeerAddress: of.address, State: state}
+func (c *cluster) member(subject *node, state membership.State) membership.Member {
+	return membership.Member{ID: subject.id, PeerAddress: subject.address, State: state}
 }
 
 // agree has all nodes know how things are: who is down or on another side is dead to those that do not reach it.
@@ -230,8 +230,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	clear(c.sides)
-	for _, each := range together {
-		c.sides[each.address] = 1
+	for _, member := range together {
+		c.sides[member.address] = 1
 	}
 }
 
@@ -246,9 +246,9 @@
 			c.infos[index] = c.newReplica()
 		}
 	}
-	for _, each := range c.nodes {
-		if each.up {
-			each.directory.Replace(c.infos)
+	for _, member := range c.nodes {
+		if member.up {
+			member.directory.Replace(c.infos)
 		}
 	}
 }
@@ -267,8 +267,8 @@
 	return at.directory.View().Find(c.infos[number].ID)
 }
 
-// place returns where a message runs: the replica of that number, or for a suspect one of those that it prefers without another suspect.
-func (c *cluster) place(at *node, permit Permit, key Key, number int) *replica.Handle {
+// placeRun returns where a message runs: the replica of that number, or for a suspect one of those that it prefers without another suspect.
+func (c *cluster) placeRun(at *node, permit Permit, key Key, number int) *replica.Handle {
 	if permit.Verdict() != Apart {
 		return c.handle(at, number)
 	}
@@ -282,14 +282,14 @@
 	return c.handle(at, number)
 }
 
-// crashing runs a message that ends the replica of that number after a while, unless it is cut off before; false where it was not admitted.
-func (c *cluster) crashing(at *node, number int, key Key) bool {
+// runCrashing runs a message that ends the replica of that number after a while, unless it is cut off before; false where it was not admitted.
+func (c *cluster) runCrashing(at *node, number int, key Key) bool {
 	permit := at.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
 		return false
 	}
-	handle := c.place(at, permit, key, number)
+	handle := c.placeRun(at, permit, key, number)
 	cut := make(chan struct{})
 	run := permit.Begin(handle, func() { close(cut) })
 	select {
@@ -310,11 +310,11 @@
 	return f.ended[handle.Info().Address]
 }
 
-// recorded are ends as an owner recorded them, before the first event.
-func recorded(ended ...replica.Key) []RecordedEnd {
+// recordedEnds are ends as an owner recorded them, before the first event.
+func recordedEnds(ended ...replica.Key) []RecordedEnd {
 	var ends []RecordedEnd
-	for _, each := range ended {
-		ends = append(ends, RecordedEnd{Replica: each})
+	for _, key := range ended {
+		ends = append(ends, RecordedEnd{Replica: key})
 	}
 	return ends
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -16,9 +16,9 @@
 // nodeOf returns the node that ranks at the given place among the keepers of a message.
 func (c *cluster) nodeOf(key Key, place int) *node {
 	wanted := keepers(c.nodes[0].view.View(), key)[place].ID
-	for _, each := range c.nodes {
-		if each.id == wanted {
-			return each
+	for _, member := range c.nodes {
+		if member.id == wanted {
+			return member
 		}
 	}
 	c.t.Fatal("no such keeper")
@@ -28,7 +28,7 @@
 func TestLastRunNeedsMostMembers(t *testing.T) {
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.nodes[0].Recall(key, recorded(1, 2), 0)
+		c.nodes[0].Recall(key, recordedEnds(1, 2), 0)
 		time.Sleep(50 * time.Millisecond)
 		c.cut(c.nodes[0], c.nodes[1])
 		c.agree()
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 				key := keyOf("a")
-				c.nodes[0].Recall(key, recorded(test.ended...), 0)
+				c.nodes[0].Recall(key, recordedEnds(test.ended...), 0)
 				time.Sleep(50 * time.Millisecond)
 				first, asking := c.nodeOf(key, 0), c.nodeOf(key, 3)
 				// The members do not know yet that it is gone.
@@ -76,9 +76,9 @@
 		asking.mutex.Lock()
 		for number, ended := range []replica.Key{1, 2} {
 			learned := time.Now().Add(time.Duration(number-2) * 100 * time.Millisecond)
-			asking.book.add(ended, learned, key, suspect{ran: 10 * time.Millisecond})
+			asking.evidence.add(ended, learned, key, suspect{runDuration: 10 * time.Millisecond})
 			for beside := range 9 {
-				asking.book.add(ended, learned, keyOf(fmt.Sprintf("%d-%d", ended, beside)), suspect{ran: 10 * time.Millisecond})
+				asking.evidence.add(ended, learned, keyOf(fmt.Sprintf("%d-%d", ended, beside)), suspect{runDuration: 10 * time.Millisecond})
 			}
 		}
 		asking.mutex.Unlock()
@@ -96,7 +96,7 @@
 func TestGrantWithoutAnAnswerIsNoEnd(t *testing.T) {
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.nodes[0].Recall(key, recorded(1), 0)
+		c.nodes[0].Recall(key, recordedEnds(1), 0)
 		time.Sleep(50 * time.Millisecond)
 		first, asking := c.nodeOf(key, 0), c.nodeOf(key, 3)
 		c.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
@@ -111,13 +111,13 @@
 		}
 		permit.Begin(c.handle(asking, 0), nil).End(t.Context(), Other)
 		permit.Release()
-		time.Sleep(2*grantTerm + refreshInterval)
-		for _, each := range c.nodes {
-			each.mutex.Lock()
-			if ended := each.book.count(key); ended != 1 {
-				t.Errorf("%s counts %d ended replicas, want 1", each.id, ended)
+		time.Sleep(2*grantDuration + refreshInterval)
+		for _, member := range c.nodes {
+			member.mutex.Lock()
+			if ended := member.evidence.endCount(key); ended != 1 {
+				t.Errorf("%s counts %d ended replicas, want 1", member.id, ended)
 			}
-			each.mutex.Unlock()
+			member.mutex.Unlock()
 		}
 	})
 }
@@ -125,11 +125,11 @@
 func TestNextKeepersAreAskedWhereSeveralAreGone(t *testing.T) {
 	inCluster(t, 8, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.nodes[0].Recall(key, recorded(1), 0)
+		c.nodes[0].Recall(key, recordedEnds(1), 0)
 		time.Sleep(50 * time.Millisecond)
 		gone, asking := []*node{c.nodeOf(key, 0), c.nodeOf(key, 1), c.nodeOf(key, 2), c.nodeOf(key, 3)}, c.nodeOf(key, 7)
-		for _, each := range gone {
-			c.kill(each)
+		for _, member := range gone {
+			c.kill(member)
 		}
 		permit := asking.Admit(t.Context(), key)
 		defer permit.Release()
@@ -142,24 +142,24 @@
 func TestLateRenewalRevivesNoGrant(t *testing.T) {
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
 		at, key, now := c.nodes[0], keyOf("a"), time.Now()
-		at.Recall(key, recorded(1), 0)
+		at.Recall(key, recordedEnds(1), 0)
 		request := &quarantinepb.GrantRequest{Message: keyBytes(key), Run: 7}
 		for _, step := range []struct {
 			run  uint64
 			want quarantinepb.Verdict
 		}{{7, quarantinepb.Verdict_VERDICT_GRANTED}, {7, quarantinepb.Verdict_VERDICT_GRANTED}, {8, quarantinepb.Verdict_VERDICT_BUSY}} {
 			request.Run = step.run
-			if got := at.give(request, now).GetVerdict(); got != step.want {
+			if got := at.handleGrant(request, now).GetVerdict(); got != step.want {
 				t.Errorf("run %d: %s, want %s", step.run, got, step.want)
 			}
 		}
-		at.takeBack(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: 7}, now)
+		at.handleRelease(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: 7}, now)
 		request.Run = 7
-		if got := at.give(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
+		if got := at.handleGrant(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
 			t.Errorf("a renewal behind the release: %s", got)
 		}
 		request.Run = 8
-		if got := at.give(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
+		if got := at.handleGrant(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
 			t.Errorf("the next run: %s", got)
 		}
 	})
@@ -168,16 +168,16 @@
 func TestMalformedKeysAreRejected(t *testing.T) {
 	inCluster(t, 1, 1, func(t *testing.T, c *cluster) {
 		at, now := c.nodes[0], time.Now()
-		if got := at.give(&quarantinepb.GrantRequest{Message: []byte("short")}, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_REJECTED {
+		if got := at.handleGrant(&quarantinepb.GrantRequest{Message: []byte("short")}, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_REJECTED {
 			t.Errorf("verdict %s", got)
 		}
-		at.takeBack(&quarantinepb.ReleaseRequest{Message: []byte("short")}, now)
+		at.handleRelease(&quarantinepb.ReleaseRequest{Message: []byte("short")}, now)
 		malformed := &quarantinepb.Notice{
 			Incidents: []*quarantinepb.Incident{{Replica: 1, AgeMillis: 1 << 63, Suspects: []*quarantinepb.Suspect{{Message: []byte("short")}}}},
 			Losses:    []*quarantinepb.Loss{{Message: []byte("short"), Run: 1}},
 		}
 		at.join(malformed, now)
-		if len(at.book.incidents)+len(at.book.losses) != 0 {
+		if len(at.evidence.incidents)+len(at.evidence.losses) != 0 {
 			t.Error("an incident without a message is kept")
 		}
 	})
@@ -202,8 +202,8 @@
 func TestSuspectsKeepAwayFromEachOther(t *testing.T) {
 	inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
 		at := c.nodes[0]
-		at.Recall(keyOf("a"), recorded(1), 0)
-		at.Recall(keyOf("b"), recorded(2), 0)
+		at.Recall(keyOf("a"), recordedEnds(1), 0)
+		at.Recall(keyOf("b"), recordedEnds(2), 0)
 		one, other, harmless := at.Admit(t.Context(), keyOf("a")), at.Admit(t.Context(), keyOf("b")), at.Admit(t.Context(), keyOf("c"))
 		defer one.Release()
 		defer other.Release()
@@ -265,22 +265,22 @@
 func TestGrantThatIsGivenBackBeforeItIsAskedForIsNotGiven(t *testing.T) {
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
 		at, key := c.nodes[0], keyOf("a")
-		at.Recall(key, recorded(1), 0)
+		at.Recall(key, recordedEnds(1), 0)
 		for _, run := range []uint64{7, 8, 9} {
-			at.takeBack(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run}, time.Now())
+			at.handleRelease(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run}, time.Now())
 		}
 		for _, run := range []uint64{7, 8, 9} {
-			if got := at.give(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: run}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
+			if got := at.handleGrant(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: run}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
 				t.Errorf("run %d: %s", run, got)
 			}
 		}
-		time.Sleep(2*grantTerm + 2*refreshInterval)
+		time.Sleep(2*grantDuration + 2*refreshInterval)
 		at.mutex.Lock()
-		if ended := at.book.count(key); ended != 1 {
+		if ended := at.evidence.endCount(key); ended != 1 {
 			t.Errorf("%d ends are counted, want 1", ended)
 		}
 		at.mutex.Unlock()
-		if got := at.give(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: 10}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
+		if got := at.handleGrant(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: 10}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
 			t.Errorf("the next run: %s", got)
 		}
 	})
--- a/internal/quarantine/losses.go
+++ b/internal/quarantine/losses.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// mostUnfinished bounds the ended replicas and the losses of one message together: whether each end was recognized makes no difference.
-	mostUnfinished = 2 * mostEnded
-	// lossesApart is the number of losses from which on a message runs apart. One connection is lost by chance.
-	lossesApart = 2
+	// maxUnfinishedRuns bounds the ended replicas and the losses of one message together: whether each end was recognized makes no difference.
+	maxUnfinishedRuns = 2 * maxEndedReplicas
+	// minLossesForApart is the number of losses from which on a message runs apart. One connection is lost by chance.
+	minLossesForApart = 2
 	// maxLossMessages bounds the messages whose losses are remembered, maxLosses those of one message: a popular one loses connections, and comes to
 	// its end, all the time.
-	maxLossMessages = 1024
-	maxLosses       = 4 * mostUnfinished
+	maxLossMessages     = 1024
+	maxLossesPerMessage = 4 * maxUnfinishedRuns
 	// lossKeepers is the number of nodes, by rank, to which a loss is reported: the keeper may be down.
 	lossKeepers = 2
 )
@@ -29,7 +29,7 @@
 
 // loss is a run whose connection ended without a whole answer while its replica was not found to have ended.
 type loss struct {
-	at      time.Time
+	lostAt  time.Time
 	cleared bool
 }
 
@@ -37,21 +37,21 @@
 type losses map[Key]map[uint64]*loss
 
 // add joins one loss; it returns whether anything is new.
-func (l losses) add(message Key, run uint64, joined loss) bool {
+func (l losses) add(message Key, run uint64, added loss) bool {
 	if l[message] == nil {
-		l.makeRoom()
+		l.evictIfFull()
 		l[message] = map[uint64]*loss{}
 	}
 	known := l[message][run]
 	switch {
 	case known == nil:
-		l.forgetCleared(message)
-		if len(l[message]) >= maxLosses {
+		l.evictOldestCleared(message)
+		if len(l[message]) >= maxLossesPerMessage {
 			return false
 		}
-		l[message][run] = &joined
+		l[message][run] = &added
 		return true
-	case joined.cleared && !known.cleared:
+	case added.cleared && !known.cleared:
 		known.cleared = true
 		return true
 	default:
@@ -59,14 +59,14 @@
 	}
 }
 
-// forgetCleared drops the oldest cleared loss of a message that has too many.
-func (l losses) forgetCleared(message Key) {
-	if len(l[message]) < maxLosses {
+// evictOldestCleared drops the oldest cleared loss of a message that has too many.
+func (l losses) evictOldestCleared(message Key) {
+	if len(l[message]) < maxLossesPerMessage {
 		return
 	}
 	dropped, found := uint64(0), false
-	for run, each := range l[message] {
-		if each.cleared && (!found || each.at.Before(l[message][dropped].at)) {
+	for run, lost := range l[message] {
+		if lost.cleared && (!found || lost.lostAt.Before(l[message][dropped].lostAt)) {
 			dropped, found = run, true
 		}
 	}
@@ -75,11 +75,11 @@
 	}
 }
 
-// open counts the losses of a message since which it has neither come to its end nor further.
-func (l losses) open(message Key) int {
+// openCount counts the losses of a message since which it has neither come to its end nor further.
+func (l losses) openCount(message Key) int {
 	count := 0
-	for _, each := range l[message] {
-		if !each.cleared {
+	for _, lost := range l[message] {
+		if !lost.cleared {
 			count++
 		}
 	}
@@ -89,18 +89,18 @@
 // clear notes that the message came to its end or further; it returns whether it had losses.
 func (l losses) clear(message Key) bool {
 	cleared := false
-	for _, each := range l[message] {
-		cleared = cleared || !each.cleared
-		each.cleared = true
+	for _, lost := range l[message] {
+		cleared = cleared || !lost.cleared
+		lost.cleared = true
 	}
 	return cleared
 }
 
-// forget drops the losses that are older than remember.
-func (l losses) forget(now time.Time) {
+// expire drops the losses that are older than remember.
+func (l losses) expire(now time.Time) {
 	for message, runs := range l {
-		for run, each := range runs {
-			if now.Sub(each.at) >= remember {
+		for run, lost := range runs {
+			if now.Sub(lost.lostAt) >= retention {
 				delete(runs, run)
 			}
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-// makeRoom drops the message with the fewest open losses, the oldest of them, where there are too many.
-func (l losses) makeRoom() {
+// evictIfFull drops the message with the fewest open losses, the oldest of them, where there are too many.
+func (l losses) evictIfFull() {
 	if len(l) < maxLossMessages {
 		return
 	}
@@ -119,7 +119,7 @@
 	var fewest int
 	var oldest time.Time
 	for message := range l {
-		count, newest := l.open(message), l.newest(message)
+		count, newest := l.openCount(message), l.newestAt(message)
 		if oldest.IsZero() || count < fewest || count == fewest && newest.Before(oldest) {
 			dropped, fewest, oldest = message, count, newest
 		}
@@ -127,11 +127,11 @@
 	delete(l, dropped)
 }
 
-func (l losses) newest(message Key) time.Time {
+func (l losses) newestAt(message Key) time.Time {
 	var newest time.Time
-	for _, each := range l[message] {
-		if each.at.After(newest) {
-			newest = each.at
+	for _, lost := range l[message] {
+		if lost.lostAt.After(newest) {
+			newest = lost.lostAt
 		}
 	}
 	return newest
@@ -140,17 +140,17 @@
 // encode returns the losses of a message as they are sent.
 func (l losses) encode(message Key, now time.Time) []*quarantinepb.Loss {
 	var encoded []*quarantinepb.Loss
-	for run, each := range l[message] {
-		encoded = append(encoded, &quarantinepb.Loss{Message: message[:], Run: run, AgeMillis: uint64(max(0, now.Sub(each.at)).Milliseconds()), Cleared: each.cleared})
+	for run, lost := range l[message] {
+		encoded = append(encoded, &quarantinepb.Loss{Message: message[:], Run: run, AgeMillis: uint64(max(0, now.Sub(lost.lostAt)).Milliseconds()), Cleared: lost.cleared})
 	}
 	return encoded
 }
 
-// all returns the losses of all messages that run apart by them.
-func (l losses) all(now time.Time) []*quarantinepb.Loss {
+// encodeApart returns the losses of all messages that run apart by them.
+func (l losses) encodeApart(now time.Time) []*quarantinepb.Loss {
 	var encoded []*quarantinepb.Loss
 	for message, runs := range l {
-		if len(runs) >= lossesApart {
+		if len(runs) >= minLossesForApart {
 			encoded = append(encoded, l.encode(message, now)...)
 		}
 	}
@@ -160,35 +160,35 @@
 // join takes in losses that another node knows of; it returns the messages of which something is new.
 func (l losses) join(encoded []*quarantinepb.Loss, now time.Time) []Key {
 	var changed []Key
-	for _, each := range encoded {
-		age := time.Duration(min(each.GetAgeMillis(), uint64(remember.Milliseconds()))) * time.Millisecond
-		key, valid := decodeKey(each.GetMessage())
-		if valid && age < remember && l.add(key, each.GetRun(), loss{at: now.Add(-age), cleared: each.GetCleared()}) {
+	for _, lost := range encoded {
+		age := time.Duration(min(lost.GetAgeMillis(), uint64(retention.Milliseconds()))) * time.Millisecond
+		key, valid := decodeKey(lost.GetMessage())
+		if valid && age < retention && l.add(key, lost.GetRun(), loss{lostAt: now.Add(-age), cleared: lost.GetCleared()}) {
 			changed = append(changed, key)
 		}
 	}
 	return changed
 }
 
-// noteLoss counts a lost run whose replica was not found to have ended. The mutex is held.
-func (s *Service) noteLoss(of *run) {
+// addLoss counts a lost run whose replica was not found to have ended. The mutex is held.
+func (s *Service) addLoss(lost *run) {
 	now := clock.Now()
-	s.book.losses.add(of.key, rand.Uint64(), loss{at: now})
+	s.evidence.losses.add(lost.key, rand.Uint64(), loss{lostAt: now})
 	s.metrics.losses.Inc()
-	s.lossesChanged(of.key)
-	s.reportLosses(of.key, now)
+	s.lossesChanged(lost.key)
+	s.reportLosses(lost.key, now)
 }
 
 // lossesChanged takes in what follows from the losses of a message. The mutex is held.
 func (s *Service) lossesChanged(key Key) {
-	s.noteVerdict(key)
-	s.signal()
+	s.updateRejected(key)
+	s.signalChanged()
 }
 
 // clearLosses notes that a message came to its end or further. The mutex is held.
 func (s *Service) clearLosses(key Key) {
-	apart := s.book.losses.open(key) >= lossesApart
-	if !s.book.losses.clear(key) {
+	apart := s.evidence.losses.openCount(key) >= minLossesForApart
+	if !s.evidence.losses.clear(key) {
 		return
 	}
 	s.lossesChanged(key)
@@ -202,8 +202,8 @@
 // reportLosses sends the keepers of a message the losses that this node knows; they announce them to all nodes from lossesApart on. The mutex is held.
 func (s *Service) reportLosses(key Key, now time.Time) {
 	view := s.viewer.View()
-	notice := &quarantinepb.Notice{Losses: s.book.losses.encode(key, now)}
-	for _, keeper := range keepersOfLosses(view, key) {
+	notice := &quarantinepb.Notice{Losses: s.evidence.losses.encode(key, now)}
+	for _, keeper := range lossKeepersOf(view, key) {
 		if keeper.ID == view.Self {
 			s.announceIfApart(key)
 			continue
@@ -214,27 +214,27 @@
 
 // announceIfApart has all nodes learn of a message that runs apart by its losses. The mutex is held.
 func (s *Service) announceIfApart(key Key) {
-	if s.book.losses.open(key) >= lossesApart {
+	if s.evidence.losses.openCount(key) >= minLossesForApart {
 		s.announceLosses(key)
 	}
 }
 
-// keepersOfLosses returns the members to which the losses of a message are reported.
-func keepersOfLosses(view *membership.View, key Key) []membership.Member {
+// lossKeepersOf returns the members to which the losses of a message are reported.
+func lossKeepersOf(view *membership.View, key Key) []membership.Member {
 	ranked := keepers(view, key)
 	return ranked[:min(lossKeepers, len(ranked))]
 }
 
-// keepsLosses says that this node is one of them.
-func keepsLosses(view *membership.View, key Key) bool {
-	return slices.ContainsFunc(keepersOfLosses(view, key), func(keeper membership.Member) bool { return keeper.ID == view.Self })
+// isLossKeeper says that this node is one of them.
+func isLossKeeper(view *membership.View, key Key) bool {
+	return slices.ContainsFunc(lossKeepersOf(view, key), func(keeper membership.Member) bool { return keeper.ID == view.Self })
 }
 
 // joinLosses takes in losses that another node knows of. The mutex is held.
 func (s *Service) joinLosses(encoded []*quarantinepb.Loss, now time.Time) {
-	for _, key := range s.book.losses.join(encoded, now) {
+	for _, key := range s.evidence.losses.join(encoded, now) {
 		s.lossesChanged(key)
-		if keepsLosses(s.viewer.View(), key) {
+		if isLossKeeper(s.viewer.View(), key) {
 			s.announceIfApart(key)
 		}
 	}
--- a/internal/quarantine/losses_test.go
+++ b/internal/quarantine/losses_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// lose has the message run at a replica that lives and lose its connection, after events of its answer where progressed.
-func lose(c *cluster, at *node, number int, key Key, progressed bool) Verdict {
+// loseRun has the message run at a replica that lives and lose its connection, after events of its answer where progressed.
+func loseRun(c *cluster, at *node, number int, key Key, progressed bool) Verdict {
 	permit := at.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
@@ -27,16 +27,16 @@
 	inCluster(t, 5, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
 		var got []Verdict
-		for number := range mostUnfinished + 1 {
-			got = append(got, lose(c, c.nodes[number%5], number, key, false))
+		for number := range maxUnfinishedRuns + 1 {
+			got = append(got, loseRun(c, c.nodes[number%5], number, key, false))
 			time.Sleep(100 * time.Millisecond)
 		}
 		for number, verdict := range got {
 			want := Allowed
 			switch {
-			case number >= mostUnfinished:
+			case number >= maxUnfinishedRuns:
 				want = Rejected
-			case number >= lossesApart:
+			case number >= minLossesForApart:
 				want = Apart
 			}
 			if verdict != want {
@@ -54,19 +54,19 @@
 			permit.Begin(c.handle(at, 0), nil).End(c.t.Context(), Whole)
 			permit.Release()
 		},
-		"further": func(c *cluster, at *node, key Key) { lose(c, at, 0, key, true) },
+		"further": func(c *cluster, at *node, key Key) { loseRun(c, at, 0, key, true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 4, 8, func(t *testing.T, c *cluster) {
 				key := keyOf("a")
-				for number := range mostUnfinished - 1 {
-					lose(c, c.nodes[number%4], number, key, false)
+				for number := range maxUnfinishedRuns - 1 {
+					loseRun(c, c.nodes[number%4], number, key, false)
 					time.Sleep(100 * time.Millisecond)
 				}
 				end(c, c.nodes[3], key)
 				time.Sleep(100 * time.Millisecond)
-				for _, each := range c.nodes {
-					wantVerdict(t, each, key, Allowed)
+				for _, member := range c.nodes {
+					wantVerdict(t, member, key, Allowed)
 				}
 			})
 		})
@@ -77,13 +77,13 @@
 func TestOneLossIsKnownToTheKeepersOnly(t *testing.T) {
 	inCluster(t, 12, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		lose(c, c.nodes[0], 0, key, false)
+		loseRun(c, c.nodes[0], 0, key, false)
 		time.Sleep(5 * time.Second)
 		knowing := 0
-		for _, each := range c.nodes {
-			each.mutex.Lock()
-			knowing += each.book.losses.open(key)
-			each.mutex.Unlock()
+		for _, member := range c.nodes {
+			member.mutex.Lock()
+			knowing += member.evidence.losses.openCount(key)
+			member.mutex.Unlock()
 		}
 		if knowing < lossKeepers || knowing > lossKeepers+1 {
 			t.Errorf("%d nodes know of the loss, want the one that saw it and %d keepers", knowing, lossKeepers)
@@ -98,8 +98,8 @@
 		permit := c.nodes[2].Admit(t.Context(), key)
 		cut := false
 		run := permit.Begin(c.handle(c.nodes[2], 7), func() { cut = true })
-		for number := range lossesApart {
-			lose(c, c.nodes[number], number, key, false)
+		for number := range minLossesForApart {
+			loseRun(c, c.nodes[number], number, key, false)
 		}
 		time.Sleep(100 * time.Millisecond)
 		if cut {
@@ -113,15 +113,15 @@
 func TestLossesAreBounded(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	kept := losses{}
-	kept.add(Key{0xff}, 1, loss{at: now})
-	kept.add(Key{0xff}, 2, loss{at: now})
+	kept.add(Key{0xff}, 1, loss{lostAt: now})
+	kept.add(Key{0xff}, 2, loss{lostAt: now})
 	for number := range 2 * maxLossMessages {
-		kept.add(Key{byte(number), byte(number >> 8), 1}, 1, loss{at: now.Add(time.Duration(number) * time.Millisecond)})
+		kept.add(Key{byte(number), byte(number >> 8), 1}, 1, loss{lostAt: now.Add(time.Duration(number) * time.Millisecond)})
 	}
-	if len(kept) > maxLossMessages || kept.open(Key{0xff}) != 2 {
-		t.Errorf("%d messages are kept, %d losses of the one with most", len(kept), kept.open(Key{0xff}))
+	if len(kept) > maxLossMessages || kept.openCount(Key{0xff}) != 2 {
+		t.Errorf("%d messages are kept, %d losses of the one with most", len(kept), kept.openCount(Key{0xff}))
 	}
-	kept.forget(now.Add(remember + time.Minute))
+	kept.expire(now.Add(retention + time.Minute))
 	if len(kept) != 0 {
 		t.Errorf("%d messages are kept after their time", len(kept))
 	}
@@ -131,11 +131,11 @@
 func TestLossesOfAPopularMessageAreBounded(t *testing.T) {
 	now, key := time.Unix(1_000_000, 0), keyOf("a")
 	kept := losses{}
-	for run := range uint64(10 * maxLosses) {
-		kept.add(key, run, loss{at: now.Add(time.Duration(run) * time.Second), cleared: run%3 != 0 || run >= maxLosses/2})
+	for run := range uint64(10 * maxLossesPerMessage) {
+		kept.add(key, run, loss{lostAt: now.Add(time.Duration(run) * time.Second), cleared: run%3 != 0 || run >= maxLossesPerMessage/2})
 	}
-	if len(kept[key]) != maxLosses || kept.open(key) != maxLosses/6 {
-		t.Errorf("%d losses are kept, %d of them open, want %d and %d", len(kept[key]), kept.open(key), maxLosses, maxLosses/6)
+	if len(kept[key]) != maxLossesPerMessage || kept.openCount(key) != maxLossesPerMessage/6 {
+		t.Errorf("%d losses are kept, %d of them open, want %d and %d", len(kept[key]), kept.openCount(key), maxLossesPerMessage, maxLossesPerMessage/6)
 	}
 }
 
@@ -144,16 +144,16 @@
 	now, key := time.Unix(1_000_000, 0), keyOf("a")
 	open, cleared := losses{}, losses{}
 	for run := range uint64(3) {
-		open.add(key, run, loss{at: now})
-		cleared.add(key, run, loss{at: now, cleared: run == 1})
+		open.add(key, run, loss{lostAt: now})
+		cleared.add(key, run, loss{lostAt: now, cleared: run == 1})
 	}
-	forth, back := losses{}, losses{}
-	forth.join(open.encode(key, now), now)
-	forth.join(cleared.encode(key, now), now)
-	back.join(cleared.encode(key, now), now)
-	back.join(open.encode(key, now), now)
-	if again := back.join(open.encode(key, now), now); len(again) != 0 || forth.open(key) != 2 || back.open(key) != 2 {
-		t.Errorf("%d and %d open losses, want 2; %d new ones the second time", forth.open(key), back.open(key), len(again))
+	openFirst, clearedFirst := losses{}, losses{}
+	openFirst.join(open.encode(key, now), now)
+	openFirst.join(cleared.encode(key, now), now)
+	clearedFirst.join(cleared.encode(key, now), now)
+	clearedFirst.join(open.encode(key, now), now)
+	if again := clearedFirst.join(open.encode(key, now), now); len(again) != 0 || openFirst.openCount(key) != 2 || clearedFirst.openCount(key) != 2 {
+		t.Errorf("%d and %d open losses, want 2; %d new ones the second time", openFirst.openCount(key), clearedFirst.openCount(key), len(again))
 	}
 }
 
@@ -164,8 +164,8 @@
 		at, key := c.nodes[0], keyOf("a")
 		c.infos[0].Draining = true
 		at.directory.Replace(c.infos)
-		lose(c, at, 0, key, false)
-		if lost := at.book.losses.open(key); lost != 0 {
+		loseRun(c, at, 0, key, false)
+		if lost := at.evidence.losses.openCount(key); lost != 0 {
 			t.Errorf("%d losses", lost)
 		}
 		c.stop()
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -13,7 +13,7 @@
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
-	made := &metrics{
+	created := &metrics{
 		messages: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "sloelift_quarantine_messages", Help: "Messages under which replicas ended, by what follows.",
 		}, []string{"verdict"}),
@@ -23,12 +23,12 @@
 		notices:  prometheus.NewCounter(prometheus.CounterOpts{Name: "sloelift_quarantine_notices_total", Help: "Notices sent to other nodes."}),
 		losses:   prometheus.NewCounter(prometheus.CounterOpts{Name: "sloelift_quarantine_runs_lost_total", Help: "Runs without a whole answer whose replica was not found to have ended."}),
 	}
-	registerer.MustRegister(made.messages, made.ended, made.cut, made.admitted, made.notices, made.losses)
-	return made
+	registerer.MustRegister(created.messages, created.ended, created.cut, created.admitted, created.notices, created.losses)
+	return created
 }
 
-// note sets the numbers of messages that are suspected and rejected.
-func (m *metrics) note(suspected, rejected int) {
+// setMessages sets the numbers of messages that are suspected and rejected.
+func (m *metrics) setMessages(suspected, rejected int) {
 	m.messages.WithLabelValues(Apart.String()).Set(float64(suspected))
 	m.messages.WithLabelValues(Rejected.String()).Set(float64(rejected))
 }
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -14,8 +14,8 @@
 const (
 	// probeTimeout bounds a question to a replica's machine: a refusal comes within a round trip, silence is a link that is cut.
 	probeTimeout = 150 * time.Millisecond
-	// settleTime is the time within which the connections of one process that ends are seen to end.
-	settleTime = 5 * time.Millisecond
+	// connectionCloseWait is the time within which the connections of one process that ends are seen to end.
+	connectionCloseWait = 5 * time.Millisecond
 )
 
 // inquiry finds out, once for all runs that were lost there together, whether a replica's process has ended.
@@ -51,31 +51,31 @@
 	if known != nil && (!known.ended || !handle.AnsweredSince(known.at)) {
 		return known
 	}
-	begun := &inquiry{done: make(chan struct{}), at: clock.Now()}
-	s.inquiries[handle.Key()] = begun
+	started := &inquiry{done: make(chan struct{}), at: clock.Now()}
+	s.inquiries[handle.Key()] = started
 	if s.stopped {
-		close(begun.done)
-		return begun
+		close(started.done)
+		return started
 	}
-	s.running.Go(func() { s.conduct(begun, handle) })
-	return begun
+	s.running.Go(func() { s.runInquiry(started, handle) })
+	return started
 }
 
-// conduct answers an inquiry. A replica that drains ends as planned, whatever runs there.
-func (s *Service) conduct(begun *inquiry, handle *replica.Handle) {
+// runInquiry answers an inquiry. A replica that drains ends as planned, whatever runs there.
+func (s *Service) runInquiry(inquiry *inquiry, handle *replica.Handle) {
 	found := s.probe(handle)
 	ended := found.ended()
 	counted := ended && !handle.Info().Draining
 	s.mutex.Lock()
-	begun.ended, begun.counted, begun.finding, begun.at = ended, counted, found, clock.Now()
+	inquiry.ended, inquiry.counted, inquiry.finding, inquiry.at = ended, counted, found, clock.Now()
 	if !ended {
 		delete(s.inquiries, handle.Key())
 	}
 	if counted {
-		s.suspectLeft(handle.Key(), begun.at)
+		s.suspectAbortedRuns(handle.Key(), inquiry.at)
 	}
 	s.mutex.Unlock()
-	close(begun.done)
+	close(inquiry.done)
 	if ended {
 		handle.Ended(clock.Now())
 		s.metrics.ended.Inc()
@@ -90,15 +90,15 @@
 		// It has started again under its ID, and its address takes connections again.
 		return findingReplaced
 	}
-	if handle.KeptAlive() && !s.endsSoon(handle) {
+	if handle.KeptAlive() && !s.connectionsCloseSoon(handle) {
 		return findingConnectionKept
 	}
 	bounded, cancel := context.WithTimeout(s.ctx, probeTimeout)
 	defer cancel()
 	connection, err := s.network.Dial(bounded, handle.Info().Address)
 	if err == nil {
-		if failure := connection.Close(); failure != nil {
-			s.logger.Debug().Err(failure).Msg("probe_not_closed")
+		if closeErr := connection.Close(); closeErr != nil {
+			s.logger.Debug().Err(closeErr).Msg("probe_not_closed")
 		}
 		return findingConnected
 	}
@@ -108,19 +108,19 @@
 	return findingNoAnswer
 }
 
-// endsSoon says that the kept connections have ended a moment later.
-func (s *Service) endsSoon(handle *replica.Handle) bool {
+// connectionsCloseSoon says that the kept connections have ended a moment later.
+func (s *Service) connectionsCloseSoon(handle *replica.Handle) bool {
 	select {
-	case <-time.After(settleTime):
+	case <-time.After(connectionCloseWait):
 	case <-s.ctx.Done():
 	}
 	return !handle.KeptAlive()
 }
 
-// forgetInquiries drops the ends of replicas that nothing runs at any more. The mutex is held.
-func (s *Service) forgetInquiries(now time.Time) {
-	for key, each := range s.inquiries {
-		if each.ended && now.Sub(each.at) >= remember {
+// expireInquiries drops the ends of replicas that nothing runs at any more. The mutex is held.
+func (s *Service) expireInquiries(now time.Time) {
+	for key, inquiry := range s.inquiries {
+		if inquiry.ended && now.Sub(inquiry.at) >= retention {
 			delete(s.inquiries, key)
 		}
 	}
--- a/internal/quarantine/recorded.go
+++ b/internal/quarantine/recorded.go
@@ -18,17 +18,17 @@
 	recordValue = "rejected"
 	// recordTimeout bounds the calls to the service that make or read records.
 	recordTimeout = 2 * time.Second
-	// readAfter is how long other nodes are asked before the first node of each zone reads the records, allReadAfter before each node does.
-	readAfter    = 100 * time.Millisecond
-	allReadAfter = 2 * time.Second
+	// zoneReadDelay is how long other nodes are asked before the first node of each zone reads the records, allReadAfter before each node does.
+	zoneReadDelay     = 100 * time.Millisecond
+	allNodesReadDelay = 2 * time.Second
 )
 
-// record is the state of a rejected message's record.
-type record int
+// recordState is the state of a rejected message's record.
+type recordState int
 
 const (
 	// recordMissing: it is to be written, by the first keeper.
-	recordMissing record = iota
+	recordMissing recordState = iota
 	// recordWritten: it was written or found.
 	recordWritten
 )
@@ -45,8 +45,8 @@
 	return decodeKey(encoded)
 }
 
-// recordRejected writes, from time to time and whenever a message is rejected, the records that are missing.
-func (s *Service) recordRejected() {
+// writeRecords writes, from time to time and whenever a message is rejected, the records that are missing.
+func (s *Service) writeRecords() {
 	if s.store == nil {
 		return
 	}
@@ -55,7 +55,7 @@
 	defer again.Stop()
 	for {
 		select {
-		case <-s.unrecorded:
+		case <-s.recordsMissing:
 		case <-again.C:
 		case <-s.ctx.Done():
 			return
@@ -85,16 +85,16 @@
 
 // recorder writes records under a lease, so that they go about when their messages are forgotten. It belongs to one goroutine.
 type recorder struct {
-	service *Service
-	lease   platform.LeaseID
-	until   time.Time
+	service    *Service
+	lease      platform.LeaseID
+	leaseUntil time.Time
 }
 
 // write writes the record of a message; without success it is tried again later.
 func (r *recorder) write(message Key) {
 	s := r.service
 	if err := r.commit(message); err != nil {
-		r.until = time.Time{}
+		r.leaseUntil = time.Time{}
 		s.logger.Info().Stringer("digest", message).Err(err).Msg("rejection_not_recorded")
 		return
 	}
@@ -110,12 +110,12 @@
 func (r *recorder) commit(message Key) error {
 	ctx, cancel := context.WithTimeout(r.service.ctx, recordTimeout)
 	defer cancel()
-	if now := clock.Now(); r.until.Sub(now) < remember/2 {
-		lease, err := r.service.store.GrantLease(ctx, remember)
+	if now := clock.Now(); r.leaseUntil.Sub(now) < retention/2 {
+		lease, err := r.service.store.GrantLease(ctx, retention)
 		if err != nil {
 			return err
 		}
-		r.lease, r.until = lease, now.Add(remember)
+		r.lease, r.leaseUntil = lease, now.Add(retention)
 	}
 	key := recordKey(message)
 	change := platform.Change{Key: key, Value: []byte(recordValue), LeaseID: r.lease}
@@ -124,12 +124,12 @@
 	return err
 }
 
-// readsRecords says that this node reads the records where others, which were asked for that long, do not know all of them.
-func (s *Service) readsRecords(asked time.Duration) bool {
-	if s.store == nil || asked < readAfter {
+// shouldReadRecords says that this node reads the records where others, which were asked for that long, do not know all of them.
+func (s *Service) shouldReadRecords(asked time.Duration) bool {
+	if s.store == nil || asked < zoneReadDelay {
 		return false
 	}
-	if asked >= allReadAfter {
+	if asked >= allNodesReadDelay {
 		return true
 	}
 	view := s.viewer.View()
@@ -160,17 +160,17 @@
 		s.logger.Info().Err(err).Msg("rejections_not_read")
 		return
 	}
-	var found [][]byte
+	var messages [][]byte
 	for _, entry := range listing.Entries {
 		if message, valid := messageOfRecord(entry.Key); valid {
-			found = append(found, message[:])
+			messages = append(messages, message[:])
 		}
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.recallRejected(found, clock.Now())
+	s.recallRejected(messages, clock.Now())
 	s.complete = true
-	s.logger.Info().Int("messages", len(found)).Msg("rejections_read")
+	s.logger.Info().Int("messages", len(messages)).Msg("rejections_read")
 }
 
 // recallRejected takes in messages that were rejected by evidence which is gone. The mutex is held.
@@ -180,12 +180,12 @@
 		if !valid {
 			continue
 		}
-		s.book.recalled[message] = now
+		s.evidence.recalled[message] = now
 		if _, known := s.rejected[message]; !known {
 			s.rejected[message] = recordWritten
 		}
 	}
 	if len(messages) > 0 {
-		s.signal()
+		s.signalChanged()
 	}
 }
--- a/internal/quarantine/recorded_test.go
+++ b/internal/quarantine/recorded_test.go
@@ -7,10 +7,10 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// rejectOn has replicas crash under the message until it is rejected.
-func rejectOn(c *cluster, at *node, key Key) {
-	for number := range mostEnded {
-		c.crashing(at, number, key)
+// rejectMessage has replicas crash under the message until it is rejected.
+func rejectMessage(c *cluster, at *node, key Key) {
+	for number := range maxEndedReplicas {
+		c.runCrashing(at, number, key)
 		time.Sleep(200 * time.Millisecond)
 	}
 	if got := at.Check(key); got != Rejected {
@@ -18,13 +18,13 @@
 	}
 }
 
-// restart kills all nodes at once and starts them again.
-func restart(c *cluster) {
-	for _, each := range c.nodes {
-		c.kill(each)
+// restartAll kills all nodes at once and starts them again.
+func restartAll(c *cluster) {
+	for _, member := range c.nodes {
+		c.kill(member)
 	}
-	for _, each := range c.nodes {
-		c.start(each)
+	for _, member := range c.nodes {
+		c.start(member)
 	}
 	c.agree()
 }
@@ -32,7 +32,7 @@
 // TestRejectionIsRecordedOnce: one node writes it, whoever learns of it.
 func TestRejectionIsRecordedOnce(t *testing.T) {
 	inCluster(t, 6, 8, func(t *testing.T, c *cluster) {
-		rejectOn(c, c.nodes[0], keyOf("a"))
+		rejectMessage(c, c.nodes[0], keyOf("a"))
 		time.Sleep(10 * time.Second)
 		if written := c.store.Len(); written != 1 {
 			t.Errorf("%d records", written)
@@ -45,14 +45,14 @@
 	inCluster(t, 3, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
 		c.store.setDown(true)
-		rejectOn(c, c.nodes[0], key)
+		rejectMessage(c, c.nodes[0], key)
 		time.Sleep(10 * time.Second)
 		c.store.setDown(false)
 		time.Sleep(2*refreshInterval + time.Second)
-		restart(c)
+		restartAll(c)
 		time.Sleep(3 * time.Second)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Rejected)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Rejected)
 		}
 	})
 }
@@ -61,15 +61,15 @@
 func TestRecordsAreReadOnceTheServiceAnswers(t *testing.T) {
 	inCluster(t, 3, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		rejectOn(c, c.nodes[0], key)
+		rejectMessage(c, c.nodes[0], key)
 		time.Sleep(time.Second)
 		c.store.setDown(true)
-		restart(c)
+		restartAll(c)
 		time.Sleep(20 * time.Second)
 		c.store.setDown(false)
 		time.Sleep(refreshInterval + time.Second)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Rejected)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Rejected)
 		}
 	})
 }
@@ -81,8 +81,8 @@
 		if c.store.listed != 1 {
 			t.Errorf("%d listings by 30 nodes of one zone", c.store.listed)
 		}
-		for number, each := range c.nodes {
-			if !each.isComplete() {
+		for number, member := range c.nodes {
+			if !member.isComplete() {
 				t.Errorf("node %d is not complete", number)
 			}
 		}
@@ -93,9 +93,9 @@
 func TestRestartedNodeLearnsFromTheOthers(t *testing.T) {
 	inCluster(t, 4, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		rejectOn(c, c.nodes[0], key)
+		rejectMessage(c, c.nodes[0], key)
 		time.Sleep(time.Second)
-		restart(c)
+		restartAll(c)
 		time.Sleep(5 * time.Second)
 		listed := c.store.listed
 		c.kill(c.nodes[2])
@@ -112,10 +112,10 @@
 func TestRecalledMessageIsForgotten(t *testing.T) {
 	inCluster(t, 2, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		rejectOn(c, c.nodes[0], key)
+		rejectMessage(c, c.nodes[0], key)
 		time.Sleep(time.Second)
-		restart(c)
-		time.Sleep(remember + 2*refreshInterval + 3*time.Second)
+		restartAll(c)
+		time.Sleep(retention + 2*refreshInterval + 3*time.Second)
 		if got := c.nodes[0].Check(key); got != Allowed {
 			t.Errorf("%s", got)
 		}
@@ -126,7 +126,7 @@
 func TestLeavingNodeWritesNoRecord(t *testing.T) {
 	inCluster(t, 1, 8, func(t *testing.T, c *cluster) {
 		at, key := c.nodes[0], keyOf("a")
-		rejectOn(c, at, key)
+		rejectMessage(c, at, key)
 		at.view.Set(&membership.View{Self: at.id, Members: []membership.Member{c.member(at, membership.Leaving)}})
 		at.mutex.Lock()
 		at.rejected[key] = recordMissing
--- a/internal/quarantine/recurring_test.go
+++ b/internal/quarantine/recurring_test.go
@@ -18,13 +18,13 @@
 		running := newCluster(t, 3, 12)
 		crashed := 0
 		for number := range 8 {
-			if running.crashing(running.nodes[number%3], number, attemptKey(number)) {
+			if running.runCrashing(running.nodes[number%3], number, attemptKey(number)) {
 				crashed++
 			}
 			time.Sleep(time.Second)
 		}
-		if crashed > mostEnded {
-			t.Errorf("%d attempts crashed a replica, %d may", crashed, mostEnded)
+		if crashed > maxEndedReplicas {
+			t.Errorf("%d attempts crashed a replica, %d may", crashed, maxEndedReplicas)
 		}
 		running.stop()
 	})
@@ -47,7 +47,7 @@
 			permit.Release()
 			time.Sleep(200 * time.Millisecond)
 		}
-		const wantMost = 2 * mostEnded
+		const wantMost = 2 * maxEndedReplicas
 		if runs > wantMost {
 			t.Errorf("the message was sent %d times and never came to its end, %d are the most", runs, wantMost)
 		}
@@ -62,25 +62,25 @@
 		key, crashed := Key{1}, 0
 		for life := range 4 {
 			for number := range 4 {
-				if running.crashing(running.nodes[number%3], number, key) {
+				if running.runCrashing(running.nodes[number%3], number, key) {
 					crashed++
 				}
 				time.Sleep(time.Second)
 			}
-			if life == 0 && crashed > mostEnded {
+			if life == 0 && crashed > maxEndedReplicas {
 				t.Fatalf("%d crashes in the first life", crashed)
 			}
-			for _, each := range running.nodes {
-				running.kill(each)
+			for _, member := range running.nodes {
+				running.kill(member)
 			}
-			for _, each := range running.nodes {
-				running.start(each)
+			for _, member := range running.nodes {
+				running.start(member)
 			}
 			running.agree()
 			time.Sleep(2 * time.Second)
 		}
-		if crashed > mostEnded {
-			t.Errorf("%d replicas crashed over all lives, %d may", crashed, mostEnded)
+		if crashed > maxEndedReplicas {
+			t.Errorf("%d replicas crashed over all lives, %d may", crashed, maxEndedReplicas)
 		}
 		running.stop()
 	})
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -19,14 +19,14 @@
 	verdict Verdict
 	// item says that the message is that of an item.
 	item bool
-	// known is the number of ended replicas that spoke against the message here when the permit was given.
-	known int
-	// grant is the number of the grant that the keeper gave; 0 where none was needed.
-	grant  uint64
-	keeper membership.Member
-	// place is the key of the replica at which the granted run is; 0 before it was sent. placed wakes the renewal, which tells the keeper.
-	place  atomic.Uint64
-	placed chan struct{}
+	// knownIncidents is the number of ended replicas that spoke against the message here when the permit was given.
+	knownIncidents int
+	// grantedRun is the number of the grant that the keeper gave; 0 where none was needed.
+	grantedRun uint64
+	keeper     membership.Member
+	// replicaKey is the key of the replica at which the granted run is; 0 before it was sent. placed wakes the renewal, which tells the keeper.
+	replicaKey    atomic.Uint64
+	replicaChosen chan struct{}
 	// stopRenewing ends the renewal of the grant.
 	stopRenewing context.CancelFunc
 }
@@ -43,11 +43,11 @@
 	defer p.service.mutex.Unlock()
 	var found []*replica.Handle
 	for key, runs := range p.service.runs {
-		if key == p.key || p.service.book.verdict(key) == Allowed {
+		if key == p.key || p.service.evidence.verdict(key) == Allowed {
 			continue
 		}
-		for each := range runs {
-			found = append(found, each.handle)
+		for run := range runs {
+			found = append(found, run.handle)
 		}
 	}
 	return found
@@ -61,44 +61,44 @@
 	stop := p.stopRenewing
 	p.stopRenewing = nil
 	stop()
-	p.service.release(p.key, p.grant, p.keeper)
+	p.service.releaseGrant(p.key, p.grantedRun, p.keeper)
 }
 
 // Begin implements Permit.
 func (p *permit) Begin(handle *replica.Handle, cut func()) Run {
-	begun := &run{service: p.service, key: p.key, handle: handle, cut: cut, began: clock.Now(), granted: p.grant != 0, item: p.item}
-	if p.grant != 0 {
-		p.place.Store(uint64(handle.Key()))
-		subscription.Signal(p.placed)
+	started := &run{service: p.service, key: p.key, handle: handle, cut: cut, startedAt: clock.Now(), granted: p.grantedRun != 0, item: p.item}
+	if p.grantedRun != 0 {
+		p.replicaKey.Store(uint64(handle.Key()))
+		subscription.Signal(p.replicaChosen)
 	}
 	p.service.mutex.Lock()
 	defer p.service.mutex.Unlock()
 	if p.service.runs[p.key] == nil {
 		p.service.runs[p.key] = map[*run]bool{}
 	}
-	p.service.runs[p.key][begun] = true
+	p.service.runs[p.key][started] = true
 	// A keeper may allow what this node's book speaks against, since it knows more: only what was learned after the permit ends the run.
-	if len(p.service.book.open(p.key)) > p.known {
+	if len(p.service.evidence.openIncidents(p.key)) > p.knownIncidents {
 		p.service.cutRuns(p.key)
 	}
-	return begun
+	return started
 }
 
 // run is a message at a replica.
 type run struct {
-	service *Service
-	key     Key
-	handle  *replica.Handle
-	cut     func()
-	began   time.Time
-	granted bool
+	service   *Service
+	key       Key
+	handle    *replica.Handle
+	cut       func()
+	startedAt time.Time
+	granted   bool
 	// item says that it is a run of an item.
 	item bool
 	// progressed says that the run made events that a further run goes on behind; reached is how many the answer had then.
 	progressed bool
 	reached    int
-	// left says that the run was broken off from here; the service's mutex guards it.
-	left bool
+	// aborted says that the run was broken off from here; the service's mutex guards it.
+	aborted bool
 	// unseen says that the run is that of another node, which did not say what it made.
 	unseen bool
 }
@@ -113,16 +113,16 @@
 	r.service.endRun(r, ending)
 	switch ending {
 	case Whole:
-		r.service.cleared(r.key)
+		r.service.clearMessage(r.key)
 		return false
 	case Lost, Interrupted:
-		return r.lost(ctx, ending)
+		return r.concludeLost(ctx, ending)
 	}
 	if r.progressed {
-		r.service.progressed(r.key, r.reached)
+		r.service.clearAfterProgress(r.key, r.reached)
 	}
 	if ending == Left {
-		r.service.leave(r)
+		r.service.trackAborted(r)
 	}
 	return false
 }
@@ -136,13 +136,13 @@
 		delete(s.runs, ended.key)
 	}
 	if ending == Lost || ending == Interrupted {
-		s.inquired[ended.key]++
+		s.pendingInquiries[ended.key]++
 	}
 }
 
-// lost waits for the inquiry into the replica and, where its process has ended, counts that against the message.
-func (r *run) lost(ctx context.Context, ending Ending) (replicaEnded bool) {
-	ran := clock.Since(r.began)
+// concludeLost waits for the inquiry into the replica and, where its process has ended, counts that against the message.
+func (r *run) concludeLost(ctx context.Context, ending Ending) (replicaEnded bool) {
+	runDuration := clock.Since(r.startedAt)
 	inquiry := r.service.inquire(r.handle)
 	select {
 	case <-inquiry.done:
@@ -150,21 +150,21 @@
 	}
 	r.service.mutex.Lock()
 	defer r.service.mutex.Unlock()
-	if r.service.inquired[r.key]--; r.service.inquired[r.key] <= 0 {
-		delete(r.service.inquired, r.key)
+	if r.service.pendingInquiries[r.key]--; r.service.pendingInquiries[r.key] <= 0 {
+		delete(r.service.pendingInquiries, r.key)
 	}
 	switch {
-	case inquiry.counted && (ending == Lost || ran <= shortRun || r.item):
-		r.service.suspect(r, inquiry.at, ran)
+	case inquiry.counted && (ending == Lost || runDuration <= shortRunDuration || r.item):
+		r.service.suspect(r, inquiry.at, runDuration)
 	case inquiry.ended, r.handle.Info().Draining:
 		// A replica that is leaving ends runs as planned.
 	case r.progressed:
 		r.service.clearLosses(r.key)
 	default:
-		r.service.noteLoss(r)
+		r.service.addLoss(r)
 	}
-	r.service.signal()
-	r.service.logger.Info().Stringer("digest", r.key).Str(logging.FieldReplica, r.handle.Info().ID).Dur("ran", ran).Str("finding", string(inquiry.finding)).
+	r.service.signalChanged()
+	r.service.logger.Info().Stringer("digest", r.key).Str(logging.FieldReplica, r.handle.Info().ID).Dur("ran", runDuration).Str("finding", string(inquiry.finding)).
 		Bool("counted", inquiry.counted).Bool("granted", r.granted).Bool("progressed", r.progressed).Msg("run_lost")
 	return inquiry.ended && ctx.Err() == nil
 }
--- a/internal/quarantine/run_test.go
+++ b/internal/quarantine/run_test.go
@@ -10,7 +10,7 @@
 	inCluster(t, 2, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
 		permit := c.nodes[1].Admit(t.Context(), key)
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(50 * time.Millisecond)
 		cut := 0
 		permit.Begin(c.handle(c.nodes[1], 1), func() { cut++ }).End(t.Context(), Other)
@@ -32,7 +32,7 @@
 			at.Admit(t.Context(), keyOf("a")).Begin(handle, nil).End(t.Context(), Lost)
 			time.Sleep(time.Second)
 			if answers {
-				c.machines.begin(handle.Info().Address)
+				c.machines.restart(handle.Info().Address)
 				handle.NoteAnswer()
 			}
 			time.Sleep(time.Second)
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -59,38 +59,38 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	running   sync.WaitGroup
-	// news wakes the loop that sends notices.
-	news chan struct{}
-	// unrecorded wakes the loop that writes records.
-	unrecorded chan struct{}
+	// outboxChanged wakes the loop that sends notices.
+	outboxChanged chan struct{}
+	// recordsMissing wakes the loop that writes records.
+	recordsMissing chan struct{}
 
 	// mutex guards the fields below.
 	mutex     sync.Mutex
 	stopped   bool
 	startedAt time.Time
-	book      *book
+	evidence  *evidenceStore
 	// runs are the messages at replicas, inquired counts the lost runs of a message whose replica is being inquired into.
-	runs      map[Key]map[*run]bool
-	inquired  map[Key]int
-	inquiries map[replica.Key]*inquiry
+	runs             map[Key]map[*run]bool
+	pendingInquiries map[Key]int
+	inquiries        map[replica.Key]*inquiry
 	// queues hold the messages for which one caller on this node asks for a grant or has it; the channel is closed when it gives that up.
 	queues map[Key]chan struct{}
 	// grants are those that this node gave as keeper.
 	grants map[Key]grant
-	// givenBack are the runs whose grants were given back to this node, and when.
-	givenBack map[uint64]time.Time
-	// left are the runs that were broken off from here a short while ago, by replica; leftCount is their number, forgetLeftAt when old
+	// releasedRuns are the runs whose grants were given back to this node, and when.
+	releasedRuns map[uint64]time.Time
+	// abortedRuns are the runs that were broken off from here a short while ago, by replica; leftCount is their number, forgetLeftAt when old
 	// ones are dropped next.
-	left         map[replica.Key][]leftRun
-	leftCount    int
-	forgetLeftAt time.Time
+	abortedRuns     map[replica.Key][]abortedRun
+	abortedCount    int
+	expireAbortedAt time.Time
 	// changed is closed and replaced when something is learned or a run ends.
 	changed chan struct{}
 	// outbox are the messages for the next notice, by incident; repeats are those of notices that were sent once and are to be repeated.
 	outbox  map[replica.Key]map[Key]bool
 	repeats map[replica.Key]map[Key]bool
 	// rejected are the messages whose rejection is logged, with the state of their records.
-	rejected map[Key]record
+	rejected map[Key]recordState
 	// complete says that this node knows the messages that were rejected before all nodes were killed.
 	complete bool
 }
@@ -99,9 +99,9 @@
 func NewService(options Options) *Service {
 	service := &Service{
 		network: options.Network, directory: options.Directory, viewer: options.Viewer, store: options.Store, caller: options.Caller, logger: options.Logger.With().Str(logging.FieldSlice, "quarantine").Logger(),
-		metrics: newMetrics(options.Registerer), unreached: unreached.NewPeers(unreachedFor), news: make(chan struct{}, 1), unrecorded: make(chan struct{}, 1), book: newBook(), runs: map[Key]map[*run]bool{}, inquired: map[Key]int{},
-		inquiries: map[replica.Key]*inquiry{}, queues: map[Key]chan struct{}{}, grants: map[Key]grant{}, givenBack: map[uint64]time.Time{}, changed: make(chan struct{}),
-		outbox: map[replica.Key]map[Key]bool{}, repeats: map[replica.Key]map[Key]bool{}, rejected: map[Key]record{}, left: map[replica.Key][]leftRun{},
+		metrics: newMetrics(options.Registerer), unreached: unreached.NewPeers(unreachedTime), outboxChanged: make(chan struct{}, 1), recordsMissing: make(chan struct{}, 1), evidence: newEvidenceStore(), runs: map[Key]map[*run]bool{}, pendingInquiries: map[Key]int{},
+		inquiries: map[replica.Key]*inquiry{}, queues: map[Key]chan struct{}{}, grants: map[Key]grant{}, releasedRuns: map[uint64]time.Time{}, changed: make(chan struct{}),
+		outbox: map[replica.Key]map[Key]bool{}, repeats: map[replica.Key]map[Key]bool{}, rejected: map[Key]recordState{}, abortedRuns: map[replica.Key][]abortedRun{},
 	}
 	service.ctx, service.cancel = context.WithCancel(context.Background())
 	transport.Handle(options.Registrar, methodNotice, func() *quarantinepb.Notice { return &quarantinepb.Notice{} },
@@ -115,11 +115,11 @@
 		})
 	transport.Handle(options.Registrar, methodGrant, func() *quarantinepb.GrantRequest { return &quarantinepb.GrantRequest{} },
 		func(_ context.Context, _ netip.AddrPort, request *quarantinepb.GrantRequest) (*quarantinepb.GrantResponse, error) {
-			return service.give(request, clock.Now()), nil
+			return service.handleGrant(request, clock.Now()), nil
 		})
 	transport.Handle(options.Registrar, methodRelease, func() *quarantinepb.ReleaseRequest { return &quarantinepb.ReleaseRequest{} },
 		func(_ context.Context, _ netip.AddrPort, request *quarantinepb.ReleaseRequest) (*quarantinepb.ReleaseResponse, error) {
-			service.takeBack(request, clock.Now())
+			service.handleRelease(request, clock.Now())
 			return &quarantinepb.ReleaseResponse{}, nil
 		})
 	return service
@@ -131,8 +131,8 @@
 	s.startedAt = clock.Now()
 	s.mutex.Unlock()
 	s.running.Go(s.share)
-	s.running.Go(s.askOthers)
-	s.running.Go(s.recordRejected)
+	s.running.Go(s.askPeers)
+	s.running.Go(s.writeRecords)
 }
 
 // inBackground does work that Stop waits for; after Stop it is left out, and a grant lapses.
@@ -157,7 +157,7 @@
 func (s *Service) Check(key Key) Verdict {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.book.verdict(key)
+	return s.evidence.verdict(key)
 }
 
 // Recall implements Register.
@@ -165,108 +165,108 @@
 	now := clock.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for number, each := range ended {
-		recalled := unseen(originRecalled)
-		recalled.reached, recalled.reachedKnown = each.Reached, each.ReachedKnown
-		if recalled.passedAt(events) {
+	for index, recorded := range ended {
+		recalled := unseenSuspect(originRecalled)
+		recalled.reached, recalled.reachedKnown = recorded.Reached, recorded.ReachedKnown
+		if recalled.progressedPast(events) {
 			continue
 		}
 		// When the runs ended is not known either; what other nodes saw replaces this.
-		if s.book.addSuspect(s.book.incidentAt(each.Replica, now.Add(-time.Duration(number+1)*time.Second), true), key, recalled) {
-			s.announce(each.Replica, key)
+		if s.evidence.addSuspect(s.evidence.incidentFor(recorded.Replica, now.Add(-time.Duration(index+1)*time.Second), true), key, recalled) {
+			s.announce(recorded.Replica, key)
 		}
 	}
-	s.clearPassed(key, events)
-	s.noteVerdict(key)
-	s.signal()
+	s.clearEndsBefore(key, events)
+	s.updateRejected(key)
+	s.signalChanged()
 }
 
 // suspect counts the end of a replica against a run's message. The mutex is held.
-func (s *Service) suspect(ended *run, at time.Time, ran time.Duration) {
+func (s *Service) suspect(ended *run, endedAt time.Time, runDuration time.Duration) {
 	key := ended.handle.Key()
-	doubt := suspect{ran: ran, granted: ended.granted, progressed: ended.progressed, reached: ended.reached, reachedKnown: true, item: ended.item, origin: originSeen}
+	suspected := suspect{runDuration: runDuration, granted: ended.granted, progressed: ended.progressed, reached: ended.reached, reachedKnown: true, item: ended.item, origin: originSeen}
 	if ended.unseen {
-		doubt = unseen(originLapsed)
-		doubt.granted = ended.granted
+		suspected = unseenSuspect(originLapsed)
+		suspected.granted = ended.granted
 	}
 	// Nobody saw what became of an item's run after it was broken off.
-	doubt.unseen = doubt.unseen || ended.left && ended.item
-	if !s.book.add(key, at, ended.key, doubt) {
+	suspected.unseen = suspected.unseen || ended.aborted && ended.item
+	if !s.evidence.add(key, endedAt, ended.key, suspected) {
 		return
 	}
-	s.book.noteService(key, ended.handle.Info().Service)
+	s.evidence.setService(key, ended.handle.Info().Service)
 	s.announce(key, ended.key)
-	s.logger.Info().Stringer("digest", ended.key).Str(logging.FieldReplica, ended.handle.Info().ID).Dur("ran", ran).
-		Int("together", len(s.book.incidents[key].suspects)).Int("ended", s.book.count(ended.key)).Stringer("verdict", s.book.verdict(ended.key)).
+	s.logger.Info().Stringer("digest", ended.key).Str(logging.FieldReplica, ended.handle.Info().ID).Dur("ran", runDuration).
+		Int("together", len(s.evidence.incidents[key].suspects)).Int("ended", s.evidence.endCount(ended.key)).Stringer("verdict", s.evidence.verdict(ended.key)).
 		Bool("granted", ended.granted).Bool("progressed", ended.progressed).Int("reached", ended.reached).Msg("message_suspected")
-	s.noteVerdict(ended.key)
+	s.updateRejected(ended.key)
 	s.cutRuns(ended.key)
 }
 
-// cleared notes that a message came to its end.
-func (s *Service) cleared(key Key) {
+// clearMessage notes that a message came to its end.
+func (s *Service) clearMessage(key Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if incidents := s.clear(key, func(*suspect) bool { return true }); incidents > 0 {
+	if incidents := s.clearEnds(key, func(*suspect) bool { return true }); incidents > 0 {
 		s.logger.Info().Stringer("digest", key).Int("incidents", incidents).Msg("message_cleared")
 	}
 	s.clearLosses(key)
 }
 
-// progressed clears a message of the ends whose point its answer has passed at a replica that did not end.
-func (s *Service) progressed(key Key, events int) {
+// clearAfterProgress clears a message of the ends whose point its answer has passed at a replica that did not end.
+func (s *Service) clearAfterProgress(key Key, events int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.clearPassed(key, events)
+	s.clearEndsBefore(key, events)
 	s.clearLosses(key)
 }
 
-// clearPassed clears a message of the ends whose point its answer has passed, which has events now. The mutex is held.
-func (s *Service) clearPassed(key Key, events int) {
-	if incidents := s.clear(key, func(ended *suspect) bool { return ended.passedAt(events) }); incidents > 0 {
+// clearEndsBefore clears a message of the ends whose point its answer has passed, which has events now. The mutex is held.
+func (s *Service) clearEndsBefore(key Key, events int) {
+	if incidents := s.clearEnds(key, func(suspected *suspect) bool { return suspected.progressedPast(events) }); incidents > 0 {
 		s.logger.Info().Stringer("digest", key).Int("incidents", incidents).Int("events", events).Msg("ends_passed")
 	}
 }
 
-// clear clears a message of those ends that are chosen and shares that; it returns their number. The mutex is held.
-func (s *Service) clear(key Key, chosen func(ended *suspect) bool) int {
-	cleared := s.book.clear(key, chosen)
+// clearEnds clears a message of those ends that are chosen and shares that; it returns their number. The mutex is held.
+func (s *Service) clearEnds(key Key, matches func(suspected *suspect) bool) int {
+	cleared := s.evidence.clear(key, matches)
 	if len(cleared) == 0 {
 		return 0
 	}
-	for _, each := range cleared {
-		s.announce(each.replica, key)
+	for _, incident := range cleared {
+		s.announce(incident.replica, key)
 	}
-	s.noteVerdict(key)
-	s.signal()
+	s.updateRejected(key)
+	s.signalChanged()
 	return len(cleared)
 }
 
-// evidence is what one node lets another know.
-type evidence interface {
+// evidenceMessage is what one node lets another know.
+type evidenceMessage interface {
 	GetIncidents() []*quarantinepb.Incident
 	GetLosses() []*quarantinepb.Loss
 }
 
 // join takes in what another node knows.
-func (s *Service) join(learned evidence, now time.Time) {
-	incidents := learned.GetIncidents()
+func (s *Service) join(received evidenceMessage, now time.Time) {
+	incidents := received.GetIncidents()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.joinLosses(learned.GetLosses(), now)
+	s.joinLosses(received.GetLosses(), now)
 	s.avoidEnded(incidents, now)
-	changed := s.book.join(incidents, now)
-	for _, each := range incidents {
-		if ended := replica.Key(each.GetReplica()); len(s.left[ended]) > 0 && s.book.incidents[ended] != nil {
-			s.suspectLeft(ended, s.book.incidents[ended].learned)
+	changed := s.evidence.join(incidents, now)
+	for _, incident := range incidents {
+		if ended := replica.Key(incident.GetReplica()); len(s.abortedRuns[ended]) > 0 && s.evidence.incidents[ended] != nil {
+			s.suspectAbortedRuns(ended, s.evidence.incidents[ended].learnedAt)
 		}
 	}
 	for _, key := range changed {
-		s.noteVerdict(key)
+		s.updateRejected(key)
 		s.cutRuns(key)
 	}
 	if len(changed) > 0 {
-		s.signal()
+		s.signalChanged()
 	}
 }
 
@@ -274,9 +274,9 @@
 // held.
 func (s *Service) avoidEnded(incidents []*quarantinepb.Incident, now time.Time) {
 	ended := map[replica.Key]bool{}
-	for _, each := range incidents {
-		key := replica.Key(each.GetReplica())
-		if s.book.incidents[key] == nil {
+	for _, incident := range incidents {
+		key := replica.Key(incident.GetReplica())
+		if s.evidence.incidents[key] == nil {
 			ended[key] = true
 		}
 	}
@@ -292,37 +292,37 @@
 
 // cutRuns ends the runs of a suspected message that no grant covers. The mutex is held.
 func (s *Service) cutRuns(key Key) {
-	if len(s.runs[key]) == 0 || s.book.verdictOnEnds(key) == Allowed {
+	if len(s.runs[key]) == 0 || s.evidence.verdictFromEnds(key) == Allowed {
 		return
 	}
-	for each := range s.runs[key] {
-		if each.granted || each.cut == nil {
+	for run := range s.runs[key] {
+		if run.granted || run.cut == nil {
 			continue
 		}
-		cut := each.cut
-		each.cut = nil
+		cut := run.cut
+		run.cut = nil
 		s.metrics.cut.Inc()
 		cut()
 	}
 }
 
-// noteVerdict logs that a message is rejected, once. The mutex is held.
-func (s *Service) noteVerdict(key Key) {
-	rejected := s.book.verdict(key) == Rejected
+// updateRejected logs that a message is rejected, once. The mutex is held.
+func (s *Service) updateRejected(key Key) {
+	rejected := s.evidence.verdict(key) == Rejected
 	_, known := s.rejected[key]
 	if rejected != known {
 		if rejected {
 			s.rejected[key] = recordMissing
-			subscription.Signal(s.unrecorded)
-			s.logger.Warn().Stringer("digest", key).Int("ended", s.book.count(key)).Int("lost", s.book.losses.open(key)).Strs("evidence", s.book.evidence(key, clock.Now())).Msg("message_rejected")
+			subscription.Signal(s.recordsMissing)
+			s.logger.Warn().Stringer("digest", key).Int("ended", s.evidence.endCount(key)).Int("lost", s.evidence.losses.openCount(key)).Strs("evidence", s.evidence.describeEvidence(key, clock.Now())).Msg("message_rejected")
 		} else {
 			delete(s.rejected, key)
 		}
 	}
 }
 
-// signal wakes those who wait for a change of the book or the end of a run. The mutex is held.
-func (s *Service) signal() {
+// signalChanged wakes those who wait for a change of the book or the end of a run. The mutex is held.
+func (s *Service) signalChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -331,8 +331,8 @@
 func (s *Service) list(now time.Time) *quarantinepb.ListResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	listed := &quarantinepb.ListResponse{Incidents: s.book.all(now), Losses: s.book.losses.all(now), Complete: s.complete}
-	for message := range s.book.recalled {
+	listed := &quarantinepb.ListResponse{Incidents: s.evidence.encodeAll(now), Losses: s.evidence.losses.encodeApart(now), Complete: s.complete}
+	for message := range s.evidence.recalled {
 		listed.Rejected = append(listed.Rejected, keyBytes(message))
 	}
 	return listed
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -17,9 +17,9 @@
 func inCluster(t *testing.T, nodes, replicas int, check func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		made := newCluster(t, nodes, replicas)
-		defer made.stop()
-		check(t, made)
+		created := newCluster(t, nodes, replicas)
+		defer created.stop()
+		check(t, created)
 	})
 }
 
@@ -75,12 +75,12 @@
 		}
 		c.machines.end(handle.Info().Address)
 		var lost sync.WaitGroup
-		for _, each := range runs {
-			lost.Go(func() { each.End(t.Context(), Lost) })
+		for _, run := range runs {
+			lost.Go(func() { run.End(t.Context(), Lost) })
 		}
 		lost.Wait()
-		if c.machines.asked != 1 {
-			t.Errorf("the replica was asked %d times", c.machines.asked)
+		if c.machines.dials != 1 {
+			t.Errorf("the replica was asked %d times", c.machines.dials)
 		}
 		for number := range 17 {
 			wantVerdict(t, at, keyOf(fmt.Sprint(number)), Apart)
@@ -91,17 +91,17 @@
 func TestOtherNodesKnowSoon(t *testing.T) {
 	inCluster(t, 5, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Apart)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Apart)
 		}
 		permit := c.nodes[3].Admit(t.Context(), key)
 		permit.Begin(c.handle(c.nodes[3], 1), nil).End(t.Context(), Whole)
 		permit.Release()
 		time.Sleep(30 * time.Millisecond)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Allowed)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Allowed)
 		}
 	})
 }
@@ -113,9 +113,9 @@
 			at.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(c.handle(at, 0), nil).End(t.Context(), Whole)
 		}
 		time.Sleep(10 * time.Second)
-		for _, each := range c.nodes {
-			if sent := testutil.ToFloat64(each.metrics.notices); sent != 0 {
-				t.Errorf("%s has sent %v notices", each.id, sent)
+		for _, member := range c.nodes {
+			if sent := testutil.ToFloat64(member.metrics.notices); sent != 0 {
+				t.Errorf("%s has sent %v notices", member.id, sent)
 			}
 		}
 	})
@@ -126,7 +126,7 @@
 		key := keyOf("a")
 		var cut atomic.Bool
 		run := c.nodes[1].Admit(t.Context(), key).Begin(c.handle(c.nodes[1], 1), func() { cut.Store(true) })
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
 		if !cut.Load() {
 			t.Error("the other run of the message goes on")
@@ -138,9 +138,9 @@
 func TestStartedNodeAsksOthers(t *testing.T) {
 	inCluster(t, 4, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
-		c.crashing(c.nodes[1], 1, key)
+		c.runCrashing(c.nodes[1], 1, key)
 		time.Sleep(100 * time.Millisecond)
 		c.kill(c.nodes[0])
 		c.kill(c.nodes[1])
@@ -162,22 +162,22 @@
 			key := keyOf(fmt.Sprint(number))
 			alone := c.nodes[0]
 			c.cut(alone)
-			c.crashing(alone, 0, key)
-			if c.crashing(alone, 1, key) {
+			c.runCrashing(alone, 0, key)
+			if c.runCrashing(alone, 1, key) {
 				t.Error("a node that reaches no other sent the message once more")
 			}
 			c.agree()
-			if c.crashing(alone, 1, key) {
+			if c.runCrashing(alone, 1, key) {
 				t.Error("a node that knows itself cut off sent the message once more")
 			}
-			for _, each := range c.nodes[1:] {
-				wantVerdict(t, each, key, Allowed)
+			for _, member := range c.nodes[1:] {
+				wantVerdict(t, member, key, Allowed)
 			}
 			c.cut()
 			c.agree()
 			time.Sleep(3 * refreshInterval * time.Duration(len(c.nodes)))
-			for _, each := range c.nodes {
-				wantVerdict(t, each, key, Apart)
+			for _, member := range c.nodes {
+				wantVerdict(t, member, key, Apart)
 			}
 		})
 	}
@@ -186,26 +186,26 @@
 func TestHolderThatIsKilledCounts(t *testing.T) {
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(50 * time.Millisecond)
 		keeper := keepers(c.nodes[0].view.View(), key)[0].ID
 		var holder, other *node
-		for _, each := range c.nodes {
-			if each.id == keeper {
+		for _, member := range c.nodes {
+			if member.id == keeper {
 				continue
 			}
-			holder, other = each, holder
+			holder, other = member, holder
 		}
 		if permit := holder.Admit(t.Context(), key); permit.Verdict() != Apart {
 			t.Fatalf("the holder has no grant: %s", permit.Verdict())
 		}
 		c.kill(holder)
 		c.agree()
-		time.Sleep(2 * grantTerm)
+		time.Sleep(2 * grantDuration)
 		permit := other.Admit(t.Context(), key)
 		defer permit.Release()
 		other.mutex.Lock()
-		ended, unseen := other.book.count(key), other.book.unseenEnds(key)
+		ended, unseen := other.evidence.endCount(key), other.evidence.unseenEndCount(key)
 		other.mutex.Unlock()
 		if ended != 1 || unseen != 1 {
 			t.Errorf("%d ends are counted and %d that nobody saw, want that of the replica and that of the run nobody saw end", ended, unseen)
@@ -216,7 +216,7 @@
 func TestSuspectsWaitForEachOther(t *testing.T) {
 	inCluster(t, 3, 6, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(50 * time.Millisecond)
 		var atOnce, most int
 		var mutex sync.Mutex
@@ -251,12 +251,12 @@
 func TestRecordedEndsAreRecalled(t *testing.T) {
 	inCluster(t, 3, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("item")
-		c.nodes[0].Recall(key, recorded(1, 2), 0)
+		c.nodes[0].Recall(key, recordedEnds(1, 2), 0)
 		wantVerdict(t, c.nodes[0], key, Apart)
-		c.nodes[0].Recall(key, recorded(1, 2, 3), 0)
+		c.nodes[0].Recall(key, recordedEnds(1, 2, 3), 0)
 		time.Sleep(50 * time.Millisecond)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Rejected)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Rejected)
 		}
 	})
 }
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -18,31 +18,31 @@
 const (
 	// noticeInterval is the least time between two notices of one node: what is learned meanwhile goes with the next.
 	noticeInterval = 10 * time.Millisecond
-	// repeatAfter is when a notice is sent once more, since one-way messages may be lost.
-	repeatAfter = 250 * time.Millisecond
+	// repeatDelay is when a notice is sent once more, since one-way messages may be lost.
+	repeatDelay = 250 * time.Millisecond
 	// refreshInterval is how often a node with anything in its book sends all of it to one other, so that nodes that were cut off or
 	// started meanwhile come to know it.
 	refreshInterval = 2 * time.Second
-	// askCount is the number of nodes that a starting node asks, askTimeout the wait for one. The pause between rounds is askSoonInterval at first,
+	// askedPeers is the number of nodes that a starting node asks, askTimeout the wait for one. The pause between rounds is askSoonInterval at first,
 	// askInterval from askSoon on, and refreshInterval from askLongest on.
-	askCount    = 3
+	askedPeers  = 3
 	askInterval = 200 * time.Millisecond
-	// lookInterval is how often a node that knows no other looks for one.
-	lookInterval    = 10 * time.Millisecond
-	askTimeout      = 300 * time.Millisecond
-	askSoon         = 500 * time.Millisecond
-	askSoonInterval = 50 * time.Millisecond
-	askLongest      = 5 * time.Second
+	// peerPollInterval is how often a node that knows no other looks for one.
+	peerPollInterval = 10 * time.Millisecond
+	askTimeout       = 300 * time.Millisecond
+	fastAskTime      = 500 * time.Millisecond
+	fastAskInterval  = 50 * time.Millisecond
+	askTime          = 5 * time.Second
 )
 
 // announce queues a message of an incident for the next notice to the other nodes. The mutex is held.
 func (s *Service) announce(ended replica.Key, key Key) {
-	note(s.outbox, ended, key)
-	subscription.Signal(s.news)
+	queueMessage(s.outbox, ended, key)
+	subscription.Signal(s.outboxChanged)
 }
 
-// note adds a message of an incident to outbox.
-func note(outbox map[replica.Key]map[Key]bool, ended replica.Key, key Key) {
+// queueMessage adds a message of an incident to outbox.
+func queueMessage(outbox map[replica.Key]map[Key]bool, ended replica.Key, key Key) {
 	if outbox[ended] == nil {
 		outbox[ended] = map[Key]bool{}
 	}
@@ -54,13 +54,13 @@
 func (s *Service) share() {
 	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
-	repeat := time.NewTimer(repeatAfter)
+	repeat := time.NewTimer(repeatDelay)
 	defer repeat.Stop()
 	for {
 		select {
-		case <-s.news:
+		case <-s.outboxChanged:
 			s.sendAll(s.takeOutbox(clock.Now()))
-			repeat.Reset(repeatAfter)
+			repeat.Reset(repeatDelay)
 			select {
 			case <-time.After(noticeInterval):
 			case <-s.ctx.Done():
@@ -83,7 +83,7 @@
 	notice := s.noticeOf(s.outbox, now)
 	for ended, keys := range s.outbox {
 		for key := range keys {
-			note(s.repeats, ended, key)
+			queueMessage(s.repeats, ended, key)
 		}
 	}
 	clear(s.outbox)
@@ -100,23 +100,23 @@
 }
 
 // noticeOf returns what the book has of the given messages. The mutex is held.
-func (s *Service) noticeOf(of map[replica.Key]map[Key]bool, now time.Time) *quarantinepb.Notice {
+func (s *Service) noticeOf(queued map[replica.Key]map[Key]bool, now time.Time) *quarantinepb.Notice {
 	notice := &quarantinepb.Notice{}
-	for ended, keys := range of {
+	for ended, keys := range queued {
 		if ended == noReplica {
 			for key := range keys {
-				notice.Losses = append(notice.Losses, s.book.losses.encode(key, now)...)
+				notice.Losses = append(notice.Losses, s.evidence.losses.encode(key, now)...)
 			}
 			continue
 		}
-		known := s.book.incidents[ended]
-		if known == nil {
+		incident := s.evidence.incidents[ended]
+		if incident == nil {
 			continue
 		}
-		encoded := encodeHead(known, now)
+		encoded := encodeIncidentHead(incident, now)
 		for key := range keys {
-			if each := known.suspects[key]; each != nil {
-				encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, each))
+			if suspected := incident.suspects[key]; suspected != nil {
+				encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, suspected))
 			}
 		}
 		notice.Incidents = append(notice.Incidents, encoded)
@@ -148,26 +148,26 @@
 // refresh forgets what is old and sends the rest to one other node.
 func (s *Service) refresh(now time.Time) {
 	s.mutex.Lock()
-	s.book.forget(now)
-	s.forgetInquiries(now)
-	s.forgetGrants(now)
+	s.evidence.expire(now)
+	s.expireInquiries(now)
+	s.expireGrants(now)
 	for key := range s.rejected {
-		s.noteVerdict(key)
+		s.updateRejected(key)
 	}
-	s.metrics.note(s.book.counts())
-	notice := &quarantinepb.Notice{Incidents: s.book.all(now), Losses: s.book.losses.all(now)}
+	s.metrics.setMessages(s.evidence.verdictCounts())
+	notice := &quarantinepb.Notice{Incidents: s.evidence.encodeAll(now), Losses: s.evidence.losses.encodeApart(now)}
 	s.mutex.Unlock()
 	if len(notice.Incidents)+len(notice.Losses) == 0 {
 		return
 	}
-	others := s.others()
-	if len(others) > 0 {
-		s.send(others[0].PeerAddress, notice)
+	peers := s.shuffledPeers()
+	if len(peers) > 0 {
+		s.send(peers[0].PeerAddress, notice)
 	}
 }
 
-// others returns the living members without this node, in random order.
-func (s *Service) others() []membership.Member {
+// shuffledPeers returns the living members without this node, in random order.
+func (s *Service) shuffledPeers() []membership.Member {
 	view := s.viewer.View()
 	var found []membership.Member
 	for _, member := range view.Live() {
@@ -179,47 +179,47 @@
 	return found
 }
 
-// askOthers asks a few nodes for their books, until this node knows what was rejected before its start: it may have been started again after it
+// askPeers asks a few nodes for their books, until this node knows what was rejected before its start: it may have been started again after it
 // had seen replicas end, alone or together with all others.
-func (s *Service) askOthers() {
-	s.awaitOthers()
-	for began := clock.Now(); ; {
-		asked := clock.Since(began)
-		if asked >= askLongest && s.store == nil {
+func (s *Service) askPeers() {
+	s.awaitPeers()
+	for startedAt := clock.Now(); ; {
+		asked := clock.Since(startedAt)
+		if asked >= askTime && s.store == nil {
 			return
 		}
-		others := s.others()
-		for _, other := range others[:min(askCount, len(others))] {
-			s.ask(other.PeerAddress)
+		peers := s.shuffledPeers()
+		for _, peer := range peers[:min(askedPeers, len(peers))] {
+			s.askPeer(peer.PeerAddress)
 		}
-		if !s.isComplete() && s.readsRecords(asked) {
+		if !s.isComplete() && s.shouldReadRecords(asked) {
 			s.readRecords()
 		}
 		if s.isComplete() {
 			return
 		}
-		if !pause.Sleep(s.ctx, askAgainAfter(asked)) {
+		if !pause.Sleep(s.ctx, askPause(asked)) {
 			return
 		}
 	}
 }
 
-// askAgainAfter returns the pause before others are asked again. Callers come to a node as soon as it has started, and the others may have started with it.
-func askAgainAfter(asked time.Duration) time.Duration {
+// askPause returns the pause before others are asked again. Callers come to a node as soon as it has started, and the others may have started with it.
+func askPause(asked time.Duration) time.Duration {
 	switch {
-	case asked < askSoon:
-		return askSoonInterval
-	case asked < askLongest:
+	case asked < fastAskTime:
+		return fastAskInterval
+	case asked < askTime:
 		return askInterval
 	default:
 		return refreshInterval
 	}
 }
 
-// awaitOthers waits until another member is known, for askInterval at most: a node that has just started knows none, and callers come at once.
-func (s *Service) awaitOthers() {
-	for began := clock.Now(); clock.Since(began) < askInterval && s.ctx.Err() == nil; {
-		if len(s.others()) > 0 || !pause.Sleep(s.ctx, lookInterval) {
+// awaitPeers waits until another member is known, for askInterval at most: a node that has just started knows none, and callers come at once.
+func (s *Service) awaitPeers() {
+	for startedAt := clock.Now(); clock.Since(startedAt) < askInterval && s.ctx.Err() == nil; {
+		if len(s.shuffledPeers()) > 0 || !pause.Sleep(s.ctx, peerPollInterval) {
 			return
 		}
 	}
@@ -232,8 +232,8 @@
 	return s.complete
 }
 
-// ask takes in the book of one node.
-func (s *Service) ask(address netip.AddrPort) {
+// askPeer takes in the book of one node.
+func (s *Service) askPeer(address netip.AddrPort) {
 	bounded, cancel := context.WithTimeout(s.ctx, askTimeout)
 	defer cancel()
 	var response quarantinepb.ListResponse
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -15,9 +15,9 @@
 const (
 	// ApartOccupancy is the share of a replica's slots in use up to which a suspected message is sent there: few others are lost with it.
 	ApartOccupancy = 0.25
-	// spreadOver is the part of a service's replicas, as its inverse, among which one suspect is run: suspects of different nodes then seldom
+	// preferredDivisor is the part of a service's replicas, as its inverse, among which one suspect is run: suspects of different nodes then seldom
 	// meet, though no node knows of the others' choices.
-	spreadOver = 3
+	preferredDivisor = 3
 )
 
 // ErrSuspected says that a run was cut off because its message ended a replica elsewhere.
@@ -40,13 +40,13 @@
 func NotPreferred(key Key, all []*replica.Handle) []*replica.Handle {
 	weights := make(map[*replica.Handle]uint64, len(all))
 	for _, handle := range all {
-		weights[handle] = weightOf(key, binary.BigEndian.AppendUint64(nil, uint64(handle.Key())))
+		weights[handle] = rendezvousWeight(key, binary.BigEndian.AppendUint64(nil, uint64(handle.Key())))
 	}
 	sorted := slices.SortedFunc(slices.Values(all), func(one, other *replica.Handle) int { return cmp.Compare(weights[one], weights[other]) })
-	return sorted[(len(sorted)+spreadOver-1)/spreadOver:]
+	return sorted[(len(sorted)+preferredDivisor-1)/preferredDivisor:]
 }
 
-// weightOf ranks a member or a replica for a message by rendezvous hashing: all nodes rank them alike.
-func weightOf(key Key, name []byte) uint64 {
+// rendezvousWeight ranks a member or a replica for a message by rendezvous hashing: all nodes rank them alike.
+func rendezvousWeight(key Key, name []byte) uint64 {
 	return xxhash.Sum64(slices.Concat(key[:], name))
 }
--- a/internal/quarantine/calm_test.go
+++ b/internal/quarantine/stable_test.go
@@ -24,20 +24,20 @@
 		"three ends, one of them apart":        {[]itemEnd{{}, {granted: true}, {}}, Rejected},
 		"two ends and one that nobody saw":     {[]itemEnd{{}, {granted: true}, {unseen: true}}, Apart},
 		"three ends, one of them of a request": {[]itemEnd{{}, {}, {request: true}}, Rejected},
-		"as many ends as there may be in all":  {make([]itemEnd, mostEndedInAll), Rejected},
+		"as many ends as there may be in all":  {make([]itemEnd, maxEndedWithProgress), Rejected},
 		"two ends of requests":                 {[]itemEnd{{request: true}, {request: true}}, Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			made, start, key := newBook(), time.Unix(1_000_000, 0), keyOf("a")
-			for number, each := range test.ends {
-				doubt := suspect{ran: 100 * time.Millisecond, reachedKnown: true, item: !each.request && !each.unseen, granted: each.granted, unseen: each.unseen, origin: originSeen}
-				made.add(replica.Key(number+1), start.Add(time.Duration(number)*time.Second), key, doubt)
+			store, start, key := newEvidenceStore(), time.Unix(1_000_000, 0), keyOf("a")
+			for number, end := range test.ends {
+				suspected := suspect{runDuration: 100 * time.Millisecond, reachedKnown: true, item: !end.request && !end.unseen, granted: end.granted, unseen: end.unseen, origin: originSeen}
+				store.add(replica.Key(number+1), start.Add(time.Duration(number)*time.Second), key, suspected)
 			}
 			now := start.Add(time.Minute)
-			told := newBook()
-			told.join(made.all(now), now)
-			if here, there := made.verdict(key), told.verdict(key); here != test.want || there != test.want {
-				t.Errorf("the item is %s here and %s at a node that was told, want %s", here, there, test.want)
+			receiver := newEvidenceStore()
+			receiver.join(store.encodeAll(now), now)
+			if local, remote := store.verdict(key), receiver.verdict(key); local != test.want || remote != test.want {
+				t.Errorf("the item is %s here and %s at a node that was told, want %s", local, remote, test.want)
 			}
 		})
 	}
@@ -57,25 +57,25 @@
 	}{
 		"nothing ended":                          {12, 0, 0, own, false, true},
 		"one of few replicas":                    {12, 1, 2 * time.Second, own, false, false},
-		"one a while ago":                        {12, 1, calmWindow, own, false, true},
+		"one a while ago":                        {12, 1, stableWindow, own, false, true},
 		"one of another service":                 {12, 1, time.Second, other, false, true},
 		"one of a service that nobody named":     {12, 1, time.Second, "", false, false},
 		"one at a time that nobody saw":          {12, 1, time.Second, own, true, true},
 		"few of many replicas":                   {10_000, 200, time.Second, own, false, true},
 		"more of many replicas":                  {10_000, 201, time.Second, own, false, false},
-		"one of as many replicas as one may end": {calmPart, 1, time.Second, own, false, true},
+		"one of as many replicas as one may end": {stableReplicasPerEnd, 1, time.Second, own, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			made := newBook()
+			store := newEvidenceStore()
 			for number := range test.ended {
 				ended := replica.Key(number + 1)
-				made.addSuspect(made.incidentAt(ended, now.Add(-test.ago), test.assumed), keyOf(fmt.Sprint(number)), suspect{})
-				made.noteService(ended, test.service)
+				store.addSuspect(store.incidentFor(ended, now.Add(-test.ago), test.assumed), keyOf(fmt.Sprint(number)), suspect{})
+				store.setService(ended, test.service)
 			}
-			told := newBook()
-			told.join(made.all(now), now)
-			if here, there := made.calm(own, test.replicas, now), told.calm(own, test.replicas, now); here != test.want || there != test.want {
-				t.Errorf("calm here: %t, at a node that was told: %t, want %t", here, there, test.want)
+			receiver := newEvidenceStore()
+			receiver.join(store.encodeAll(now), now)
+			if local, remote := store.isStable(own, test.replicas, now), receiver.isStable(own, test.replicas, now); local != test.want || remote != test.want {
+				t.Errorf("calm here: %t, at a node that was told: %t, want %t", local, remote, test.want)
 			}
 		})
 	}
@@ -88,11 +88,11 @@
 		if at.Calm("s") {
 			t.Error("the node is calm at its start")
 		}
-		time.Sleep(calmWindow)
+		time.Sleep(stableWindow)
 		if !at.Calm("s") {
 			t.Error("the node is not calm, though nothing ended")
 		}
-		c.crashing(c.nodes[1], 0, keyOf("a"))
+		c.runCrashing(c.nodes[1], 0, keyOf("a"))
 		time.Sleep(50 * time.Millisecond)
 		if at.Calm("s") {
 			t.Error("the node is calm right after the end of a replica elsewhere")
--- a/internal/quarantine/undecided_test.go
+++ b/internal/quarantine/undecided_test.go
@@ -8,7 +8,7 @@
 	inCluster(t, 1, 1, func(t *testing.T, c *cluster) {
 		at, key := c.nodes[0], keyOf("popular")
 		at.mutex.Lock()
-		at.inquired[key] = 1
+		at.pendingInquiries[key] = 1
 		at.mutex.Unlock()
 		permit := at.Admit(t.Context(), key)
 		if verdict := permit.Verdict(); verdict != Allowed {
