--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/book.go
@@ -163,14 +163,14 @@
 // clear notes that the message did not end the replicas of those incidents in which it is suspected and that are chosen; it returns them.
 func (e *evidenceStore) clear(message Key, matches func(suspected *suspect) bool) []*incident {
 	var cleared []*incident
-	for _, incident := range e.openIncidents(message) {
-		suspected := incident.suspects[message]
+	for _, end := range e.openIncidents(message) {
+		suspected := end.suspects[message]
 		if !matches(suspected) {
 			continue
 		}
 		suspected.cleared = true
-		incident.openSuspects--
-		cleared = append(cleared, incident)
+		end.openSuspects--
+		cleared = append(cleared, end)
 	}
 	return cleared
 }
@@ -178,9 +178,9 @@
 // openIncidents returns the incidents in which the message is suspected, in the order of time.
 func (e *evidenceStore) openIncidents(message Key) []*incident {
 	var found []*incident
-	for _, incident := range e.byMessage[message] {
-		if !incident.suspects[message].cleared {
-			found = append(found, incident)
+	for _, end := range e.byMessage[message] {
+		if !end.suspects[message].cleared {
+			found = append(found, end)
 		}
 	}
 	slices.SortFunc(found, func(one, other *incident) int {
@@ -191,9 +191,9 @@
 
 // expire drops the incidents that are older than remember.
 func (e *evidenceStore) expire(now time.Time) {
-	for _, incident := range e.incidents {
-		if now.Sub(incident.learnedAt) >= retention {
-			e.remove(incident)
+	for _, end := range e.incidents {
+		if now.Sub(end.learnedAt) >= retention {
+			e.remove(end)
 		}
 	}
 	e.losses.expire(now)
@@ -206,12 +206,12 @@
 		return
 	}
 	var oldest, oldestNotRejected *incident
-	for _, incident := range e.incidents {
-		if oldest == nil || incident.learnedAt.Before(oldest.learnedAt) {
-			oldest = incident
+	for _, end := range e.incidents {
+		if oldest == nil || end.learnedAt.Before(oldest.learnedAt) {
+			oldest = end
 		}
-		if (oldestNotRejected == nil || incident.learnedAt.Before(oldestNotRejected.learnedAt)) && !e.hasRejectedSuspect(incident) {
-			oldestNotRejected = incident
+		if (oldestNotRejected == nil || end.learnedAt.Before(oldestNotRejected.learnedAt)) && !e.hasRejectedSuspect(end) {
+			oldestNotRejected = end
 		}
 	}
 	if oldestNotRejected != nil {
@@ -221,8 +221,8 @@
 }
 
 // hasRejectedSuspect says that a rejected message is a suspect of the incident.
-func (e *evidenceStore) hasRejectedSuspect(incident *incident) bool {
-	for message, suspected := range incident.suspects {
+func (e *evidenceStore) hasRejectedSuspect(end *incident) bool {
+	for message, suspected := range end.suspects {
 		if !suspected.cleared && len(e.byMessage[message]) >= minEndsToReject && e.verdict(message) == Rejected {
 			return true
 		}
--- a/internal/quarantine/stable.go
+++ b/internal/quarantine/calm.go
@@ -18,8 +18,8 @@
 // sign of what goes on now.
 func (e *evidenceStore) isStable(service string, replicas int, now time.Time) bool {
 	ended := 0
-	for _, incident := range e.incidents {
-		if incident.mayConcern(service) && !incident.timeAssumed && now.Sub(incident.learnedAt) < stableWindow {
+	for _, end := range e.incidents {
+		if end.mayConcern(service) && !end.timeAssumed && now.Sub(end.learnedAt) < stableWindow {
 			ended++
 		}
 	}
--- a/internal/quarantine/codec.go
+++ b/internal/quarantine/codec.go
@@ -8,14 +8,14 @@
 )
 
 // encodeIncidentHead returns an incident as it is sent, without its suspects.
-func encodeIncidentHead(incident *incident, now time.Time) *quarantinepb.Incident {
-	return &quarantinepb.Incident{Replica: uint64(incident.replica), AgeMillis: uint64(max(0, now.Sub(incident.learnedAt)).Milliseconds()), TimeAssumed: incident.timeAssumed, Service: incident.service}
+func encodeIncidentHead(end *incident, now time.Time) *quarantinepb.Incident {
+	return &quarantinepb.Incident{Replica: uint64(end.replica), AgeMillis: uint64(max(0, now.Sub(end.learnedAt)).Milliseconds()), TimeAssumed: end.timeAssumed, Service: end.service}
 }
 
 // encodeIncident returns an incident as it is sent.
-func encodeIncident(incident *incident, now time.Time) *quarantinepb.Incident {
-	encoded := encodeIncidentHead(incident, now)
-	for key, suspected := range incident.suspects {
+func encodeIncident(end *incident, now time.Time) *quarantinepb.Incident {
+	encoded := encodeIncidentHead(end, now)
+	for key, suspected := range end.suspects {
 		encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, suspected))
 	}
 	return encoded
@@ -50,8 +50,8 @@
 // encodeAll returns the whole book as it is sent.
 func (e *evidenceStore) encodeAll(now time.Time) []*quarantinepb.Incident {
 	encoded := make([]*quarantinepb.Incident, 0, len(e.incidents))
-	for _, incident := range e.incidents {
-		encoded = append(encoded, encodeIncident(incident, now))
+	for _, end := range e.incidents {
+		encoded = append(encoded, encodeIncident(end, now))
 	}
 	return encoded
 }
@@ -59,8 +59,8 @@
 // encodeIncidents returns the incidents of one message, with all that ran beside it: alone it would seem to be the cause.
 func (e *evidenceStore) encodeIncidents(message Key, now time.Time) []*quarantinepb.Incident {
 	var encoded []*quarantinepb.Incident
-	for _, incident := range e.byMessage[message] {
-		encoded = append(encoded, encodeIncident(incident, now))
+	for _, end := range e.byMessage[message] {
+		encoded = append(encoded, encodeIncident(end, now))
 	}
 	return encoded
 }
@@ -68,18 +68,18 @@
 // join takes in incidents of another node; it returns the messages of which something is new.
 func (e *evidenceStore) join(encoded []*quarantinepb.Incident, now time.Time) []Key {
 	var changed []Key
-	for _, incident := range encoded {
-		age := time.Duration(min(incident.AgeMillis, uint64(retention.Milliseconds()))) * time.Millisecond
+	for _, end := range encoded {
+		age := time.Duration(min(end.AgeMillis, uint64(retention.Milliseconds()))) * time.Millisecond
 		if age >= retention {
 			continue
 		}
-		for _, suspected := range incident.Suspects {
+		for _, suspected := range end.Suspects {
 			key, valid := decodeKey(suspected.Message)
-			if valid && e.addSuspect(e.incidentFor(replica.Key(incident.Replica), now.Add(-age), incident.TimeAssumed), key, decodeSuspect(suspected)) {
+			if valid && e.addSuspect(e.incidentFor(replica.Key(end.Replica), now.Add(-age), end.TimeAssumed), key, decodeSuspect(suspected)) {
 				changed = append(changed, key)
 			}
 		}
-		e.setService(replica.Key(incident.Replica), incident.Service)
+		e.setService(replica.Key(end.Replica), end.Service)
 	}
 	return changed
 }
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -62,20 +62,20 @@
 }
 
 // runInquiry answers an inquiry. A replica that drains ends as planned, whatever runs there.
-func (s *Service) runInquiry(inquiry *inquiry, handle *replica.Handle) {
+func (s *Service) runInquiry(pending *inquiry, handle *replica.Handle) {
 	found := s.probe(handle)
 	ended := found.ended()
 	counted := ended && !handle.Info().Draining
 	s.mutex.Lock()
-	inquiry.ended, inquiry.counted, inquiry.finding, inquiry.at = ended, counted, found, clock.Now()
+	pending.ended, pending.counted, pending.finding, pending.at = ended, counted, found, clock.Now()
 	if !ended {
 		delete(s.inquiries, handle.Key())
 	}
 	if counted {
-		s.suspectAbortedRuns(handle.Key(), inquiry.at)
+		s.suspectAbortedRuns(handle.Key(), pending.at)
 	}
 	s.mutex.Unlock()
-	close(inquiry.done)
+	close(pending.done)
 	if ended {
 		handle.Ended(clock.Now())
 		s.metrics.ended.Inc()
@@ -119,8 +119,8 @@
 
 // expireInquiries drops the ends of replicas that nothing runs at any more. The mutex is held.
 func (s *Service) expireInquiries(now time.Time) {
-	for key, inquiry := range s.inquiries {
-		if inquiry.ended && now.Sub(inquiry.at) >= retention {
+	for key, concluded := range s.inquiries {
+		if concluded.ended && now.Sub(concluded.at) >= retention {
 			delete(s.inquiries, key)
 		}
 	}
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -234,8 +234,8 @@
 	if len(cleared) == 0 {
 		return 0
 	}
-	for _, incident := range cleared {
-		s.announce(incident.replica, key)
+	for _, end := range cleared {
+		s.announce(end.replica, key)
 	}
 	s.updateRejected(key)
 	s.signalChanged()
@@ -256,8 +256,8 @@
 	s.joinLosses(received.GetLosses(), now)
 	s.avoidEnded(incidents, now)
 	changed := s.evidence.join(incidents, now)
-	for _, incident := range incidents {
-		if ended := replica.Key(incident.GetReplica()); len(s.abortedRuns[ended]) > 0 && s.evidence.incidents[ended] != nil {
+	for _, end := range incidents {
+		if ended := replica.Key(end.GetReplica()); len(s.abortedRuns[ended]) > 0 && s.evidence.incidents[ended] != nil {
 			s.suspectAbortedRuns(ended, s.evidence.incidents[ended].learnedAt)
 		}
 	}
@@ -274,8 +274,8 @@
 // held.
 func (s *Service) avoidEnded(incidents []*quarantinepb.Incident, now time.Time) {
 	ended := map[replica.Key]bool{}
-	for _, incident := range incidents {
-		key := replica.Key(incident.GetReplica())
+	for _, end := range incidents {
+		key := replica.Key(end.GetReplica())
 		if s.evidence.incidents[key] == nil {
 			ended[key] = true
 		}
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -109,13 +109,13 @@
 			}
 			continue
 		}
-		incident := s.evidence.incidents[ended]
-		if incident == nil {
+		end := s.evidence.incidents[ended]
+		if end == nil {
 			continue
 		}
-		encoded := encodeIncidentHead(incident, now)
+		encoded := encodeIncidentHead(end, now)
 		for key := range keys {
-			if suspected := incident.suspects[key]; suspected != nil {
+			if suspected := end.suspects[key]; suspected != nil {
 				encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, suspected))
 			}
 		}
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -79,9 +79,9 @@
 
 func (e *evidenceStore) summarizeEndedRuns(message Key) endedRunsSummary {
 	found := endedRunsSummary{itemsOnly: true, longItemsWithProgress: true}
-	for _, incident := range e.byMessage[message] {
-		suspected := incident.suspects[message]
-		if suspected.cleared || suspected.unseen || e.answerProgressedPast(message, incident) {
+	for _, end := range e.byMessage[message] {
+		suspected := end.suspects[message]
+		if suspected.cleared || suspected.unseen || e.answerProgressedPast(message, end) {
 			continue
 		}
 		found.itemsOnly = found.itemsOnly && suspected.item
@@ -100,14 +100,14 @@
 // A run that made events is likely to be there by chance: what ends a replica mostly does so when it is read.
 func (e *evidenceStore) strongIncidents(message Key) []*incident {
 	var found []*incident
-	for _, incident := range e.incidentsAgainst(message) {
-		if suspected := incident.suspects[message]; suspected.runDuration > shortRunDuration || suspected.progressed {
+	for _, end := range e.incidentsAgainst(message) {
+		if suspected := end.suspects[message]; suspected.runDuration > shortRunDuration || suspected.progressed {
 			continue
 		}
-		if last := len(found) - 1; last >= 0 && incident.learnedAt.Sub(found[last].learnedAt) < commonCauseWindow {
+		if last := len(found) - 1; last >= 0 && end.learnedAt.Sub(found[last].learnedAt) < commonCauseWindow {
 			continue
 		}
-		found = append(found, incident)
+		found = append(found, end)
 	}
 	return found
 }
@@ -115,18 +115,18 @@
 // evidenceWeight is what speaks against a message: each incident is one, shared by the messages that ran there.
 func (e *evidenceStore) evidenceWeight(message Key) float64 {
 	weight := 0.0
-	for _, incident := range e.byMessage[message] {
-		if !incident.suspects[message].cleared && !e.answerProgressedPast(message, incident) {
-			weight += 1 / float64(incident.openSuspects)
+	for _, end := range e.byMessage[message] {
+		if !end.suspects[message].cleared && !e.answerProgressedPast(message, end) {
+			weight += 1 / float64(end.openSuspects)
 		}
 	}
 	return weight
 }
 
 // isMainSuspect says that more speaks against the message than against any other that ran there.
-func (e *evidenceStore) isMainSuspect(message Key, incident *incident) bool {
+func (e *evidenceStore) isMainSuspect(message Key, end *incident) bool {
 	weight := e.evidenceWeight(message)
-	for other, suspected := range incident.suspects {
+	for other, suspected := range end.suspects {
 		if other != message && !suspected.cleared && e.evidenceWeight(other) >= weight-weightTolerance {
 			return false
 		}
@@ -137,10 +137,10 @@
 // explainsEnds says that the message alone accounts for several ends of replicas.
 func (e *evidenceStore) explainsEnds(message Key) bool {
 	ends, evidence := 0, 0.0
-	for _, incident := range e.strongIncidents(message) {
-		if e.isMainSuspect(message, incident) {
+	for _, end := range e.strongIncidents(message) {
+		if e.isMainSuspect(message, end) {
 			ends++
-			evidence += 1 / float64(incident.openSuspects)
+			evidence += 1 / float64(end.openSuspects)
 		}
 	}
 	return ends >= minEndsToReject && evidence >= minEvidenceWeight
@@ -150,8 +150,8 @@
 // well.
 func (e *evidenceStore) endedRepeatedlyUnderGrant(message Key) bool {
 	granted := 0
-	for _, incident := range e.byMessage[message] {
-		if suspected := incident.suspects[message]; suspected.granted && !suspected.cleared && !e.answerProgressedPast(message, incident) {
+	for _, end := range e.byMessage[message] {
+		if suspected := end.suspects[message]; suspected.granted && !suspected.cleared && !e.answerProgressedPast(message, end) {
 			granted++
 		}
 	}
@@ -160,8 +160,8 @@
 
 // answerProgressedPast says that the message's answer has come further than where it was when the replica ended. The point at which that run ended is not what ended its
 // replica, since a further run went on there.
-func (e *evidenceStore) answerProgressedPast(message Key, incident *incident) bool {
-	ended := incident.suspects[message]
+func (e *evidenceStore) answerProgressedPast(message Key, end *incident) bool {
+	ended := end.suspects[message]
 	for _, other := range e.byMessage[message] {
 		if suspected := other.suspects[message]; suspected.progressed && ended.progressedPast(suspected.reached) {
 			return true
@@ -172,21 +172,21 @@
 
 // incidentsAgainst returns the incidents that speak against a message, in the order of time: those whose point its answer has passed do not.
 func (e *evidenceStore) incidentsAgainst(message Key) []*incident {
-	return slices.DeleteFunc(e.openIncidents(message), func(incident *incident) bool { return e.answerProgressedPast(message, incident) })
+	return slices.DeleteFunc(e.openIncidents(message), func(end *incident) bool { return e.answerProgressedPast(message, end) })
 }
 
 // endCount returns the number of replicas that ended under the message, without those that do not speak against it, those whose end another message
 // explains and those that nobody saw: what the run had made there is not known, so that it counts like a loss.
 func (e *evidenceStore) endCount(message Key) int {
-	observed := slices.DeleteFunc(e.incidentsAgainst(message), func(incident *incident) bool { return incident.suspects[message].unseen })
+	observed := slices.DeleteFunc(e.incidentsAgainst(message), func(end *incident) bool { return end.suspects[message].unseen })
 	return e.countEnds(message, observed)
 }
 
 // unseenEndCount returns the number of replicas that ended under the message while nobody saw how its run ended.
 func (e *evidenceStore) unseenEndCount(message Key) int {
 	count := 0
-	for _, incident := range e.byMessage[message] {
-		if suspected := incident.suspects[message]; suspected.unseen && !suspected.cleared && !e.answerProgressedPast(message, incident) {
+	for _, end := range e.byMessage[message] {
+		if suspected := end.suspects[message]; suspected.unseen && !suspected.cleared && !e.answerProgressedPast(message, end) {
 			count++
 		}
 	}
@@ -224,9 +224,9 @@
 // concurrentIncidents returns first and the incidents that were learned of within sameCause before or after it.
 func (e *evidenceStore) concurrentIncidents(first *incident) []*incident {
 	var found []*incident
-	for _, incident := range e.incidents {
-		if span := incident.learnedAt.Sub(first.learnedAt).Abs(); incident == first || span < commonCauseWindow {
-			found = append(found, incident)
+	for _, end := range e.incidents {
+		if span := end.learnedAt.Sub(first.learnedAt).Abs(); end == first || span < commonCauseWindow {
+			found = append(found, end)
 		}
 	}
 	return found
@@ -238,9 +238,9 @@
 }
 
 // explainedByOther says that another message than the given one accounts for the incident.
-func (e *evidenceStore) explainedByOther(incident *incident, except Key) bool {
-	for other, suspected := range incident.suspects {
-		if other != except && !suspected.cleared && len(e.byMessage[other]) >= minEndsToReject && e.isMainSuspect(other, incident) && e.explainsEnds(other) {
+func (e *evidenceStore) explainedByOther(end *incident, except Key) bool {
+	for other, suspected := range end.suspects {
+		if other != except && !suspected.cleared && len(e.byMessage[other]) >= minEndsToReject && e.isMainSuspect(other, end) && e.explainsEnds(other) {
 			return true
 		}
 	}
@@ -250,10 +250,10 @@
 // describeEvidence lists the ends of replicas that speak against a message, for the log.
 func (e *evidenceStore) describeEvidence(message Key, now time.Time) []string {
 	var listed []string
-	for _, incident := range e.openIncidents(message) {
-		suspected := incident.suspects[message]
-		listed = append(listed, fmt.Sprintf("%016x age=%s ran=%s together=%d granted=%t progressed=%t reached=%d passed=%t %s", uint64(incident.replica),
-			now.Sub(incident.learnedAt).Round(time.Millisecond), suspected.runDuration, len(incident.suspects), suspected.granted, suspected.progressed, suspected.reached, e.answerProgressedPast(message, incident), suspected.origin))
+	for _, end := range e.openIncidents(message) {
+		suspected := end.suspects[message]
+		listed = append(listed, fmt.Sprintf("%016x age=%s ran=%s together=%d granted=%t progressed=%t reached=%d passed=%t %s", uint64(end.replica),
+			now.Sub(end.learnedAt).Round(time.Millisecond), suspected.runDuration, len(end.suspects), suspected.granted, suspected.progressed, suspected.reached, e.answerProgressedPast(message, end), suspected.origin))
 	}
 	return listed
 }
