--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// maxAdmitWait bounds the wait of a suspected message for the end of another run of it: most callers leave a stream that does not begin
-	// within two seconds.
+	// maxAdmitWait bounds the wait of a suspected message for another run of it to end: most callers abandon a stream
+	// that does not begin within two seconds.
 	maxAdmitWait = time.Second
-	// minBusyPause and longestPause bound the wait before a keeper that has another run under way is asked again.
+	// minBusyPause and maxBusyPause bound the backoff before a keeper that answered that another run is under way is
+	// asked again.
 	minBusyPause = 20 * time.Millisecond
 	maxBusyPause = 160 * time.Millisecond
-	// keeperTimeout is how long a keeper is waited for, mostKeepers how many are asked one after the other: a killed one refuses at once, and
-	// many may be killed together.
+	// keeperTimeout is the timeout of a call to one keeper, maxKeepersTried the number of keepers tried in sequence: a
+	// killed one refuses at once, and many may be killed together.
 	keeperTimeout   = 150 * time.Millisecond
 	maxKeepersTried = 6
-	// unreachedTime is how long a keeper that gave no answer is passed over.
+	// unreachedTime is how long a keeper that did not answer is skipped.
 	unreachedTime = time.Second
 )
 
-// errNoKeeper says that none of the nodes that may keep a message was reached: this one may be cut off.
+// errNoKeeper reports that no node that may keep a message was reached: this node may be partitioned from the others.
 var errNoKeeper = errors.New("no keeper was reached")
 
 // Admit implements Register.
@@ -42,7 +43,7 @@
 	return admitted
 }
 
-// admit waits, where the message is suspected, until it is decided whether it may run.
+// admit returns the permit of a message. For a suspected message it first waits until it is decided whether it may run.
 func (s *Service) admit(ctx context.Context, key Key) *permit {
 	known, inquired := s.currentPermit(key)
 	if known.verdict == Allowed && !inquired {
@@ -55,19 +56,21 @@
 	return admitted
 }
 
-// currentPermit returns the permit by what is known of a message, and whether an inquiry into a replica that it was lost at is under way.
+// currentPermit returns the permit that follows from what this node knows of a message now. inquired reports whether an
+// inquiry into a replica where a run of the message was lost is under way.
 func (s *Service) currentPermit(key Key) (known *permit, inquired bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.permitFor(key, s.evidence.verdict(key)), s.pendingInquiries[key] > 0
 }
 
-// permitFor returns a permit that rests on all that is known of the message now. The mutex is held.
+// permitFor returns a permit that takes into account all evidence known now. The mutex is held.
 func (s *Service) permitFor(key Key, verdict Verdict) *permit {
 	return &permit{service: s, key: key, verdict: verdict, knownIncidents: len(s.evidence.openIncidents(key))}
 }
 
-// permitAfterDecision returns the permit of a message that its keeper has decided on.
+// permitAfterDecision returns the permit of a message on which the keeper has decided without a grant, and releases its
+// queue.
 func (s *Service) permitAfterDecision(key Key, verdict Verdict) *permit {
 	s.releaseQueue(key)
 	s.mutex.Lock()
@@ -101,8 +104,9 @@
 	}
 }
 
-// permitAfterTimeout returns the permit for a message after the wait for a decision: a suspect without a grant is not sent, and one that no replica is known
-// to have ended under is sent like any other, though an inquiry into a replica goes on.
+// permitAfterTimeout returns the permit of a message for which no decision was reached in time. A suspected message is
+// not sent without a grant. A message under which no replica is known to have ended is sent as usual, even if an
+// inquiry into a replica is still under way.
 func (s *Service) permitAfterTimeout(key Key) *permit {
 	timedOut, _ := s.currentPermit(key)
 	if timedOut.verdict == Apart {
@@ -111,7 +115,7 @@
 	return timedOut
 }
 
-// releaseQueue gives up the queue of a message, so that the next caller on this node may ask for the grant.
+// releaseQueue lets the next caller on this node ask for the grant of a message.
 func (s *Service) releaseQueue(key Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -121,9 +125,10 @@
 	}
 }
 
-// requestGrant asks the keeper for the grant until it is given or the message is decided on. The queue is held until the permit is given back.
+// requestGrant asks the keeper until it grants the run or decides on the message, or ctx ends. The queue of the message
+// stays held until the permit is released.
 func (s *Service) requestGrant(ctx context.Context, key Key) *permit {
-	// 0 stands for no run.
+	// 0 is reserved for "no run".
 	run := max(1, rand.Uint64())
 	pause := minBusyPause
 	for {
@@ -150,7 +155,7 @@
 	}
 }
 
-// logDisagreement logs that a keeper decides otherwise than this node does by all that both know of the message.
+// logDisagreement logs if a keeper decided otherwise on a message that is still Apart by this node's evidence.
 func (s *Service) logDisagreement(key Key, keeper membership.Member, decided quarantinepb.Verdict) {
 	if decided == quarantinepb.Verdict_VERDICT_GRANTED || decided == quarantinepb.Verdict_VERDICT_BUSY {
 		return
@@ -161,11 +166,13 @@
 	if own != Apart {
 		return
 	}
-	s.logger.Info().Stringer("digest", key).Stringer(logging.FieldPeer, keeper.PeerAddress).Stringer("keeper_verdict", decided).Stringer("own_verdict", own).
+	s.logger.Info().Stringer("digest", key).Stringer(logging.FieldPeer, keeper.PeerAddress).
+		Stringer("keeper_verdict", decided).Stringer("own_verdict", own).
 		Strs("evidence", s.evidence.describeEvidence(key, clock.Now())).Msg("keeper_decided_otherwise")
 }
 
-// waitUnlessDecided waits for pause and returns true; false as soon as the message is no longer suspected, or one of the contexts ends.
+// waitUnlessDecided waits for pause and returns true. It returns false as soon as the message is no longer Apart or one
+// of the contexts ends.
 func (s *Service) waitUnlessDecided(ctx context.Context, key Key, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -188,7 +195,8 @@
 	}
 }
 
-// grantedPermit returns the permit of a run that the keeper has granted, and renews the grant until it is given back.
+// grantedPermit returns the permit of a run that the keeper has granted. The grant is renewed until the permit is
+// released.
 func (s *Service) grantedPermit(key Key, run uint64, keeper membership.Member) *permit {
 	renewing, stop := context.WithCancel(s.ctx)
 	granted := &permit{service: s, key: key, verdict: Apart, grantedRun: run, keeper: keeper, replicaChosen: make(chan struct{}, 1), stopRenewing: stop}
@@ -196,8 +204,9 @@
 	return granted
 }
 
-// renewGrant renews a grant until ctx ends, and at once when its run is sent to a replica: the keeper is to know where it was if the grant lapses. A renewal without
-// an answer is only logged: the next may come through before.
+// renewGrant renews a grant until ctx ends. It also renews at once when the run is sent to a replica, so that the
+// keeper knows which replica to inquire into if the grant lapses. A failed renewal is only logged, since the next one
+// may still arrive in time.
 func (s *Service) renewGrant(ctx context.Context, granted *permit) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -208,14 +217,16 @@
 		case <-ctx.Done():
 			return
 		}
-		if _, err := s.askKeeper(ctx, granted.key, granted.grantedRun, replica.Key(granted.replicaKey.Load()), granted.keeper); err != nil && ctx.Err() == nil {
+		if _, err := s.askKeeper(
+			ctx, granted.key, granted.grantedRun, replica.Key(granted.replicaKey.Load()), granted.keeper,
+		); err != nil && ctx.Err() == nil {
 			s.logger.Info().Stringer("digest", granted.key).Err(err).Msg("grant_not_renewed")
 		}
 	}
 }
 
-// askKeepers asks the keeper of a message. Where it is not reached the next one is asked, unless the run could be the last one that is
-// allowed: two keepers could each give that.
+// askKeepers asks the keeper of a message for a grant. If it is not reached, the next nodes in rank are asked, unless
+// one more ended replica would reject the message: two keepers could each grant such a run.
 func (s *Service) askKeepers(ctx context.Context, key Key, run uint64) (*quarantinepb.GrantResponse, membership.Member, error) {
 	view := s.viewer.View()
 	ranked := keepers(view, key)
@@ -252,19 +263,19 @@
 	return nil, membership.Member{}, errNoKeeper
 }
 
-// abandonGrant gives back, in the background, what a keeper may have granted in an answer that has not come: a grant that lapses counts as the end
-// of a replica.
+// abandonGrant releases, in the background, a grant that a keeper may have given in an answer that was not received: a
+// grant that lapses counts as the end of a replica.
 func (s *Service) abandonGrant(key Key, run uint64, keeper membership.Member) {
 	request := &quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run}
 	s.inBackground(func() { s.sendRelease(keeper.PeerAddress, request) })
 }
 
-// reachesNextKeeper says that this node, which is the keeper itself, reaches one of the next nodes in rank; a node that is cut off would grant itself
-// what the keeper of the others grants as well. The call carries the incidents of the message, since the next in rank is keeper after this
-// node.
+// reachesNextKeeper reports whether this node, being the keeper itself, reaches one of the next nodes in rank. A
+// partitioned node would otherwise grant itself a run that the keeper of the other nodes grants as well. The call
+// carries the evidence on the message, since the next node in rank becomes its keeper if this node fails.
 func (s *Service) reachesNextKeeper(ctx context.Context, key Key, ranked []membership.Member) bool {
 	now, self := clock.Now(), s.viewer.View().Self
-	// No run is given back.
+	// Run 0 releases no grant.
 	request := s.releaseRequest(key, 0, now)
 	remaining := maxKeepersTried
 	for _, other := range ranked {
@@ -285,11 +296,20 @@
 	return len(ranked) == 1
 }
 
-// askKeeper asks one keeper for the grant, or renews it for a run at the replica of that key, and takes in what that node knows of the message.
-func (s *Service) askKeeper(ctx context.Context, key Key, run uint64, replicaKey replica.Key, keeper membership.Member) (*quarantinepb.GrantResponse, error) {
+// askKeeper asks one keeper for a grant, or renews the grant of a run at the replica with the given key, and merges the
+// evidence that the keeper returns.
+func (s *Service) askKeeper(
+	ctx context.Context, key Key, run uint64, replicaKey replica.Key, keeper membership.Member,
+) (*quarantinepb.GrantResponse, error) {
 	now := clock.Now()
 	s.mutex.Lock()
-	request := &quarantinepb.GrantRequest{Message: keyBytes(key), Run: run, Incidents: s.evidence.encodeIncidents(key, now), Losses: s.evidence.losses.encode(key, now), Replica: uint64(replicaKey)}
+	request := &quarantinepb.GrantRequest{
+		Message:   keyBytes(key),
+		Run:       run,
+		Incidents: s.evidence.encodeIncidents(key, now),
+		Losses:    s.evidence.losses.encode(key, now),
+		Replica:   uint64(replicaKey),
+	}
 	s.mutex.Unlock()
 	if keeper.ID == s.viewer.View().Self {
 		return s.handleGrant(request, now), nil
@@ -304,14 +324,19 @@
 	return response, nil
 }
 
-// releaseRequest returns the message that gives the grant of a run back, with what this node knows of the message.
+// releaseRequest returns the request that releases the grant of a run, with this node's evidence on the message.
 func (s *Service) releaseRequest(key Key, run uint64, now time.Time) *quarantinepb.ReleaseRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return &quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run, Incidents: s.evidence.encodeIncidents(key, now), Losses: s.evidence.losses.encode(key, now)}
+	return &quarantinepb.ReleaseRequest{
+		Message:   keyBytes(key),
+		Run:       run,
+		Incidents: s.evidence.encodeIncidents(key, now),
+		Losses:    s.evidence.losses.encode(key, now),
+	}
 }
 
-// releaseGrant gives a grant back in the background; without an answer it lapses.
+// releaseGrant releases a grant; a remote keeper is told in the background. If no call succeeds, the grant lapses.
 func (s *Service) releaseGrant(key Key, run uint64, keeper membership.Member) {
 	s.releaseQueue(key)
 	now := clock.Now()
@@ -323,9 +348,10 @@
 	s.inBackground(func() { s.sendRelease(keeper.PeerAddress, request) })
 }
 
-// sendRelease gives a grant back to its keeper. While this node stops one more call is made, so that the next run need not wait for the lapse.
+// sendRelease tells a keeper that a grant is released. While this node stops, only one call is made: it spares the next
+// run the wait for the grant to lapse.
 func (s *Service) sendRelease(to netip.AddrPort, request *quarantinepb.ReleaseRequest) {
-	// tries is the number of times that the call is made; after that the grant lapses within grantTerm.
+	// tries is the number of calls; if none succeeds, the grant lapses within grantDuration.
 	const tries = 3
 	for range tries {
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), keeperTimeout)
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -10,91 +10,105 @@
 )
 
 const (
-	// maxIncidents bounds the ended replicas that are remembered, maxSuspects the messages of one: more than a replica runs at once. Both
-	// together keep the book below 5 MB.
+	// maxIncidents bounds the incidents that are stored, maxSuspects the messages of one: more than a replica runs at
+	// once. Together they keep the store below 5 MB.
 	maxIncidents = 512
 	maxSuspects  = 128
-	// retention is how long an ended replica counts against the messages that ran there: long enough for a caller who tries again and for
-	// an item of a batch job, short enough that a repaired model gets the message again on the same day.
+	// retention is how long an incident counts against its suspects: long enough for a caller's retries and for an item
+	// of a batch job, short enough that a repaired model receives the message again on the same day.
 	retention = 10 * time.Minute
 )
 
-// suspect is a message in one incident.
+// suspect is a message in one incident: a run of it was under way when the replica ended, or may have been.
 type suspect struct {
+	// runDuration is the time from the start of the run to the end of the replica.
 	runDuration time.Duration
-	cleared     bool
-	// granted says that it was suspected before, and ran there apart.
+	// cleared reports that the message has since been shown not to have ended this replica.
+	cleared bool
+	// granted reports that the message was suspected before and ran under a keeper's grant.
 	granted bool
-	// progressed says that the run had made events that a further run goes on behind, reached how many the message's answer had then, where that is known.
+	// progressed reports that the run produced events after which a further run resumes. reached is the number of
+	// events in the message's answer at that time, valid if reachedKnown is set.
 	progressed   bool
 	reached      int
 	reachedKnown bool
-	// unseen says that no node saw the run to its end.
+	// unseen reports that no node observed how the run ended.
 	unseen bool
-	// item says that the run was one of an item.
+	// item reports that the run was that of a batch item.
 	item bool
-	// origin says from where this node has it; it is not sent.
+	// origin is how this node learned of the end; it is not sent to other nodes.
 	origin origin
 }
 
-// origin says from where a node has the end of a replica under a message.
+// origin is how a node learned that a replica ended under a message.
 type origin string
 
 const (
-	// originSeen ends were found out by an inquiry of this node.
+	// originSeen: an inquiry of this node found that the replica had ended.
 	originSeen origin = "seen"
-	// originShared ends were learned from another node.
+	// originShared: another node reported it.
 	originShared origin = "shared"
-	// originRecalled ends were in the log of the message's owner.
+	// originRecalled: the log of the message's owner recorded it.
 	originRecalled origin = "recalled"
-	// originLapsed ends are supposed: the grant of a run was not renewed.
+	// originLapsed: it is assumed, because the grant of the run was not renewed.
 	originLapsed origin = "lapsed"
 )
 
-// unseenRunDuration stands for the length of a run that nobody here saw to its end: it counts, but speaks no more strongly against the message than a long one.
+// unseenRunDuration is the assumed length of a run whose end this node did not observe. It is longer than a short run,
+// so that the end counts without being strong evidence.
 const unseenRunDuration = shortRunDuration + time.Second
 
-// unseenSuspect returns a message whose run nobody here saw to its end. That of a recalled end was seen by an earlier owner.
+// unseenSuspect returns a suspect for a run whose end this node did not observe. The end of a recalled run was observed
+// by an earlier owner, so that it is not marked as unseen.
 func unseenSuspect(from origin) suspect {
 	return suspect{runDuration: unseenRunDuration, unseen: from == originLapsed, origin: from}
 }
 
-// assumed says that nobody known here saw the run to its end.
+// assumed reports whether no node known to this one observed the end of the run.
 func (s suspect) assumed() bool { return s.origin == originRecalled || s.origin == originLapsed }
 
 // incident is the end of one incarnation of a replica.
 type incident struct {
-	replica   replica.Key
+	replica replica.Key
+	// learnedAt is when the end of the replica was found.
 	learnedAt time.Time
-	// timeAssumed says that nobody that is known here saw when it was; learned is then the best guess.
+	// timeAssumed reports that no known node observed the time of the end; learnedAt is then an estimate.
 	timeAssumed bool
-	// service is that of the replica; empty where nobody said so.
+	// service is the service of the replica; empty if unknown.
 	service  string
 	suspects map[Key]*suspect
-	// openSuspects counts the suspects that are not cleared.
+	// openSuspects is the number of suspects that are not cleared.
 	openSuspects int
 }
 
-// evidenceStore holds the incidents that are known. Books are joined: suspects are added, and one that is cleared stays so, in any order. It is not
-// safe for concurrent use.
+// evidenceStore holds the known evidence about messages. Stores are merged by adding suspects, and a cleared suspect
+// stays cleared, so that the order of merging does not matter. It is not safe for concurrent use.
 type evidenceStore struct {
 	incidents map[replica.Key]*incident
 	byMessage map[Key]map[replica.Key]*incident
 	losses    losses
-	// recalled are the messages that were rejected before all nodes were killed, and when this node learned of them.
+	// recalled holds the messages that were rejected before all nodes were killed, with the time at which this node
+	// learned of them.
 	recalled map[Key]time.Time
 }
 
 func newEvidenceStore() *evidenceStore {
-	return &evidenceStore{incidents: map[replica.Key]*incident{}, byMessage: map[Key]map[replica.Key]*incident{}, losses: losses{}, recalled: map[Key]time.Time{}}
+	return &evidenceStore{
+		incidents: map[replica.Key]*incident{},
+		byMessage: map[Key]map[replica.Key]*incident{},
+		losses:    losses{},
+		recalled:  map[Key]time.Time{},
+	}
 }
 
-// add joins one suspect of an incident that was learned of at the given time. It returns whether anything is new.
+// add merges one suspect into the incident of a replica whose end was learned of at the given time. It returns whether
+// anything changed.
 func (e *evidenceStore) add(ended replica.Key, learnedAt time.Time, message Key, added suspect) bool {
 	return e.addSuspect(e.incidentFor(ended, learnedAt, false), message, added)
 }
 
-// incidentFor returns the incident of a replica, which is new where it was not known. A time that somebody saw replaces an assumed one.
+// incidentFor returns the incident of a replica and creates it if it is unknown. An observed time replaces an assumed
+// one.
 func (e *evidenceStore) incidentFor(ended replica.Key, learnedAt time.Time, timeAssumed bool) *incident {
 	known := e.incidents[ended]
 	if known == nil {
@@ -108,7 +122,7 @@
 	return known
 }
 
-// addSuspect joins one suspect of a known incident; it returns whether anything is new.
+// addSuspect merges one suspect into a known incident. It returns whether anything changed.
 func (e *evidenceStore) addSuspect(known *incident, message Key, added suspect) bool {
 	added.runDuration = added.runDuration.Truncate(time.Millisecond)
 	existing := known.suspects[message]
@@ -137,8 +151,8 @@
 	return true
 }
 
-// merge returns what two nodes know of the same run together, in any order. Of a run that nobody saw to its end, its length is not known: the
-// shorter one was seen.
+// merge combines what two nodes know of the same run; the order does not matter. The shorter duration wins: that of a
+// run whose end nobody observed is only assumed, and is longer than that of a short run.
 func (s suspect) merge(other suspect) suspect {
 	merged := s
 	if s.assumed() {
@@ -155,13 +169,15 @@
 	return merged
 }
 
-// progressedPast says that an answer of that many events has come further than where it was when the replica ended.
+// progressedPast reports whether an answer with the given number of events has clearly progressed past the point at
+// which the replica ended.
 func (s suspect) progressedPast(events int) bool {
 	return s.reachedKnown && events > s.reached+progressMarginEvents
 }
 
-// clear notes that the message did not end the replicas of those incidents in which it is suspected and that are chosen; it returns them.
-func (e *evidenceStore) clear(message Key, matches func(suspected *suspect) bool) []*incident {
+// clear marks the message as not responsible for those open incidents for which matches returns true, and returns these
+// incidents.
+func (e *evidenceStore) clear(message Key, matches func(candidate *suspect) bool) []*incident {
 	var cleared []*incident
 	for _, end := range e.openIncidents(message) {
 		suspected := end.suspects[message]
@@ -175,7 +191,7 @@
 	return cleared
 }
 
-// openIncidents returns the incidents in which the message is suspected, in the order of time.
+// openIncidents returns the incidents in which the message is a suspect that is not cleared, ordered by time.
 func (e *evidenceStore) openIncidents(message Key) []*incident {
 	var found []*incident
 	for _, end := range e.byMessage[message] {
@@ -189,7 +205,7 @@
 	return found
 }
 
-// expire drops the incidents that are older than remember.
+// expire removes evidence that is older than retention.
 func (e *evidenceStore) expire(now time.Time) {
 	for _, end := range e.incidents {
 		if now.Sub(end.learnedAt) >= retention {
@@ -200,7 +216,7 @@
 	maps.DeleteFunc(e.recalled, func(_ Key, at time.Time) bool { return now.Sub(at) >= retention })
 }
 
-// evictIfFull drops the oldest incident where the book is full, one without a rejected message first.
+// evictIfFull removes the oldest incident if the store is full, preferring one without a rejected message.
 func (e *evidenceStore) evictIfFull() {
 	if len(e.incidents) < maxIncidents {
 		return
@@ -220,7 +236,7 @@
 	e.remove(oldest)
 }
 
-// hasRejectedSuspect says that a rejected message is a suspect of the incident.
+// hasRejectedSuspect reports whether an uncleared suspect of the incident is a rejected message.
 func (e *evidenceStore) hasRejectedSuspect(end *incident) bool {
 	for message, suspected := range end.suspects {
 		if !suspected.cleared && len(e.byMessage[message]) >= minEndsToReject && e.verdict(message) == Rejected {
@@ -230,7 +246,7 @@
 	return false
 }
 
-// remove removes an incident from both indexes.
+// remove deletes an incident from both indexes.
 func (e *evidenceStore) remove(dropped *incident) {
 	delete(e.incidents, dropped.replica)
 	for message := range dropped.suspects {
--- a/internal/quarantine/calm.go
+++ b/internal/quarantine/calm.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// stableWindow is the time over which the ends of replicas are counted: several times that in which most items come further than where an earlier run ended.
+	// stableWindow is the time over which ends of replicas are counted: several times that in which most items progress
+	// past the point at which an earlier run ended.
 	stableWindow = 5 * time.Second
-	// stableReplicasPerEnd is the part of a service's replicas, as its inverse, that may end within calmWindow while the service counts as calm. Of fewer replicas none may.
+	// stableReplicasPerEnd is the number of a service's replicas for each of which one end within stableWindow is
+	// tolerated while the service counts as stable. With fewer replicas no end is tolerated.
 	stableReplicasPerEnd = 50
 )
 
-// isStable says that at most one of calmPart replicas of a service, which has that many, ended within calmWindow. An end whose time was not seen by anybody is no
-// sign of what goes on now.
+// isStable reports whether at most one in stableReplicasPerEnd of a service's replicas ended within stableWindow. Ends
+// whose time nobody observed are ignored: they say nothing about the present.
 func (e *evidenceStore) isStable(service string, replicas int, now time.Time) bool {
 	ended := 0
 	for _, end := range e.incidents {
@@ -26,17 +28,18 @@
 	return ended*stableReplicasPerEnd <= replicas
 }
 
-// mayConcern says that the replica was one of the service, or that nobody said of which it was.
+// mayConcern reports whether the replica belonged to the service or its service is unknown.
 func (i *incident) mayConcern(service string) bool { return i.service == "" || i.service == service }
 
-// setService notes of which service a replica was that ended.
+// setService sets the service of an ended replica if it is not known yet.
 func (e *evidenceStore) setService(ended replica.Key, service string) {
 	if known := e.incidents[ended]; known != nil && known.service == "" {
 		known.service = service
 	}
 }
 
-// Calm implements ItemRegister. A node that has just started does not know yet what ended before.
+// Calm implements ItemRegister. For stableWindow after its start a node reports false: it may not know yet which
+// replicas ended before.
 func (s *Service) Calm(service string) bool {
 	now, replicas := clock.Now(), len(s.directory.View().Of(service))
 	s.mutex.Lock()
--- a/internal/quarantine/codec.go
+++ b/internal/quarantine/codec.go
@@ -7,12 +7,17 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// encodeIncidentHead returns an incident as it is sent, without its suspects.
+// encodeIncidentHead returns the wire form of an incident without its suspects.
 func encodeIncidentHead(end *incident, now time.Time) *quarantinepb.Incident {
-	return &quarantinepb.Incident{Replica: uint64(end.replica), AgeMillis: uint64(max(0, now.Sub(end.learnedAt)).Milliseconds()), TimeAssumed: end.timeAssumed, Service: end.service}
+	return &quarantinepb.Incident{
+		Replica:     uint64(end.replica),
+		AgeMillis:   uint64(max(0, now.Sub(end.learnedAt)).Milliseconds()),
+		TimeAssumed: end.timeAssumed,
+		Service:     end.service,
+	}
 }
 
-// encodeIncident returns an incident as it is sent.
+// encodeIncident returns the wire form of an incident with its suspects.
 func encodeIncident(end *incident, now time.Time) *quarantinepb.Incident {
 	encoded := encodeIncidentHead(end, now)
 	for key, suspected := range end.suspects {
@@ -22,7 +27,15 @@
 }
 
 func encodeSuspect(key Key, suspected *suspect) *quarantinepb.Suspect {
-	encoded := &quarantinepb.Suspect{Message: key[:], RanMillis: uint32(suspected.runDuration.Milliseconds()), Cleared: suspected.cleared, Granted: suspected.granted, Reached: uint32(suspected.reached), Unseen: suspected.unseen, Item: suspected.item}
+	encoded := &quarantinepb.Suspect{
+		Message:   key[:],
+		RanMillis: uint32(suspected.runDuration.Milliseconds()),
+		Cleared:   suspected.cleared,
+		Granted:   suspected.granted,
+		Reached:   uint32(suspected.reached),
+		Unseen:    suspected.unseen,
+		Item:      suspected.item,
+	}
 	switch {
 	case suspected.progressed:
 		encoded.Progress = quarantinepb.Progress_PROGRESS_MADE
@@ -32,13 +45,18 @@
 	return encoded
 }
 
-// decodeSuspect returns a suspect that another node knows of. Nodes of other builds do not say what the run had made: then it speaks no more strongly against
-// the message than a run that nobody saw.
+// decodeSuspect returns a suspect received from another node. Nodes of older builds do not send the progress of a run;
+// its end is then no stronger evidence than that of an unobserved run.
 func decodeSuspect(encoded *quarantinepb.Suspect) suspect {
 	decoded := suspect{
-		runDuration: time.Duration(encoded.RanMillis) * time.Millisecond, cleared: encoded.Cleared, granted: encoded.Granted, unseen: encoded.Unseen, origin: originShared,
-		item:       encoded.Item,
-		progressed: encoded.Progress == quarantinepb.Progress_PROGRESS_MADE, reached: int(encoded.Reached),
+		runDuration:  time.Duration(encoded.RanMillis) * time.Millisecond,
+		cleared:      encoded.Cleared,
+		granted:      encoded.Granted,
+		unseen:       encoded.Unseen,
+		origin:       originShared,
+		item:         encoded.Item,
+		progressed:   encoded.Progress == quarantinepb.Progress_PROGRESS_MADE,
+		reached:      int(encoded.Reached),
 		reachedKnown: encoded.Progress != quarantinepb.Progress_PROGRESS_UNSPECIFIED,
 	}
 	if encoded.Progress == quarantinepb.Progress_PROGRESS_UNSPECIFIED {
@@ -47,7 +65,7 @@
 	return decoded
 }
 
-// encodeAll returns the whole book as it is sent.
+// encodeAll returns the wire form of all incidents.
 func (e *evidenceStore) encodeAll(now time.Time) []*quarantinepb.Incident {
 	encoded := make([]*quarantinepb.Incident, 0, len(e.incidents))
 	for _, end := range e.incidents {
@@ -56,7 +74,8 @@
 	return encoded
 }
 
-// encodeIncidents returns the incidents of one message, with all that ran beside it: alone it would seem to be the cause.
+// encodeIncidents returns the wire form of one message's incidents. They include the other suspects: without them the
+// message would look like the only possible cause.
 func (e *evidenceStore) encodeIncidents(message Key, now time.Time) []*quarantinepb.Incident {
 	var encoded []*quarantinepb.Incident
 	for _, end := range e.byMessage[message] {
@@ -65,7 +84,7 @@
 	return encoded
 }
 
-// join takes in incidents of another node; it returns the messages of which something is new.
+// join merges incidents received from another node and returns the messages for which anything changed.
 func (e *evidenceStore) join(encoded []*quarantinepb.Incident, now time.Time) []Key {
 	var changed []Key
 	for _, end := range encoded {
@@ -84,6 +103,7 @@
 	return changed
 }
 
+// decodeKey returns the key in its wire form; valid is false if the length is wrong.
 func decodeKey(encoded []byte) (key Key, valid bool) {
 	if len(encoded) != len(key) {
 		return key, false
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -12,24 +12,27 @@
 )
 
 const (
-	// grantDuration is how long a grant holds without being renewed: its holder may have been killed, and the others wait.
+	// grantDuration is how long a grant holds without renewal. Its holder may have been killed, and other runs wait for
+	// it.
 	grantDuration = 1500 * time.Millisecond
-	// renewInterval lets one renewal be lost without the grant lapsing.
+	// renewInterval allows one renewal to be lost before the grant lapses.
 	renewInterval = grantDuration / 3
-	// releasedRunRetention is how long a run that was given back is remembered: what was sent before may come until then.
+	// releasedRunRetention is how long a released run is remembered: requests sent before the release may arrive until
+	// then.
 	releasedRunRetention = 10 * time.Second
 )
 
-// grant is a permission to run a suspected message once, given by its keeper.
+// grant is the permission that a keeper gave to run a suspected message once.
 type grant struct {
 	run   uint64
 	until time.Time
-	// replicaKey is the replica at which the run is, as far as its holder has said, and since when; 0 where it has not.
+	// replicaKey is the replica at which the run is, and replicaSince the time from which it was reported there; 0 if
+	// the holder has not reported one.
 	replicaKey   replica.Key
 	replicaSince time.Time
 }
 
-// keepers returns the living members that may keep a message, the first by rendezvous first.
+// keepers returns the live members in the order in which they may keep a message, by rendezvous hashing.
 func keepers(view *membership.View, key Key) []membership.Member {
 	live := view.Live()
 	weights := make(map[membership.NodeID]uint64, len(live))
@@ -40,10 +43,10 @@
 	return live
 }
 
-// hasLiveMajority says that more than half of the known members are live.
+// hasLiveMajority reports whether more than half of the known members are live.
 func hasLiveMajority(view *membership.View) bool { return 2*len(view.Live()) > len(view.Members) }
 
-// handleGrant answers a request for the one run of a suspected message.
+// handleGrant answers a request for the grant of a run, or for its renewal.
 func (s *Service) handleGrant(request *quarantinepb.GrantRequest, now time.Time) *quarantinepb.GrantResponse {
 	key, valid := decodeKey(request.GetMessage())
 	if !valid {
@@ -53,11 +56,16 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.handleLapse(key, now)
-	return &quarantinepb.GrantResponse{Verdict: s.decideGrant(key, request.GetRun(), replica.Key(request.GetReplica()), now), Incidents: s.evidence.encodeIncidents(key, now), Losses: s.evidence.losses.encode(key, now)}
+	return &quarantinepb.GrantResponse{
+		Verdict:   s.decideGrant(key, request.GetRun(), replica.Key(request.GetReplica()), now),
+		Incidents: s.evidence.encodeIncidents(key, now),
+		Losses:    s.evidence.losses.encode(key, now),
+	}
 }
 
-// decideGrant says whether a run may have the grant; place is the replica at which it is, 0 before it was sent. The mutex is held.
-func (s *Service) decideGrant(key Key, run uint64, place replica.Key, now time.Time) quarantinepb.Verdict {
+// decideGrant returns the answer to a request for a grant. replicaKey is the replica at which the run is, 0 before it
+// is sent. The mutex is held.
+func (s *Service) decideGrant(key Key, run uint64, replicaKey replica.Key, now time.Time) quarantinepb.Verdict {
 	switch s.evidence.verdict(key) {
 	case Allowed:
 		return quarantinepb.Verdict_VERDICT_ALLOWED
@@ -67,32 +75,33 @@
 	if _, released := s.releasedRuns[run]; released {
 		return quarantinepb.Verdict_VERDICT_BUSY
 	}
-	held, given := s.grants[key]
-	if given && held.run != run && now.Before(held.until) {
+	held, exists := s.grants[key]
+	if exists && held.run != run && now.Before(held.until) {
 		return quarantinepb.Verdict_VERDICT_BUSY
 	}
 	if s.evidence.nextEndRejects(key) && !hasLiveMajority(s.viewer.View()) {
-		// The other side of a cut may give its own last run.
+		// On the other side of a partition the last run may be granted as well.
 		return quarantinepb.Verdict_VERDICT_BUSY
 	}
-	renewed := grant{run: run, until: now.Add(grantDuration), replicaKey: place, replicaSince: now}
-	if given && held.run == run && held.replicaKey == place {
+	renewed := grant{run: run, until: now.Add(grantDuration), replicaKey: replicaKey, replicaSince: now}
+	if exists && held.run == run && held.replicaKey == replicaKey {
 		renewed.replicaSince = held.replicaSince
 	}
 	s.grants[key] = renewed
 	return quarantinepb.Verdict_VERDICT_GRANTED
 }
 
-// handleLapse takes in a grant that was neither renewed nor given back: its holder is gone, or it or this node was paused, and nobody saw how the run
-// ended. The replica says whether it has ended; only where nobody knows which one it was, that is assumed. The mutex is held.
+// handleLapse handles a grant that was neither renewed nor released in time: its holder is gone, or the holder or this
+// node was paused, and nobody observed how the run ended. An inquiry into the replica shows whether it ended; that is
+// assumed only if the replica is unknown. The mutex is held.
 func (s *Service) handleLapse(key Key, now time.Time) {
-	held, given := s.grants[key]
-	if !given || now.Before(held.until) {
+	held, exists := s.grants[key]
+	if !exists || now.Before(held.until) {
 		return
 	}
 	delete(s.grants, key)
 	if s.evidence.verdict(key) != Apart {
-		// It is not suspected any more, or rejected: its run is no longer renewed.
+		// The message is no longer suspected, or is rejected: the grants of its runs are no longer renewed.
 		return
 	}
 	if handle := s.handleOf(held.replicaKey); handle != nil {
@@ -108,7 +117,7 @@
 	}
 }
 
-// handleOf returns the replica of that key; nil where none is registered.
+// handleOf returns the registered replica with the given key, or nil.
 func (s *Service) handleOf(key replica.Key) *replica.Handle {
 	if key == 0 {
 		return nil
@@ -121,8 +130,8 @@
 	return nil
 }
 
-// inquireAfterLapse finds out whether the replica of a run has ended whose grant lapsed, at once and for as long as it may still work on it. The mutex is
-// held.
+// inquireAfterLapse inquires whether the replica of a run whose grant lapsed has ended: at once, and then for as long
+// as the replica may still work on the run. The mutex is held.
 func (s *Service) inquireAfterLapse(lapsed *run) {
 	if s.stopped {
 		return
@@ -130,7 +139,8 @@
 	s.running.Go(func() {
 		inquiry := s.inquire(lapsed.handle)
 		<-inquiry.done
-		s.logger.Info().Stringer("digest", lapsed.key).Str(logging.FieldReplica, lapsed.handle.Info().ID).Bool("replica_ended", inquiry.ended).Msg("grant_lapsed")
+		s.logger.Info().Stringer("digest", lapsed.key).Str(logging.FieldReplica, lapsed.handle.Info().ID).
+			Bool("replica_ended", inquiry.ended).Msg("grant_lapsed")
 		if !inquiry.ended {
 			s.trackAborted(lapsed)
 			return
@@ -144,7 +154,7 @@
 	})
 }
 
-// handleRelease ends a grant and takes in what its run has shown.
+// handleRelease ends a grant and merges the evidence that its holder sends.
 func (s *Service) handleRelease(request *quarantinepb.ReleaseRequest, now time.Time) {
 	key, valid := decodeKey(request.GetMessage())
 	if !valid {
@@ -156,15 +166,17 @@
 	if request.GetRun() == 0 {
 		return
 	}
-	// It may come before the request for the grant, which must give nothing then: nobody would hold it, and its lapse would count as an end.
+	// The release may arrive before the request for the grant. That request must not be granted then: nobody would hold
+	// the grant, and its lapse would count as the end of a replica.
 	s.releasedRuns[request.GetRun()] = now
-	if held, given := s.grants[key]; given && held.run == request.GetRun() {
+	if held, exists := s.grants[key]; exists && held.run == request.GetRun() {
 		delete(s.grants, key)
 		s.signalChanged()
 	}
 }
 
-// expireGrants drops those that lapsed, and the runs that were given back, a while ago. The mutex is held.
+// expireGrants drops the grants that lapsed at least grantDuration ago, and the released runs older than
+// releasedRunRetention. The mutex is held.
 func (s *Service) expireGrants(now time.Time) {
 	for key, held := range s.grants {
 		if now.Sub(held.until) >= grantDuration {
@@ -179,5 +191,5 @@
 	}
 }
 
-// keyBytes returns a key as it is sent between nodes.
+// keyBytes returns the wire form of a key.
 func keyBytes(key Key) []byte { return key[:] }
--- a/internal/quarantine/left.go
+++ b/internal/quarantine/left.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// abortedRunGrace is how long a replica may work on a message after the connection was closed: most stop at the next step, some only when they
-	// next write.
+	// abortedRunGrace is how long a replica may continue to work on a message after the connection was closed: most
+	// stop at the next step, some only at their next write.
 	abortedRunGrace = 2 * time.Second
-	// maxAbortedRuns bounds the runs that are remembered for that.
+	// maxAbortedRuns bounds the aborted runs that are tracked.
 	maxAbortedRuns = 4096
 )
 
-// abortedRunInquiryDelays are the times after which it is found out whether a suspect that was broken off has ended its replica all the same; nothing
-// else of this node may run there to show it.
+// abortedRunInquiryDelays are the waits before the inquiries into the replica of an aborted run of a suspected message,
+// each counted from the one before. Nothing else that this node runs there may reveal that the replica has ended.
 var abortedRunInquiryDelays = []time.Duration{150 * time.Millisecond, 450 * time.Millisecond}
 
-// abortedRun is a run that was broken off from here.
+// abortedRun is a run that this node aborted. Its replica may work on it until the given time.
 type abortedRun struct {
 	run   *run
 	until time.Time
 }
 
-// trackAborted remembers a run that was broken off: its replica may end under it yet.
+// trackAborted tracks an aborted run, since its replica may still end under it.
 func (s *Service) trackAborted(aborted *run) {
 	now := clock.Now()
 	s.mutex.Lock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// inquireAfterAbort finds out a while later whether a replica has ended.
+// inquireAfterAbort inquires after each of abortedRunInquiryDelays whether the replica has ended.
 func (s *Service) inquireAfterAbort(handle *replica.Handle) {
 	for _, wait := range abortedRunInquiryDelays {
 		select {
@@ -58,7 +58,8 @@
 	}
 }
 
-// suspectAbortedRuns counts a replica's end against the messages that may still have run there. The mutex is held.
+// suspectAbortedRuns counts the end of a replica against the messages whose aborted runs may still have been there. The
+// mutex is held.
 func (s *Service) suspectAbortedRuns(ended replica.Key, endedAt time.Time) {
 	for _, aborted := range s.abortedRuns[ended] {
 		if endedAt.Before(aborted.until) && endedAt.After(aborted.run.startedAt) {
@@ -69,7 +70,8 @@
 	delete(s.abortedRuns, ended)
 }
 
-// expireAbortedRuns drops what no replica works on any more. The mutex is held.
+// expireAbortedRuns drops the aborted runs on which no replica works any more. It does so at most once per
+// abortedRunGrace. The mutex is held.
 func (s *Service) expireAbortedRuns(now time.Time) {
 	if now.Before(s.expireAbortedAt) {
 		return
--- a/internal/quarantine/losses.go
+++ b/internal/quarantine/losses.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// maxUnfinishedRuns bounds the ended replicas and the losses of one message together: whether each end was recognized makes no difference.
+	// maxUnfinishedRuns is the number of ended replicas and losses of one message together from which it is rejected,
+	// so that the bound holds even where the ends of replicas are not recognized as such.
 	maxUnfinishedRuns = 2 * maxEndedReplicas
-	// minLossesForApart is the number of losses from which on a message runs apart. One connection is lost by chance.
+	// minLossesForApart is the number of losses from which a message is Apart. A single connection may be lost by
+	// chance.
 	minLossesForApart = 2
-	// maxLossMessages bounds the messages whose losses are remembered, maxLosses those of one message: a popular one loses connections, and comes to
-	// its end, all the time.
+	// maxLossMessages bounds the messages whose losses are stored, maxLossesPerMessage the losses of one message: a
+	// popular message loses connections, and completes, all the time.
 	maxLossMessages     = 1024
 	maxLossesPerMessage = 4 * maxUnfinishedRuns
-	// lossKeepers is the number of nodes, by rank, to which a loss is reported: the keeper may be down.
+	// lossKeepers is the number of nodes, in order of rank, to which a loss is reported: the first may be down.
 	lossKeepers = 2
 )
 
-// noReplica stands in the outbox for the losses of a message.
+// noReplica is the key of the outbox under which the losses of messages are queued.
 const noReplica replica.Key = 0
 
 // loss is a run whose connection ended without a whole answer while its replica was not found to have ended.
@@ -33,10 +35,11 @@
 	cleared bool
 }
 
-// losses are those of all messages, by the number of the run. They are joined like incidents, in any order. It is not safe for concurrent use.
+// losses holds the losses of all messages, by message and by a random number for each loss. Like incidents they can be
+// merged in any order. It is not safe for concurrent use.
 type losses map[Key]map[uint64]*loss
 
-// add joins one loss; it returns whether anything is new.
+// add merges one loss and returns whether anything changed.
 func (l losses) add(message Key, run uint64, added loss) bool {
 	if l[message] == nil {
 		l.evictIfFull()
@@ -59,7 +62,7 @@
 	}
 }
 
-// evictOldestCleared drops the oldest cleared loss of a message that has too many.
+// evictOldestCleared removes the oldest cleared loss of a message that has maxLossesPerMessage of them.
 func (l losses) evictOldestCleared(message Key) {
 	if len(l[message]) < maxLossesPerMessage {
 		return
@@ -75,7 +78,7 @@
 	}
 }
 
-// openCount counts the losses of a message since which it has neither come to its end nor further.
+// openCount returns the number of losses of a message since which it has neither completed nor progressed.
 func (l losses) openCount(message Key) int {
 	count := 0
 	for _, lost := range l[message] {
@@ -86,7 +89,7 @@
 	return count
 }
 
-// clear notes that the message came to its end or further; it returns whether it had losses.
+// clear marks the losses of a message as cleared, since it completed or progressed. It returns whether any was open.
 func (l losses) clear(message Key) bool {
 	cleared := false
 	for _, lost := range l[message] {
@@ -96,7 +99,7 @@
 	return cleared
 }
 
-// expire drops the losses that are older than remember.
+// expire removes the losses that are older than retention.
 func (l losses) expire(now time.Time) {
 	for message, runs := range l {
 		for run, lost := range runs {
@@ -110,7 +113,8 @@
 	}
 }
 
-// evictIfFull drops the message with the fewest open losses, the oldest of them, where there are too many.
+// evictIfFull removes one message if there are too many: the one with the fewest open losses, and of several such the
+// one whose newest loss is the oldest.
 func (l losses) evictIfFull() {
 	if len(l) < maxLossMessages {
 		return
@@ -127,6 +131,7 @@
 	delete(l, dropped)
 }
 
+// newestAt returns the time of a message's newest loss.
 func (l losses) newestAt(message Key) time.Time {
 	var newest time.Time
 	for _, lost := range l[message] {
@@ -137,16 +142,21 @@
 	return newest
 }
 
-// encode returns the losses of a message as they are sent.
+// encode returns the wire form of the losses of a message.
 func (l losses) encode(message Key, now time.Time) []*quarantinepb.Loss {
 	var encoded []*quarantinepb.Loss
 	for run, lost := range l[message] {
-		encoded = append(encoded, &quarantinepb.Loss{Message: message[:], Run: run, AgeMillis: uint64(max(0, now.Sub(lost.lostAt)).Milliseconds()), Cleared: lost.cleared})
+		encoded = append(encoded, &quarantinepb.Loss{
+			Message:   message[:],
+			Run:       run,
+			AgeMillis: uint64(max(0, now.Sub(lost.lostAt)).Milliseconds()),
+			Cleared:   lost.cleared,
+		})
 	}
 	return encoded
 }
 
-// encodeApart returns the losses of all messages that run apart by them.
+// encodeApart returns the wire form of the losses of all messages that have minLossesForApart or more.
 func (l losses) encodeApart(now time.Time) []*quarantinepb.Loss {
 	var encoded []*quarantinepb.Loss
 	for message, runs := range l {
@@ -157,7 +167,7 @@
 	return encoded
 }
 
-// join takes in losses that another node knows of; it returns the messages of which something is new.
+// join merges losses received from another node and returns the messages for which anything changed.
 func (l losses) join(encoded []*quarantinepb.Loss, now time.Time) []Key {
 	var changed []Key
 	for _, lost := range encoded {
@@ -179,13 +189,14 @@
 	s.reportLosses(lost.key, now)
 }
 
-// lossesChanged takes in what follows from the losses of a message. The mutex is held.
+// lossesChanged updates what depends on the losses of a message. The mutex is held.
 func (s *Service) lossesChanged(key Key) {
 	s.updateRejected(key)
 	s.signalChanged()
 }
 
-// clearLosses notes that a message came to its end or further. The mutex is held.
+// clearLosses clears the losses of a message that completed or progressed and informs the other nodes. The mutex is
+// held.
 func (s *Service) clearLosses(key Key) {
 	apart := s.evidence.losses.openCount(key) >= minLossesForApart
 	if !s.evidence.losses.clear(key) {
@@ -199,7 +210,8 @@
 	s.reportLosses(key, clock.Now())
 }
 
-// reportLosses sends the keepers of a message the losses that this node knows; they announce them to all nodes from lossesApart on. The mutex is held.
+// reportLosses sends the losses of a message that this node knows to the message's loss keepers, which announce them to
+// all nodes from minLossesForApart on. The mutex is held.
 func (s *Service) reportLosses(key Key, now time.Time) {
 	view := s.viewer.View()
 	notice := &quarantinepb.Notice{Losses: s.evidence.losses.encode(key, now)}
@@ -212,7 +224,7 @@
 	}
 }
 
-// announceIfApart has all nodes learn of a message that runs apart by its losses. The mutex is held.
+// announceIfApart announces the losses of a message to all nodes if they make it Apart. The mutex is held.
 func (s *Service) announceIfApart(key Key) {
 	if s.evidence.losses.openCount(key) >= minLossesForApart {
 		s.announceLosses(key)
@@ -225,12 +237,12 @@
 	return ranked[:min(lossKeepers, len(ranked))]
 }
 
-// isLossKeeper says that this node is one of them.
+// isLossKeeper reports whether this node is a loss keeper of the message.
 func isLossKeeper(view *membership.View, key Key) bool {
 	return slices.ContainsFunc(lossKeepersOf(view, key), func(keeper membership.Member) bool { return keeper.ID == view.Self })
 }
 
-// joinLosses takes in losses that another node knows of. The mutex is held.
+// joinLosses merges losses received from another node. The mutex is held.
 func (s *Service) joinLosses(encoded []*quarantinepb.Loss, now time.Time) {
 	for _, key := range s.evidence.losses.join(encoded, now) {
 		s.lossesChanged(key)
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -9,21 +9,22 @@
 	"strings"
 )
 
-// Key names a message: a digest of what its attempts share.
+// Key identifies a message by a digest of what its attempts share.
 type Key [16]byte
 
-// String returns the key as it stands in the log.
+// String returns the key as it is logged: the first six bytes in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:6]) }
 
-// Message is what the attempts of one message share, whoever sends them: callers that try again, a resumed stream, an item of a batch job.
-// Headers of one attempt are no part of it: its id, its tenant, and beside a body the prompt parts, which may name one of the attempt's own.
+// Message is what all attempts of a message share, whoever sends them: callers that retry, a resumed stream, an item of
+// a batch job. It excludes the headers of a single attempt: its ID, its tenant and, if there is a body, the prompt
+// parts, which may include a part that is specific to the attempt.
 type Message struct {
 	Method string
 	Host   string
-	// Target is the path and query.
+	// Target is the path and query. The query is ignored if there is a body.
 	Target string
 	Body   []byte
-	// PromptParts is the list of the prompt's parts. It counts where Body is empty, as the query does.
+	// PromptParts is the list of the prompt's parts. It is ignored if there is a body.
 	PromptParts string
 }
 
@@ -43,7 +44,7 @@
 	return Key(digest.Sum(nil)[:len(Key{})])
 }
 
-// writeLength keeps apart what would read alike when joined.
+// writeLength separates the fields by their lengths, so that different fields cannot produce the same concatenation.
 func writeLength(digest hash.Hash, length int) {
 	var encoded [8]byte
 	binary.BigEndian.PutUint64(encoded[:], uint64(length))
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -12,23 +12,27 @@
 )
 
 const (
-	// probeTimeout bounds a question to a replica's machine: a refusal comes within a round trip, silence is a link that is cut.
+	// probeTimeout bounds the attempt to connect to a replica's machine: a refusal arrives within a round trip, and no
+	// answer means a cut link.
 	probeTimeout = 150 * time.Millisecond
-	// connectionCloseWait is the time within which the connections of one process that ends are seen to end.
+	// connectionCloseWait is the time within which all connections of a process that ends are seen to close.
 	connectionCloseWait = 5 * time.Millisecond
 )
 
-// inquiry finds out, once for all runs that were lost there together, whether a replica's process has ended.
+// inquiry finds out whether the process of a replica has ended. All runs that were lost at the replica at the same time
+// share one inquiry.
 type inquiry struct {
 	done chan struct{}
-	// ended says that it has, counted that it counts against what ran there; both are set before done is closed.
+	// ended reports that the process has ended, counted that this is evidence against the messages that ran there. Both
+	// are set before done is closed.
 	ended   bool
 	counted bool
 	finding finding
-	at      time.Time
+	// at is when the inquiry began, or when it concluded once done is closed.
+	at time.Time
 }
 
-// finding is what an inquiry concluded from, as it stands in the log.
+// finding is the reason for the result of an inquiry, as it is logged.
 type finding string
 
 const (
@@ -39,11 +43,12 @@
 	findingNoAnswer       finding = "no_answer"
 )
 
-// ended says that the finding shows the end of the process.
+// ended reports whether the finding shows that the process has ended.
 func (f finding) ended() bool { return f == findingReplaced || f == findingRefused }
 
-// inquire returns the inquiry into a replica, begun where none is under way and none found its end before. One that found it is out of date
-// where the replica has answered since: it refused connections for a while, and had not ended.
+// inquire returns the inquiry into a replica. It starts one unless one is under way or has already found that the
+// replica ended. That finding is discarded if the replica has answered since: it refused connections for a while
+// without having ended.
 func (s *Service) inquire(handle *replica.Handle) *inquiry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -61,7 +66,8 @@
 	return started
 }
 
-// runInquiry answers an inquiry. A replica that drains ends as planned, whatever runs there.
+// runInquiry carries out an inquiry. The end of a draining replica is planned and does not count against the messages
+// that ran there.
 func (s *Service) runInquiry(pending *inquiry, handle *replica.Handle) {
 	found := s.probe(handle)
 	ended := found.ended()
@@ -83,11 +89,12 @@
 	}
 }
 
-// probe finds out whether the replica's process has ended: all connections to it have ended, and its machine refuses new ones. Where a new
-// connection is made, or there is no answer, the process may still run, and only a connection or a link was lost.
+// probe finds out whether the replica's process has ended, which is so if all connections to it have closed and its
+// machine refuses new ones. If a new connection succeeds or there is no answer, the process may still run, and only a
+// connection or a link was lost.
 func (s *Service) probe(handle *replica.Handle) finding {
 	if handle.Replaced() {
-		// It has started again under its ID, and its address takes connections again.
+		// The replica has started again under its ID, and its address accepts connections again.
 		return findingReplaced
 	}
 	if handle.KeptAlive() && !s.connectionsCloseSoon(handle) {
@@ -108,7 +115,7 @@
 	return findingNoAnswer
 }
 
-// connectionsCloseSoon says that the kept connections have ended a moment later.
+// connectionsCloseSoon reports whether the kept-alive connections have closed after connectionCloseWait.
 func (s *Service) connectionsCloseSoon(handle *replica.Handle) bool {
 	select {
 	case <-time.After(connectionCloseWait):
@@ -117,7 +124,7 @@
 	return !handle.KeptAlive()
 }
 
-// expireInquiries drops the ends of replicas that nothing runs at any more. The mutex is held.
+// expireInquiries drops the inquiries that found a replica ended longer than retention ago. The mutex is held.
 func (s *Service) expireInquiries(now time.Time) {
 	for key, concluded := range s.inquiries {
 		if concluded.ended && now.Sub(concluded.at) >= retention {
--- a/internal/quarantine/recorded.go
+++ b/internal/quarantine/recorded.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	// recordPrefix is where rejected messages stand in the key-value service, by digest: all nodes may be killed at once.
+	// recordPrefix is the prefix of the records of rejected messages in the key-value service, where they survive the
+	// death of all nodes. The digest of the message follows it.
 	recordPrefix = "/sloelift/quarantine/"
-	// recordValue is what a record holds: the service takes no empty value.
+	// recordValue is the value of a record: the service accepts no empty value.
 	recordValue = "rejected"
-	// recordTimeout bounds the calls to the service that make or read records.
+	// recordTimeout bounds the calls that write or read records.
 	recordTimeout = 2 * time.Second
-	// zoneReadDelay is how long other nodes are asked before the first node of each zone reads the records, allReadAfter before each node does.
+	// zoneReadDelay is how long a starting node asks other nodes before the first node of each zone reads the records,
+	// allNodesReadDelay before every node does.
 	zoneReadDelay     = 100 * time.Millisecond
 	allNodesReadDelay = 2 * time.Second
 )
 
-// recordState is the state of a rejected message's record.
+// recordState is the state of the record of a rejected message.
 type recordState int
 
 const (
-	// recordMissing: it is to be written, by the first keeper.
+	// recordMissing: the first keeper has to write it.
 	recordMissing recordState = iota
 	// recordWritten: it was written or found.
 	recordWritten
 )
 
-// recordKey returns the key under which a rejected message stands.
+// recordKey returns the key of a rejected message's record.
 func recordKey(message Key) string { return recordPrefix + hex.EncodeToString(message[:]) }
 
-// messageOfRecord returns the message of a record's key.
+// messageOfRecord returns the message of a record with the given key; valid is false if the key is malformed.
 func messageOfRecord(key string) (message Key, valid bool) {
 	encoded, err := hex.DecodeString(strings.TrimPrefix(key, recordPrefix))
 	if err != nil {
@@ -45,18 +47,18 @@
 	return decodeKey(encoded)
 }
 
-// writeRecords writes, from time to time and whenever a message is rejected, the records that are missing.
+// writeRecords writes the missing records whenever a message is rejected and every refreshInterval.
 func (s *Service) writeRecords() {
 	if s.store == nil {
 		return
 	}
 	writer := &recorder{service: s}
-	again := time.NewTicker(refreshInterval)
-	defer again.Stop()
+	ticker := time.NewTicker(refreshInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.recordsMissing:
-		case <-again.C:
+		case <-ticker.C:
 		case <-s.ctx.Done():
 			return
 		}
@@ -66,7 +68,7 @@
 	}
 }
 
-// missingRecords returns the rejected messages whose record this node is to write.
+// missingRecords returns the rejected messages whose records this node has to write.
 func (s *Service) missingRecords() []Key {
 	view := s.viewer.View()
 	s.mutex.Lock()
@@ -83,14 +85,15 @@
 	return missing
 }
 
-// recorder writes records under a lease, so that they go about when their messages are forgotten. It belongs to one goroutine.
+// recorder writes records under a lease, so that they disappear at about the time their messages are forgotten. It is
+// used by one goroutine.
 type recorder struct {
 	service    *Service
 	lease      platform.LeaseID
 	leaseUntil time.Time
 }
 
-// write writes the record of a message; without success it is tried again later.
+// write writes the record of a message. A failed write is retried later.
 func (r *recorder) write(message Key) {
 	s := r.service
 	if err := r.commit(message); err != nil {
@@ -106,7 +109,7 @@
 	s.logger.Info().Stringer("digest", message).Msg("rejection_recorded")
 }
 
-// commit writes the record under the present lease, or a new one where less than half of its time is left.
+// commit writes the record under the current lease, or under a new one if less than half of the lease's time is left.
 func (r *recorder) commit(message Key) error {
 	ctx, cancel := context.WithTimeout(r.service.ctx, recordTimeout)
 	defer cancel()
@@ -119,29 +122,30 @@
 	}
 	key := recordKey(message)
 	change := platform.Change{Key: key, Value: []byte(recordValue), LeaseID: r.lease}
-	// Where the condition does not hold, another keeper has written it.
+	// If the condition fails, another keeper has written the record.
 	_, err := r.service.store.Commit(ctx, platform.Transaction{Conditions: []platform.Condition{{Key: key}}, Changes: []platform.Change{change}})
 	return err
 }
 
-// shouldReadRecords says that this node reads the records where others, which were asked for that long, do not know all of them.
-func (s *Service) shouldReadRecords(asked time.Duration) bool {
-	if s.store == nil || asked < zoneReadDelay {
+// shouldReadRecords reports whether this node reads the records, given how long it has asked other nodes without
+// finding one that knows all of them.
+func (s *Service) shouldReadRecords(askedFor time.Duration) bool {
+	if s.store == nil || askedFor < zoneReadDelay {
 		return false
 	}
-	if asked >= allNodesReadDelay {
+	if askedFor >= allNodesReadDelay {
 		return true
 	}
 	view := s.viewer.View()
 	if len(view.Live()) < 2 {
-		// The others are not known yet.
+		// The other nodes are not known yet.
 		return false
 	}
 	self, found := view.Find(view.Self)
 	return found && firstOfZone(keepers(view, Key{}), self.Zone) == self.ID
 }
 
-// firstOfZone returns the first of ranked members in a zone.
+// firstOfZone returns the first of the ranked members that is in the zone, or an empty ID.
 func firstOfZone(ranked []membership.Member, zone string) membership.NodeID {
 	for _, member := range ranked {
 		if member.Zone == zone {
@@ -151,7 +155,7 @@
 	return ""
 }
 
-// readRecords takes in the messages that stood rejected when all nodes were killed.
+// readRecords reads the messages that were rejected before all nodes were killed.
 func (s *Service) readRecords() {
 	ctx, cancel := context.WithTimeout(s.ctx, recordTimeout)
 	defer cancel()
@@ -173,7 +177,7 @@
 	s.logger.Info().Int("messages", len(messages)).Msg("rejections_read")
 }
 
-// recallRejected takes in messages that were rejected by evidence which is gone. The mutex is held.
+// recallRejected adds messages that were rejected by evidence that no longer exists. The mutex is held.
 func (s *Service) recallRejected(messages [][]byte, now time.Time) {
 	for _, encoded := range messages {
 		message, valid := decodeKey(encoded)
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -6,16 +6,17 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// ReasonRejected is the reason of an answer, or of a dead letter, whose message is Rejected.
+// ReasonRejected is the reason given in the answer to a request, or in a dead letter, whose message is Rejected.
 const ReasonRejected = "crashes_replicas"
 
-// Verdict says whether a message may be sent to a replica.
+// Verdict is the decision whether a message may be sent to a replica.
 type Verdict int
 
 const (
 	// Allowed messages may run anywhere.
 	Allowed Verdict = iota
-	// Apart says that the message is suspected: it may run where no other suspect runs, once at a time over all nodes.
+	// Apart messages are suspected of crashing replicas. They may run only where no other suspect runs, and once at a
+	// time over all nodes.
 	Apart
 	// Rejected messages are sent to no replica.
 	Rejected
@@ -23,78 +24,85 @@
 
 var verdictNames = map[Verdict]string{Allowed: "allowed", Apart: "apart", Rejected: "rejected"}
 
-// String returns the verdict's name in the log.
+// String returns the name of the verdict in logs and metrics.
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Ending is how the run of a message at a replica ended.
 type Ending int
 
 const (
-	// Whole runs went from the beginning of the answer to its end: the message does not crash replicas.
+	// Whole runs delivered the answer from its beginning to its end: the message does not crash replicas.
 	Whole Ending = iota
-	// Lost runs ended with the connection, or with no answer: the replica may have ended under the message.
+	// Lost runs ended with their connection or without an answer: the replica may have ended under the message.
 	Lost
-	// Interrupted runs are lost ones that had made events which a further run need not make again. One that lasted longer than shortRun is
-	// not counted against a request: each further run starts behind those events, so that the message still comes to its end. Against an item it counts,
-	// though alone it does not set it apart.
+	// Interrupted runs are lost runs that had produced events which a further run need not repeat. If one lasted longer
+	// than shortRunDuration, the end of its replica does not count against a request: each further run resumes after
+	// those events, so that the message still completes. It counts against an item, but does not make it Apart on its
+	// own.
 	Interrupted
-	// Left runs were broken off from here: the caller left, this node cut it off or found it silent. The replica may work on it for a while.
+	// Left runs were aborted by this node: the caller disconnected, or this node cut the run off or found it silent.
+	// The replica may continue to work on it for a while.
 	Left
-	// Other runs say nothing of the message: the replica did not run it, or answered with a failure.
+	// Other runs are no evidence about the message: the replica did not run it, or answered with a failure.
 	Other
 )
 
-// Permit is the permission to run one message once.
+// Permit is the permission to run a message once. It is released by Release.
 type Permit interface {
-	// Verdict is Allowed, Apart or Rejected; with the last the message must not be sent.
+	// Verdict is Allowed, Apart or Rejected. A Rejected message must not be sent.
 	Verdict() Verdict
-	// Occupied are the replicas at which this node runs other suspects: one that runs apart is better sent elsewhere.
+	// Occupied returns the replicas at which this node runs other suspects. A message that is Apart should be sent
+	// elsewhere. For other messages it returns nil.
 	Occupied() []*replica.Handle
-	// Begin notes that the message is sent to the replica. cut, where it is not nil, is called at most once when the message becomes
-	// suspected by a run elsewhere: the run must end, and a further one needs a Permit of its own.
+	// Begin reports that the message is sent to the replica. cut, unless nil, is called at most once, when the message
+	// becomes suspected because of a run elsewhere: the run must then end, and a further run needs its own Permit.
 	Begin(handle *replica.Handle, cut func()) Run
-	// Release gives the permit back; it may be called at any time, and again.
+	// Release releases the permit. It may be called at any time and repeatedly.
 	Release()
 }
 
-// Run is a message at a replica.
+// Run is one execution of a message at a replica.
 type Run interface {
-	// Progress notes how many events of the message's answer there were when the run began and how many there are now, where a further run goes on
-	// behind them. It is called before End, if at all.
+	// Progress reports the number of events in the message's answer when the run began and the number now, if a further
+	// run resumes after them. It is called before End, if at all.
 	Progress(from, to int)
-	// End notes how the run ended, once. After Lost and Interrupted it returns, a short while later, whether the replica's process has ended.
+	// End reports how the run ended; it is called once. After Lost and Interrupted it waits for an inquiry into the
+	// replica and returns whether the replica's process has ended.
 	End(ctx context.Context, ending Ending) (replicaEnded bool)
 }
 
-// RecordedEnd is the end of a replica under a message as its owner recorded it.
+// RecordedEnd is the end of a replica under a message as recorded by the message's owner.
 type RecordedEnd struct {
 	Replica replica.Key
-	// Reached is the number of events that the message's answer had then, where that is known.
+	// Reached is the number of events in the message's answer when the replica ended, valid if ReachedKnown is set.
 	Reached      int
 	ReachedKnown bool
 }
 
-// Register keeps what is known of messages. It is safe for concurrent use.
+// Register decides which messages may be sent to replicas, from what is known about them. It is safe for concurrent
+// use.
 type Register interface {
-	// Check says, without a wait, what is known of the message now.
+	// Check returns the current verdict on the message without waiting.
 	Check(key Key) Verdict
-	// Admit says whether the message may be sent. For a message that is not suspected it returns at once; for one that is it waits,
-	// within bounds, until no other run of it is under way at any node.
+	// Admit returns the permit that tells whether the message may be sent. It returns at once for a message that is not
+	// suspected. For a suspected one it waits, for a limited time, until no other run of it is under way at any node.
 	Admit(ctx context.Context, key Key) Permit
-	// Recall takes in replicas that ended under the message as its owner has recorded, but for those whose point the message's answer has passed, which has
-	// events now.
+	// Recall adds ends of replicas under the message that its owner has recorded. It skips those that the message's
+	// answer, which now has the given number of events, has progressed past.
 	Recall(key Key, ended []RecordedEnd, events int)
 }
 
-// ItemRegister is the Register of messages for whose answer nobody waits, so that a run of them may be put off.
+// ItemRegister is a Register for batch items. No caller waits for their answers, so that their runs can be delayed.
 type ItemRegister interface {
 	Register
-	// AdmitItem is Admit for an item. Ends that runs of items met side by side reject the message at no number; one of them has to have run apart.
+	// AdmitItem is Admit for an item. Ends of replicas during runs of items reject the message only if one of these
+	// runs was made under a keeper's grant, or from maxEndedWithProgress ends on.
 	AdmitItem(ctx context.Context, key Key) Permit
-	// Counts says that the end of a replica counts against the message, also where it is still Allowed.
+	// Counts reports whether any end of a replica counts against the message, even if it is still Allowed.
 	Counts(key Key) bool
-	// Decides says that the message is rejected if its next run ends one more replica.
+	// Decides reports whether the message is Apart and one more ended replica may reject it.
 	Decides(key Key) bool
-	// Calm says that replicas of the service have ended so seldom of late that a run there hardly meets an end by chance.
+	// Calm reports whether replicas of the service have ended so rarely of late that a run there is unlikely to meet an
+	// end by chance.
 	Calm(service string) bool
 }
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -17,17 +17,18 @@
 	service *Service
 	key     Key
 	verdict Verdict
-	// item says that the message is that of an item.
+	// item reports that the message is that of a batch item.
 	item bool
-	// knownIncidents is the number of ended replicas that spoke against the message here when the permit was given.
+	// knownIncidents is the number of open incidents of the message that this node knew when it issued the permit.
 	knownIncidents int
-	// grantedRun is the number of the grant that the keeper gave; 0 where none was needed.
+	// grantedRun is the number of the run that the keeper granted; 0 if no grant was needed.
 	grantedRun uint64
 	keeper     membership.Member
-	// replicaKey is the key of the replica at which the granted run is; 0 before it was sent. placed wakes the renewal, which tells the keeper.
+	// replicaKey is the key of the replica at which the granted run is; 0 before it is sent. replicaChosen wakes the
+	// renewal, which reports the replica to the keeper.
 	replicaKey    atomic.Uint64
 	replicaChosen chan struct{}
-	// stopRenewing ends the renewal of the grant.
+	// stopRenewing stops the renewal of the grant; nil without a grant or after Release.
 	stopRenewing context.CancelFunc
 }
 
@@ -66,7 +67,10 @@
 
 // Begin implements Permit.
 func (p *permit) Begin(handle *replica.Handle, cut func()) Run {
-	started := &run{service: p.service, key: p.key, handle: handle, cut: cut, startedAt: clock.Now(), granted: p.grantedRun != 0, item: p.item}
+	started := &run{
+		service: p.service, key: p.key, handle: handle, cut: cut,
+		startedAt: clock.Now(), granted: p.grantedRun != 0, item: p.item,
+	}
 	if p.grantedRun != 0 {
 		p.replicaKey.Store(uint64(handle.Key()))
 		subscription.Signal(p.replicaChosen)
@@ -77,14 +81,15 @@
 		p.service.runs[p.key] = map[*run]bool{}
 	}
 	p.service.runs[p.key][started] = true
-	// A keeper may allow what this node's book speaks against, since it knows more: only what was learned after the permit ends the run.
+	// The keeper may allow a message that this node's evidence speaks against, since it knows more. Only evidence that
+	// arrived after the permit was issued ends the run.
 	if len(p.service.evidence.openIncidents(p.key)) > p.knownIncidents {
 		p.service.cutRuns(p.key)
 	}
 	return started
 }
 
-// run is a message at a replica.
+// run implements Run.
 type run struct {
 	service   *Service
 	key       Key
@@ -92,14 +97,15 @@
 	cut       func()
 	startedAt time.Time
 	granted   bool
-	// item says that it is a run of an item.
+	// item reports that the run is that of a batch item.
 	item bool
-	// progressed says that the run made events that a further run goes on behind; reached is how many the answer had then.
+	// progressed reports that the run produced events after which a further run resumes; reached is the number of
+	// events in the answer then.
 	progressed bool
 	reached    int
-	// aborted says that the run was broken off from here; the service's mutex guards it.
+	// aborted reports that this node aborted the run; the service's mutex guards it.
 	aborted bool
-	// unseen says that the run is that of another node, which did not say what it made.
+	// unseen reports that the run was made by another node, which did not report its result.
 	unseen bool
 }
 
@@ -127,7 +133,7 @@
 	return false
 }
 
-// endRun forgets a run; a lost one holds its message back until it is known whether the replica has ended.
+// endRun removes a run. A lost run delays further runs of its message until it is known whether the replica has ended.
 func (s *Service) endRun(ended *run, ending Ending) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,7 +146,8 @@
 	}
 }
 
-// concludeLost waits for the inquiry into the replica and, where its process has ended, counts that against the message.
+// concludeLost waits for the inquiry into the replica. If its process has ended, that counts against the message;
+// otherwise the run may count as a loss.
 func (r *run) concludeLost(ctx context.Context, ending Ending) (replicaEnded bool) {
 	runDuration := clock.Since(r.startedAt)
 	inquiry := r.service.inquire(r.handle)
@@ -157,14 +164,15 @@
 	case inquiry.counted && (ending == Lost || runDuration <= shortRunDuration || r.item):
 		r.service.suspect(r, inquiry.at, runDuration)
 	case inquiry.ended, r.handle.Info().Draining:
-		// A replica that is leaving ends runs as planned.
+		// A draining replica ends its runs as planned.
 	case r.progressed:
 		r.service.clearLosses(r.key)
 	default:
 		r.service.addLoss(r)
 	}
 	r.service.signalChanged()
-	r.service.logger.Info().Stringer("digest", r.key).Str(logging.FieldReplica, r.handle.Info().ID).Dur("ran", runDuration).Str("finding", string(inquiry.finding)).
+	r.service.logger.Info().Stringer("digest", r.key).Str(logging.FieldReplica, r.handle.Info().ID).Dur("ran", runDuration).
+		Str("finding", string(inquiry.finding)).
 		Bool("counted", inquiry.counted).Bool("granted", r.granted).Bool("progressed", r.progressed).Msg("run_lost")
 	return inquiry.ended && ctx.Err() == nil
 }
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -21,7 +21,7 @@
 	"github.com/sloelift/sloelift/internal/unreached"
 )
 
-// Methods between nodes.
+// Methods that nodes call on each other.
 const (
 	methodNotice  transport.Method = "quarantine.notice"
 	methodList    transport.Method = "quarantine.list"
@@ -29,14 +29,15 @@
 	methodRelease transport.Method = "quarantine.release"
 )
 
-// Options of a Service.
+// Options configures a Service.
 type Options struct {
-	// Network is that on which replicas are reached.
+	// Network connects to the replicas.
 	Network network.Network
-	// Directory holds the replicas, so that those which others saw end are avoided here too.
+	// Directory holds the replicas. Those that other nodes found to have ended are marked there, so that this node
+	// avoids them too.
 	Directory *replica.Directory
 	Viewer    membership.Viewer
-	// Store keeps the rejected messages for the case that all nodes are killed; nil where there is none.
+	// Store keeps the records of rejected messages, which survive the death of all nodes; nil if there is none.
 	Store      platform.KeyValue
 	Caller     transport.Caller
 	Registrar  transport.Registrar
@@ -44,17 +45,17 @@
 	Logger     zerolog.Logger
 }
 
-// Service is the Register of one node, which shares what it knows with the others. It is safe for concurrent use.
+// Service is the Register of one node. It exchanges evidence with the other nodes. It is safe for concurrent use.
 type Service struct {
 	network network.Network
-	// directory holds the replicas that are registered.
+	// directory holds the registered replicas.
 	directory *replica.Directory
 	viewer    membership.Viewer
 	store     platform.KeyValue
 	caller    transport.Caller
 	logger    zerolog.Logger
 	metrics   *metrics
-	// unreached are the keepers that gave no answer a short while ago.
+	// unreached holds the nodes that did not answer a short while ago.
 	unreached *unreached.Peers
 	ctx       context.Context
 	cancel    context.CancelFunc
@@ -69,39 +70,60 @@
 	stopped   bool
 	startedAt time.Time
 	evidence  *evidenceStore
-	// runs are the messages at replicas, inquired counts the lost runs of a message whose replica is being inquired into.
+	// runs holds the messages that run at replicas. pendingInquiries is the number of lost runs of a message into whose
+	// replica an inquiry is under way.
 	runs             map[Key]map[*run]bool
 	pendingInquiries map[Key]int
 	inquiries        map[replica.Key]*inquiry
-	// queues hold the messages for which one caller on this node asks for a grant or has it; the channel is closed when it gives that up.
+	// queues holds the messages for which one caller on this node requests or holds a grant. The channel is closed when
+	// that caller is done.
 	queues map[Key]chan struct{}
-	// grants are those that this node gave as keeper.
+	// grants holds the grants that this node gave as keeper.
 	grants map[Key]grant
-	// releasedRuns are the runs whose grants were given back to this node, and when.
+	// releasedRuns holds the runs whose grants were released to this node as keeper, with the time of the release.
 	releasedRuns map[uint64]time.Time
-	// abortedRuns are the runs that were broken off from here a short while ago, by replica; leftCount is their number, forgetLeftAt when old
-	// ones are dropped next.
+	// abortedRuns holds the runs that this node aborted a short while ago, by replica. abortedCount is their number,
+	// expireAbortedAt the time from which old ones are dropped again.
 	abortedRuns     map[replica.Key][]abortedRun
 	abortedCount    int
 	expireAbortedAt time.Time
-	// changed is closed and replaced when something is learned or a run ends.
+	// changed is closed and replaced when evidence arrives or a run ends.
 	changed chan struct{}
-	// outbox are the messages for the next notice, by incident; repeats are those of notices that were sent once and are to be repeated.
+	// outbox holds the messages for the next notice, by incident; repeats holds those of sent notices that are to be
+	// sent once more.
 	outbox  map[replica.Key]map[Key]bool
 	repeats map[replica.Key]map[Key]bool
-	// rejected are the messages whose rejection is logged, with the state of their records.
+	// rejected holds the messages whose rejection was logged, with the state of their records.
 	rejected map[Key]recordState
-	// complete says that this node knows the messages that were rejected before all nodes were killed.
+	// complete reports that this node knows the messages that were rejected before all nodes were killed.
 	complete bool
 }
 
-// NewService returns a Service and registers its methods.
+// NewService returns a Service and registers its methods with the registrar.
 func NewService(options Options) *Service {
 	service := &Service{
-		network: options.Network, directory: options.Directory, viewer: options.Viewer, store: options.Store, caller: options.Caller, logger: options.Logger.With().Str(logging.FieldSlice, "quarantine").Logger(),
-		metrics: newMetrics(options.Registerer), unreached: unreached.NewPeers(unreachedTime), outboxChanged: make(chan struct{}, 1), recordsMissing: make(chan struct{}, 1), evidence: newEvidenceStore(), runs: map[Key]map[*run]bool{}, pendingInquiries: map[Key]int{},
-		inquiries: map[replica.Key]*inquiry{}, queues: map[Key]chan struct{}{}, grants: map[Key]grant{}, releasedRuns: map[uint64]time.Time{}, changed: make(chan struct{}),
-		outbox: map[replica.Key]map[Key]bool{}, repeats: map[replica.Key]map[Key]bool{}, rejected: map[Key]recordState{}, abortedRuns: map[replica.Key][]abortedRun{},
+		network:          options.Network,
+		directory:        options.Directory,
+		viewer:           options.Viewer,
+		store:            options.Store,
+		caller:           options.Caller,
+		logger:           options.Logger.With().Str(logging.FieldSlice, "quarantine").Logger(),
+		metrics:          newMetrics(options.Registerer),
+		unreached:        unreached.NewPeers(unreachedTime),
+		outboxChanged:    make(chan struct{}, 1),
+		recordsMissing:   make(chan struct{}, 1),
+		evidence:         newEvidenceStore(),
+		runs:             map[Key]map[*run]bool{},
+		pendingInquiries: map[Key]int{},
+		inquiries:        map[replica.Key]*inquiry{},
+		queues:           map[Key]chan struct{}{},
+		grants:           map[Key]grant{},
+		releasedRuns:     map[uint64]time.Time{},
+		changed:          make(chan struct{}),
+		outbox:           map[replica.Key]map[Key]bool{},
+		repeats:          map[replica.Key]map[Key]bool{},
+		rejected:         map[Key]recordState{},
+		abortedRuns:      map[replica.Key][]abortedRun{},
 	}
 	service.ctx, service.cancel = context.WithCancel(context.Background())
 	transport.Handle(options.Registrar, methodNotice, func() *quarantinepb.Notice { return &quarantinepb.Notice{} },
@@ -125,7 +147,7 @@
 	return service
 }
 
-// Start begins to share what is learned, and asks others for what they know.
+// Start starts to exchange evidence with the other nodes and to write records.
 func (s *Service) Start() {
 	s.mutex.Lock()
 	s.startedAt = clock.Now()
@@ -135,7 +157,8 @@
 	s.running.Go(s.writeRecords)
 }
 
-// inBackground does work that Stop waits for; after Stop it is left out, and a grant lapses.
+// inBackground runs work in a goroutine that Stop waits for. After Stop it does nothing; grants then lapse instead of
+// being released.
 func (s *Service) inBackground(work func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -144,7 +167,7 @@
 	}
 }
 
-// Stop ends what runs here; messages that wait for a grant are rejected.
+// Stop stops the background work and waits for it. Messages that wait for a grant are rejected.
 func (s *Service) Stop() {
 	s.mutex.Lock()
 	s.stopped = true
@@ -171,7 +194,7 @@
 		if recalled.progressedPast(events) {
 			continue
 		}
-		// When the runs ended is not known either; what other nodes saw replaces this.
+		// The times of the ends are not known either; times that other nodes observed replace these estimates.
 		if s.evidence.addSuspect(s.evidence.incidentFor(recorded.Replica, now.Add(-time.Duration(index+1)*time.Second), true), key, recalled) {
 			s.announce(recorded.Replica, key)
 		}
@@ -181,15 +204,23 @@
 	s.signalChanged()
 }
 
-// suspect counts the end of a replica against a run's message. The mutex is held.
+// suspect counts the end of a replica against the message of a run there. The mutex is held.
 func (s *Service) suspect(ended *run, endedAt time.Time, runDuration time.Duration) {
 	key := ended.handle.Key()
-	suspected := suspect{runDuration: runDuration, granted: ended.granted, progressed: ended.progressed, reached: ended.reached, reachedKnown: true, item: ended.item, origin: originSeen}
+	suspected := suspect{
+		runDuration:  runDuration,
+		granted:      ended.granted,
+		progressed:   ended.progressed,
+		reached:      ended.reached,
+		reachedKnown: true,
+		item:         ended.item,
+		origin:       originSeen,
+	}
 	if ended.unseen {
 		suspected = unseenSuspect(originLapsed)
 		suspected.granted = ended.granted
 	}
-	// Nobody saw what became of an item's run after it was broken off.
+	// Nobody observed what became of an item's run after it was aborted.
 	suspected.unseen = suspected.unseen || ended.aborted && ended.item
 	if !s.evidence.add(key, endedAt, ended.key, suspected) {
 		return
@@ -197,13 +228,14 @@
 	s.evidence.setService(key, ended.handle.Info().Service)
 	s.announce(key, ended.key)
 	s.logger.Info().Stringer("digest", ended.key).Str(logging.FieldReplica, ended.handle.Info().ID).Dur("ran", runDuration).
-		Int("together", len(s.evidence.incidents[key].suspects)).Int("ended", s.evidence.endCount(ended.key)).Stringer("verdict", s.evidence.verdict(ended.key)).
+		Int("together", len(s.evidence.incidents[key].suspects)).
+		Int("ended", s.evidence.endCount(ended.key)).Stringer("verdict", s.evidence.verdict(ended.key)).
 		Bool("granted", ended.granted).Bool("progressed", ended.progressed).Int("reached", ended.reached).Msg("message_suspected")
 	s.updateRejected(ended.key)
 	s.cutRuns(ended.key)
 }
 
-// clearMessage notes that a message came to its end.
+// clearMessage clears all evidence against a message that completed.
 func (s *Service) clearMessage(key Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -213,7 +245,8 @@
 	s.clearLosses(key)
 }
 
-// clearAfterProgress clears a message of the ends whose point its answer has passed at a replica that did not end.
+// clearAfterProgress clears the losses of a message whose answer progressed at a replica that did not end, and the
+// incidents that it has now progressed past.
 func (s *Service) clearAfterProgress(key Key, events int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -221,15 +254,17 @@
 	s.clearLosses(key)
 }
 
-// clearEndsBefore clears a message of the ends whose point its answer has passed, which has events now. The mutex is held.
+// clearEndsBefore clears the incidents that the message's answer, which has the given number of events, has progressed
+// past. The mutex is held.
 func (s *Service) clearEndsBefore(key Key, events int) {
 	if incidents := s.clearEnds(key, func(suspected *suspect) bool { return suspected.progressedPast(events) }); incidents > 0 {
 		s.logger.Info().Stringer("digest", key).Int("incidents", incidents).Int("events", events).Msg("ends_passed")
 	}
 }
 
-// clearEnds clears a message of those ends that are chosen and shares that; it returns their number. The mutex is held.
-func (s *Service) clearEnds(key Key, matches func(suspected *suspect) bool) int {
+// clearEnds clears the message in the open incidents for which matches returns true, and announces that to the other
+// nodes. It returns their number. The mutex is held.
+func (s *Service) clearEnds(key Key, matches func(candidate *suspect) bool) int {
 	cleared := s.evidence.clear(key, matches)
 	if len(cleared) == 0 {
 		return 0
@@ -242,13 +277,13 @@
 	return len(cleared)
 }
 
-// evidenceMessage is what one node lets another know.
+// evidenceMessage is any message between nodes that carries evidence.
 type evidenceMessage interface {
 	GetIncidents() []*quarantinepb.Incident
 	GetLosses() []*quarantinepb.Loss
 }
 
-// join takes in what another node knows.
+// join merges evidence received from another node.
 func (s *Service) join(received evidenceMessage, now time.Time) {
 	incidents := received.GetIncidents()
 	s.mutex.Lock()
@@ -270,8 +305,8 @@
 	}
 }
 
-// avoidEnded has this node avoid replicas that other nodes found ended. Those whose incident is known already were avoided then. The mutex is
-// held.
+// avoidEnded makes this node avoid replicas that other nodes found to have ended. Replicas whose incident is already
+// known were marked before. The mutex is held.
 func (s *Service) avoidEnded(incidents []*quarantinepb.Incident, now time.Time) {
 	ended := map[replica.Key]bool{}
 	for _, end := range incidents {
@@ -290,7 +325,7 @@
 	}
 }
 
-// cutRuns ends the runs of a suspected message that no grant covers. The mutex is held.
+// cutRuns cuts off the runs of a suspected message that have no grant. The mutex is held.
 func (s *Service) cutRuns(key Key) {
 	if len(s.runs[key]) == 0 || s.evidence.verdictFromEnds(key) == Allowed {
 		return
@@ -306,7 +341,8 @@
 	}
 }
 
-// updateRejected logs that a message is rejected, once. The mutex is held.
+// updateRejected updates the set of rejected messages after a change of a message's evidence, and logs a new rejection.
+// The mutex is held.
 func (s *Service) updateRejected(key Key) {
 	rejected := s.evidence.verdict(key) == Rejected
 	_, known := s.rejected[key]
@@ -314,20 +350,22 @@
 		if rejected {
 			s.rejected[key] = recordMissing
 			subscription.Signal(s.recordsMissing)
-			s.logger.Warn().Stringer("digest", key).Int("ended", s.evidence.endCount(key)).Int("lost", s.evidence.losses.openCount(key)).Strs("evidence", s.evidence.describeEvidence(key, clock.Now())).Msg("message_rejected")
+			s.logger.Warn().Stringer("digest", key).
+				Int("ended", s.evidence.endCount(key)).Int("lost", s.evidence.losses.openCount(key)).
+				Strs("evidence", s.evidence.describeEvidence(key, clock.Now())).Msg("message_rejected")
 		} else {
 			delete(s.rejected, key)
 		}
 	}
 }
 
-// signalChanged wakes those who wait for a change of the book or the end of a run. The mutex is held.
+// signalChanged wakes those who wait for new evidence or the end of a run. The mutex is held.
 func (s *Service) signalChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// list returns the whole book as it is sent.
+// list returns all evidence of this node in its wire form.
 func (s *Service) list(now time.Time) *quarantinepb.ListResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -16,18 +16,20 @@
 )
 
 const (
-	// noticeInterval is the least time between two notices of one node: what is learned meanwhile goes with the next.
+	// noticeInterval is the least time between two notices of one node; what is learned meanwhile is sent with the
+	// next.
 	noticeInterval = 10 * time.Millisecond
-	// repeatDelay is when a notice is sent once more, since one-way messages may be lost.
+	// repeatDelay is the time after which a notice is sent once more, since one-way messages may be lost.
 	repeatDelay = 250 * time.Millisecond
-	// refreshInterval is how often a node with anything in its book sends all of it to one other, so that nodes that were cut off or
-	// started meanwhile come to know it.
+	// refreshInterval is how often a node that has any evidence sends all of it to one other node, so that nodes that
+	// were partitioned or started meanwhile learn of it.
 	refreshInterval = 2 * time.Second
-	// askedPeers is the number of nodes that a starting node asks, askTimeout the wait for one. The pause between rounds is askSoonInterval at first,
-	// askInterval from askSoon on, and refreshInterval from askLongest on.
+	// askedPeers is the number of nodes that a starting node asks for their evidence in each round, askTimeout the
+	// timeout for one of them. The pause between rounds is fastAskInterval until fastAskTime has passed, then
+	// askInterval until askTime has passed, then refreshInterval.
 	askedPeers  = 3
 	askInterval = 200 * time.Millisecond
-	// peerPollInterval is how often a node that knows no other looks for one.
+	// peerPollInterval is how often a node that knows no other member checks for one.
 	peerPollInterval = 10 * time.Millisecond
 	askTimeout       = 300 * time.Millisecond
 	fastAskTime      = 500 * time.Millisecond
@@ -35,7 +37,8 @@
 	askTime          = 5 * time.Second
 )
 
-// announce queues a message of an incident for the next notice to the other nodes. The mutex is held.
+// announce queues a message of an incident, or its losses with noReplica, for the next notice to the other nodes. The
+// mutex is held.
 func (s *Service) announce(ended replica.Key, key Key) {
 	queueMessage(s.outbox, ended, key)
 	subscription.Signal(s.outboxChanged)
@@ -49,8 +52,8 @@
 	outbox[ended][key] = true
 }
 
-// share sends the other nodes what this node learns: in a notice soon after, in the same notice once more after repeatAfter, and the whole
-// book to one of them each refreshInterval.
+// share sends new evidence to the other nodes: in a notice soon after it is learned and in the same notice again after
+// repeatDelay. Each refreshInterval it sends all evidence to one node.
 func (s *Service) share() {
 	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
@@ -76,7 +79,7 @@
 	}
 }
 
-// takeOutbox returns the notice of what was not sent yet, and keeps its content for the repeated one.
+// takeOutbox empties the outbox and returns its notice. It keeps the content for the repeated notice.
 func (s *Service) takeOutbox(now time.Time) *quarantinepb.Notice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -90,7 +93,7 @@
 	return notice
 }
 
-// takeRepeats returns the notice of what was sent once.
+// takeRepeats returns the notice that repeats what was sent once.
 func (s *Service) takeRepeats(now time.Time) *quarantinepb.Notice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -99,7 +102,7 @@
 	return notice
 }
 
-// noticeOf returns what the book has of the given messages. The mutex is held.
+// noticeOf returns a notice with the evidence on the queued messages. The mutex is held.
 func (s *Service) noticeOf(queued map[replica.Key]map[Key]bool, now time.Time) *quarantinepb.Notice {
 	notice := &quarantinepb.Notice{}
 	for ended, keys := range queued {
@@ -124,7 +127,7 @@
 	return notice
 }
 
-// sendAll queues a notice for all other nodes.
+// sendAll sends a notice to all other nodes that are not dead; an empty one is not sent.
 func (s *Service) sendAll(notice *quarantinepb.Notice) {
 	if len(notice.Incidents)+len(notice.Losses) == 0 {
 		return
@@ -137,7 +140,7 @@
 	}
 }
 
-// send queues a notice for one node. One that is lost is made up for by the repeated notice and by refresh.
+// send sends a notice to one node. The repeated notice and refresh make up for a lost one.
 func (s *Service) send(to netip.AddrPort, notice *quarantinepb.Notice) {
 	s.metrics.notices.Inc()
 	if err := s.caller.Send(to, methodNotice, notice); err != nil {
@@ -145,7 +148,7 @@
 	}
 }
 
-// refresh forgets what is old and sends the rest to one other node.
+// refresh drops expired evidence and sends the rest to one other node.
 func (s *Service) refresh(now time.Time) {
 	s.mutex.Lock()
 	s.evidence.expire(now)
@@ -166,7 +169,7 @@
 	}
 }
 
-// shuffledPeers returns the living members without this node, in random order.
+// shuffledPeers returns the live members except this node, in random order.
 func (s *Service) shuffledPeers() []membership.Member {
 	view := s.viewer.View()
 	var found []membership.Member
@@ -179,44 +182,46 @@
 	return found
 }
 
-// askPeers asks a few nodes for their books, until this node knows what was rejected before its start: it may have been started again after it
-// had seen replicas end, alone or together with all others.
+// askPeers asks a few nodes for their evidence until this node knows which messages were rejected before its start. It
+// may have restarted after observing ends of replicas, alone or together with all other nodes.
 func (s *Service) askPeers() {
 	s.awaitPeers()
 	for startedAt := clock.Now(); ; {
-		asked := clock.Since(startedAt)
-		if asked >= askTime && s.store == nil {
+		askedFor := clock.Since(startedAt)
+		if askedFor >= askTime && s.store == nil {
 			return
 		}
 		peers := s.shuffledPeers()
 		for _, peer := range peers[:min(askedPeers, len(peers))] {
 			s.askPeer(peer.PeerAddress)
 		}
-		if !s.isComplete() && s.shouldReadRecords(asked) {
+		if !s.isComplete() && s.shouldReadRecords(askedFor) {
 			s.readRecords()
 		}
 		if s.isComplete() {
 			return
 		}
-		if !pause.Sleep(s.ctx, askPause(asked)) {
+		if !pause.Sleep(s.ctx, askPause(askedFor)) {
 			return
 		}
 	}
 }
 
-// askPause returns the pause before others are asked again. Callers come to a node as soon as it has started, and the others may have started with it.
-func askPause(asked time.Duration) time.Duration {
+// askPause returns the pause before other nodes are asked again. It is short at first: callers arrive as soon as a node
+// has started, and the other nodes may have started with it.
+func askPause(askedFor time.Duration) time.Duration {
 	switch {
-	case asked < fastAskTime:
+	case askedFor < fastAskTime:
 		return fastAskInterval
-	case asked < askTime:
+	case askedFor < askTime:
 		return askInterval
 	default:
 		return refreshInterval
 	}
 }
 
-// awaitPeers waits until another member is known, for askInterval at most: a node that has just started knows none, and callers come at once.
+// awaitPeers waits until another member is known, for at most askInterval: a node that has just started knows none, and
+// callers arrive at once.
 func (s *Service) awaitPeers() {
 	for startedAt := clock.Now(); clock.Since(startedAt) < askInterval && s.ctx.Err() == nil; {
 		if len(s.shuffledPeers()) > 0 || !pause.Sleep(s.ctx, peerPollInterval) {
@@ -225,14 +230,14 @@
 	}
 }
 
-// isComplete says that this node knows the messages that were rejected before all nodes were killed.
+// isComplete reports whether this node knows the messages that were rejected before all nodes were killed.
 func (s *Service) isComplete() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.complete
 }
 
-// askPeer takes in the book of one node.
+// askPeer merges the evidence of one node.
 func (s *Service) askPeer(address netip.AddrPort) {
 	bounded, cancel := context.WithTimeout(s.ctx, askTimeout)
 	defer cancel()
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// ApartOccupancy is the share of a replica's slots in use up to which a suspected message is sent there: few others are lost with it.
+	// ApartOccupancy is the share of a replica's slots in use up to which a message that is Apart is sent there, so
+	// that few other runs are lost with it.
 	ApartOccupancy = 0.25
-	// preferredDivisor is the part of a service's replicas, as its inverse, among which one suspect is run: suspects of different nodes then seldom
-	// meet, though no node knows of the others' choices.
+	// preferredDivisor: the preferred replicas of one suspect are 1/preferredDivisor of a service's replicas. Suspects
+	// at different nodes then rarely meet, although no node knows of the others' choices.
 	preferredDivisor = 3
 )
 
-// ErrSuspected says that a run was cut off because its message ended a replica elsewhere.
+// ErrSuspected is the cause of cutting off a run whose message ended a replica elsewhere.
 var ErrSuspected = errors.New("message is suspected of crashing replicas")
 
-// Failing returns the replicas of all that failed a short while ago: an ended one is empty, and must not be taken for one where a suspect
-// runs beside few.
+// Failing returns those of the given replicas that failed a short while ago. A replica that has ended has no load, and
+// must not be mistaken for one with few other runs.
 func Failing(all []*replica.Handle, now time.Time) []*replica.Handle {
 	var found []*replica.Handle
 	for _, handle := range all {
@@ -35,8 +36,8 @@
 	return found
 }
 
-// NotPreferred returns the replicas of all at which the given suspect is not run while one of the others has room. Which they are differs
-// from message to message and is the same at each node.
+// NotPreferred returns those of the given replicas at which a suspect does not run as long as one of the others has
+// room. The choice differs between messages and is the same at each node.
 func NotPreferred(key Key, all []*replica.Handle) []*replica.Handle {
 	weights := make(map[*replica.Handle]uint64, len(all))
 	for _, handle := range all {
@@ -46,7 +47,7 @@
 	return sorted[(len(sorted)+preferredDivisor-1)/preferredDivisor:]
 }
 
-// rendezvousWeight ranks a member or a replica for a message by rendezvous hashing: all nodes rank them alike.
+// rendezvousWeight ranks a member or a replica for a message by rendezvous hashing. All nodes compute the same ranking.
 func rendezvousWeight(key Key, name []byte) uint64 {
 	return xxhash.Sum64(slices.Concat(key[:], name))
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -7,31 +7,36 @@
 )
 
 const (
-	// maxEndedReplicas is the number of replicas that may end under one message.
+	// maxEndedReplicas is the number of replicas that may end under one message before it is rejected.
 	maxEndedReplicas = 3
-	// minEndsToReject is the number from which on a message is rejected that alone explains them.
+	// minEndsToReject is the number of ended replicas from which a message that alone explains them is rejected.
 	minEndsToReject = 2
-	// minEvidenceWeight is the least that speaks against such a message, where an end weighs 1, shared by all that ran there: as much as one end
-	// beside one other. A long item that ran beside ten at each of two ends is there by chance more often than not.
+	// minEvidenceWeight is the least evidence for such a rejection. Each incident has the weight 1, shared equally by
+	// its open suspects, so that 0.5 is one incident shared with one other message. An item with long runs that ran
+	// beside ten messages at each of two incidents is there by chance more often than not.
 	minEvidenceWeight = 0.5
-	// commonCauseWindow is the time within which replicas that end are taken to have ended together: a crash that strikes several, or a message
-	// that was at several when it was not suspected yet.
+	// commonCauseWindow is the time within which ends of replicas are treated as simultaneous: a crash that hits
+	// several replicas, or a message that ran at several before it was suspected.
 	commonCauseWindow = 30 * time.Millisecond
-	// massCrashReplicas is the number of replicas from which on such a crash has a cause of its own.
+	// massCrashReplicas is the number of simultaneous ends from which a mass crash is assumed, which has a cause other
+	// than a message.
 	massCrashReplicas = 3
-	// shortRunDuration is the length of a run up to which the end of its replica speaks strongly against the message: what ends a replica does so
-	// when it is read or soon after, while a long run is likely to be there at any replica's end.
+	// shortRunDuration is the longest run for which the end of its replica is strong evidence against the message. A
+	// message that crashes replicas usually does so when it is read or soon after, while a long run is likely to be
+	// there at any replica's end.
 	shortRunDuration = 2 * time.Second
-	// progressMarginEvents is the number of events by which an answer must have come further than where an earlier run ended, for that point not to be what ended
-	// its replica: the last events of a run are lost with the connection.
+	// progressMarginEvents is the number of events by which an answer must exceed the point at which an earlier run
+	// ended before that point is ruled out as the cause: the last events of a run are lost with its connection.
 	progressMarginEvents = 16
-	// maxEndedWithProgress is the number of replicas that may end under a message which comes further with each of them.
+	// maxEndedWithProgress is the number of replicas that may end under a message whose answer progresses further each
+	// time.
 	maxEndedWithProgress = 2 * maxEndedReplicas
-	// weightTolerance is the least difference of two weights that counts: sums of the same fractions differ by their rounding.
+	// weightTolerance is the least difference of two evidence weights that counts: sums of the same fractions differ by
+	// rounding.
 	weightTolerance = 1e-9
 )
 
-// verdict says what is known of a message.
+// verdict returns the verdict on a message from all its evidence: ended replicas, losses and recalled rejections.
 func (e *evidenceStore) verdict(message Key) Verdict {
 	if _, recalled := e.recalled[message]; recalled {
 		return Rejected
@@ -47,7 +52,7 @@
 	}
 }
 
-// verdictFromEnds says what follows from the replicas that ended.
+// verdictFromEnds returns the verdict that follows from the ended replicas alone.
 func (e *evidenceStore) verdictFromEnds(message Key) Verdict {
 	if len(e.byMessage[message]) == 0 {
 		return Allowed
@@ -67,16 +72,19 @@
 	}
 }
 
-// endedRunsSummary is what the runs of a message have in common whose replicas ended, as far as they speak against it.
+// endedRunsSummary is what the runs of a message whose replicas ended have in common, counting only those that are
+// evidence against it.
 type endedRunsSummary struct {
-	// itemsOnly says that all of them were runs of items. Such ends may be by chance, however many there are, unless the last run was made when that is unlikely.
+	// itemsOnly reports that all were runs of batch items. Any number of such ends may be a coincidence, unless the
+	// last run was made when ends were rare.
 	itemsOnly bool
-	// anyGranted says that one of them ran apart.
+	// anyGranted reports that at least one ran under a keeper's grant.
 	anyGranted bool
-	// longItemsWithProgress says that all of them were runs of items that were long and had made events.
+	// longItemsWithProgress reports that all were long runs of items that had produced events.
 	longItemsWithProgress bool
 }
 
+// summarizeEndedRuns returns the summary for a message.
 func (e *evidenceStore) summarizeEndedRuns(message Key) endedRunsSummary {
 	found := endedRunsSummary{itemsOnly: true, longItemsWithProgress: true}
 	for _, end := range e.byMessage[message] {
@@ -91,13 +99,16 @@
 	return found
 }
 
-// nextEndRejects says that the message is rejected if its next run ends one more replica.
+// nextEndRejects reports whether one more ended replica may reject the message.
 func (e *evidenceStore) nextEndRejects(message Key) bool {
-	return e.endCount(message)+1 >= maxEndedReplicas || e.totalEndsReach(message, maxEndedWithProgress-1) || e.unfinishedRunCount(message)+1 >= maxUnfinishedRuns
+	return e.endCount(message)+1 >= maxEndedReplicas ||
+		e.totalEndsReach(message, maxEndedWithProgress-1) ||
+		e.unfinishedRunCount(message)+1 >= maxUnfinishedRuns
 }
 
-// strongIncidents returns the incidents that speak strongly against a message: each soon after it came there, before it had made anything, and at a time of its own.
-// A run that made events is likely to be there by chance: what ends a replica mostly does so when it is read.
+// strongIncidents returns the incidents that are strong evidence against a message: the run was short, had produced no
+// events, and the end was not simultaneous with the previous one. A run that produced events is likely to be there by
+// chance, since a message that crashes replicas mostly does so when it is read.
 func (e *evidenceStore) strongIncidents(message Key) []*incident {
 	var found []*incident
 	for _, end := range e.incidentsAgainst(message) {
@@ -112,7 +123,8 @@
 	return found
 }
 
-// evidenceWeight is what speaks against a message: each incident is one, shared by the messages that ran there.
+// evidenceWeight sums the evidence against a message: each incident has the weight 1, shared equally by its open
+// suspects.
 func (e *evidenceStore) evidenceWeight(message Key) float64 {
 	weight := 0.0
 	for _, end := range e.byMessage[message] {
@@ -123,7 +135,8 @@
 	return weight
 }
 
-// isMainSuspect says that more speaks against the message than against any other that ran there.
+// isMainSuspect reports whether there is more evidence against the message than against any other open suspect of the
+// incident.
 func (e *evidenceStore) isMainSuspect(message Key, end *incident) bool {
 	weight := e.evidenceWeight(message)
 	for other, suspected := range end.suspects {
@@ -134,7 +147,7 @@
 	return true
 }
 
-// explainsEnds says that the message alone accounts for several ends of replicas.
+// explainsEnds reports whether the message alone accounts for at least minEndsToReject ends of replicas.
 func (e *evidenceStore) explainsEnds(message Key) bool {
 	ends, evidence := 0, 0.0
 	for _, end := range e.strongIncidents(message) {
@@ -146,8 +159,8 @@
 	return ends >= minEndsToReject && evidence >= minEvidenceWeight
 }
 
-// endedRepeatedlyUnderGrant says that several replicas ended under the message when it ran apart: then what another message explains may be of this one as
-// well.
+// endedRepeatedlyUnderGrant reports whether several replicas ended under the message while it ran under a grant. Its
+// other ends then count even where another message explains them as well.
 func (e *evidenceStore) endedRepeatedlyUnderGrant(message Key) bool {
 	granted := 0
 	for _, end := range e.byMessage[message] {
@@ -158,8 +171,8 @@
 	return granted >= minEndsToReject
 }
 
-// answerProgressedPast says that the message's answer has come further than where it was when the replica ended. The point at which that run ended is not what ended its
-// replica, since a further run went on there.
+// answerProgressedPast reports whether another run brought the message's answer past the point at which the replica of
+// the incident ended. That point did not end the replica, since the other run continued there.
 func (e *evidenceStore) answerProgressedPast(message Key, end *incident) bool {
 	ended := end.suspects[message]
 	for _, other := range e.byMessage[message] {
@@ -170,19 +183,22 @@
 	return false
 }
 
-// incidentsAgainst returns the incidents that speak against a message, in the order of time: those whose point its answer has passed do not.
+// incidentsAgainst returns the incidents that are evidence against a message, ordered by time: the open ones that its
+// answer has not progressed past.
 func (e *evidenceStore) incidentsAgainst(message Key) []*incident {
 	return slices.DeleteFunc(e.openIncidents(message), func(end *incident) bool { return e.answerProgressedPast(message, end) })
 }
 
-// endCount returns the number of replicas that ended under the message, without those that do not speak against it, those whose end another message
-// explains and those that nobody saw: what the run had made there is not known, so that it counts like a loss.
+// endCount returns the number of replicas that ended under the message and count against it. It excludes ends that the
+// answer has progressed past, ends that another message explains, and unseen ends: the progress of their runs is not
+// known, so that they count like losses.
 func (e *evidenceStore) endCount(message Key) int {
 	observed := slices.DeleteFunc(e.incidentsAgainst(message), func(end *incident) bool { return end.suspects[message].unseen })
 	return e.countEnds(message, observed)
 }
 
-// unseenEndCount returns the number of replicas that ended under the message while nobody saw how its run ended.
+// unseenEndCount returns the number of replicas that ended under the message without any node observing how its run
+// ended.
 func (e *evidenceStore) unseenEndCount(message Key) int {
 	count := 0
 	for _, end := range e.byMessage[message] {
@@ -193,14 +209,14 @@
 	return count
 }
 
-// totalEndsReach says that at least so many replicas ended under the message, those whose point its answer has passed among them. Most messages have fewer ends of
-// any kind, which need not be weighed.
+// totalEndsReach reports whether at least the given number of replicas ended under the message, including those that
+// its answer has progressed past. Most messages have fewer incidents in all, for which nothing has to be counted.
 func (e *evidenceStore) totalEndsReach(message Key, least int) bool {
 	return len(e.byMessage[message]) >= least && e.countEnds(message, e.openIncidents(message)) >= least
 }
 
-// countEnds counts incidents of a message, which are in the order of time. Of a crash that struck many replicas together, the message at some of them only, one
-// counts.
+// countEnds counts the given incidents of a message, which are ordered by time, without those that another message
+// explains. Of a mass crash, in which the message ran at only some of the replicas, one incident counts.
 func (e *evidenceStore) countEnds(message Key, open []*incident) int {
 	doubtful := e.endedRepeatedlyUnderGrant(message)
 	ended := 0
@@ -221,7 +237,7 @@
 	return ended
 }
 
-// concurrentIncidents returns first and the incidents that were learned of within sameCause before or after it.
+// concurrentIncidents returns the given incident and those learned of within commonCauseWindow before or after it.
 func (e *evidenceStore) concurrentIncidents(first *incident) []*incident {
 	var found []*incident
 	for _, end := range e.incidents {
@@ -232,12 +248,13 @@
 	return found
 }
 
-// unfinishedRunCount counts the runs of a message that may each have ended a replica: those whose replica was found to have ended, and those that were lost.
+// unfinishedRunCount returns the number of runs of a message that may each have ended a replica: those whose replica
+// was found to have ended, and losses.
 func (e *evidenceStore) unfinishedRunCount(message Key) int {
 	return len(e.incidentsAgainst(message)) + e.losses.openCount(message)
 }
 
-// explainedByOther says that another message than the given one accounts for the incident.
+// explainedByOther reports whether a message other than the given one accounts for the incident.
 func (e *evidenceStore) explainedByOther(end *incident, except Key) bool {
 	for other, suspected := range end.suspects {
 		if other != except && !suspected.cleared && len(e.byMessage[other]) >= minEndsToReject && e.isMainSuspect(other, end) && e.explainsEnds(other) {
@@ -247,13 +264,23 @@
 	return false
 }
 
-// describeEvidence lists the ends of replicas that speak against a message, for the log.
+// describeEvidence lists the open incidents of a message for the log, one text each.
 func (e *evidenceStore) describeEvidence(message Key, now time.Time) []string {
 	var listed []string
 	for _, end := range e.openIncidents(message) {
 		suspected := end.suspects[message]
-		listed = append(listed, fmt.Sprintf("%016x age=%s ran=%s together=%d granted=%t progressed=%t reached=%d passed=%t %s", uint64(end.replica),
-			now.Sub(end.learnedAt).Round(time.Millisecond), suspected.runDuration, len(end.suspects), suspected.granted, suspected.progressed, suspected.reached, e.answerProgressedPast(message, end), suspected.origin))
+		listed = append(listed, fmt.Sprintf(
+			"%016x age=%s ran=%s together=%d granted=%t progressed=%t reached=%d passed=%t %s",
+			uint64(end.replica),
+			now.Sub(end.learnedAt).Round(time.Millisecond),
+			suspected.runDuration,
+			len(end.suspects),
+			suspected.granted,
+			suspected.progressed,
+			suspected.reached,
+			e.answerProgressedPast(message, end),
+			suspected.origin,
+		))
 	}
 	return listed
 }
@@ -271,7 +298,7 @@
 	return suspected, rejected
 }
 
-// knownMessages returns the messages of which something is known.
+// knownMessages returns the messages for which there is any evidence.
 func (e *evidenceStore) knownMessages() map[Key]bool {
 	found := map[Key]bool{}
 	for message := range e.byMessage {
