--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -8,10 +8,10 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// keyOf returns the key of a message of a test.
+// keyOf returns the key of the test message with the given name.
 func keyOf(name string) Key { return Message{Method: "POST", Target: "/" + name}.Key() }
 
-// observation is one observation: a replica that ended under messages, or a message that came to its end.
+// observation is either the end of a replica while the named messages ran there, or the completion of a message.
 type observation struct {
 	at        time.Duration
 	replica   replica.Key
@@ -20,6 +20,7 @@
 	completed string
 }
 
+// replay returns a store with the given observations.
 func replay(observations []observation) *evidenceStore {
 	start := time.Unix(1_000_000, 0)
 	store := newEvidenceStore()
@@ -50,25 +51,27 @@
 		{"one message explains what ran beside it", []observation{
 			{at: 0, replica: 1, messages: []string{"a", "b", "c", "d"}}, {at: second, replica: 2, messages: []string{"a", "e"}},
 		}, map[string]Verdict{"a": Rejected, "b": Allowed, "c": Allowed, "d": Allowed, "e": Allowed}},
-		{"two that ran beside each other twice", []observation{
+		{"two messages that ran beside each other twice", []observation{
 			{at: 0, replica: 1, messages: []string{"a", "b"}}, {at: second, replica: 2, messages: []string{"a", "b"}},
 		}, map[string]Verdict{"a": Apart, "b": Apart}},
-		{"the third end under one of them shows it", []observation{
+		{"one of two messages completes, which leaves the other", []observation{
 			{at: 0, replica: 1, messages: []string{"a", "b"}}, {at: second, replica: 2, messages: []string{"a", "b"}}, {completed: "b"},
 		}, map[string]Verdict{"a": Rejected, "b": Allowed}},
-		{"three ends under both", []observation{
-			{at: 0, replica: 1, messages: []string{"a", "b"}}, {at: second, replica: 2, messages: []string{"a", "b"}}, {at: 2 * second, replica: 3, messages: []string{"a", "b"}},
+		{"three ends under both of two messages", []observation{
+			{at: 0, replica: 1, messages: []string{"a", "b"}},
+			{at: second, replica: 2, messages: []string{"a", "b"}},
+			{at: 2 * second, replica: 3, messages: []string{"a", "b"}},
 		}, map[string]Verdict{"a": Rejected, "b": Rejected}},
 		{"a whole run clears", []observation{
 			{at: 0, replica: 1, messages: []string{"a"}}, {completed: "a"},
 		}, map[string]Verdict{"a": Allowed}},
-		{"what ended before a whole run does not count again", []observation{
+		{"an end before a whole run does not count again", []observation{
 			{at: 0, replica: 1, messages: []string{"a"}}, {completed: "a"}, {at: second, replica: 2, messages: []string{"a"}},
 		}, map[string]Verdict{"a": Apart}},
-		{"two long runs are no proof", []observation{
+		{"two ends of long runs do not reject", []observation{
 			{at: 0, replica: 1, messages: []string{"a"}, ran: 20 * second}, {at: 30 * second, replica: 2, messages: []string{"a"}, ran: 20 * second},
 		}, map[string]Verdict{"a": Apart}},
-		{"three long runs are the most that may be", []observation{
+		{"three ends of long runs reject", []observation{
 			{at: 0, replica: 1, messages: []string{"a"}, ran: 20 * second}, {at: 30 * second, replica: 2, messages: []string{"a"}, ran: 20 * second},
 			{at: 60 * second, replica: 3, messages: []string{"a"}, ran: 20 * second},
 		}, map[string]Verdict{"a": Rejected}},
@@ -80,7 +83,9 @@
 			{at: 2 * time.Millisecond, replica: 3, messages: []string{"a"}}, {at: 3 * time.Millisecond, replica: 4, messages: []string{"b"}},
 		}, map[string]Verdict{"a": Apart, "b": Apart}},
 		{"a message at all three replicas that end together", []observation{
-			{at: 0, replica: 1, messages: []string{"a"}}, {at: time.Millisecond, replica: 2, messages: []string{"a", "b"}}, {at: 2 * time.Millisecond, replica: 3, messages: []string{"a", "c"}},
+			{at: 0, replica: 1, messages: []string{"a"}},
+			{at: time.Millisecond, replica: 2, messages: []string{"a", "b"}},
+			{at: 2 * time.Millisecond, replica: 3, messages: []string{"a", "c"}},
 		}, map[string]Verdict{"a": Rejected}},
 		{"the same replica counts once", []observation{
 			{at: 0, replica: 1, messages: []string{"a"}}, {at: second, replica: 1, messages: []string{"a"}},
@@ -90,7 +95,7 @@
 			store := replay(test.observations)
 			for name, want := range test.want {
 				if got := store.verdict(keyOf(name)); got != want {
-					t.Errorf("%s is %s, want %s", name, got, want)
+					t.Errorf("verdict on %s is %s, want %s", name, got, want)
 				}
 			}
 		})
@@ -102,21 +107,25 @@
 	for number := range 16 {
 		names = append(names, fmt.Sprintf("bystander-%d", number))
 	}
-	store := replay([]observation{{replica: 1, messages: names}, {at: time.Second, replica: 2, messages: []string{"cause", "bystander-3"}}, {completed: "bystander-3"}})
+	store := replay([]observation{
+		{replica: 1, messages: names},
+		{at: time.Second, replica: 2, messages: []string{"cause", "bystander-3"}},
+		{completed: "bystander-3"},
+	})
 	if got := store.verdict(keyOf("cause")); got != Rejected {
-		t.Errorf("the cause is %s", got)
+		t.Errorf("verdict on the cause is %s, want rejected", got)
 	}
 	for _, name := range names[1:] {
 		if got := store.verdict(keyOf(name)); got != Allowed {
-			t.Errorf("%s is %s", name, got)
+			t.Errorf("verdict on %s is %s", name, got)
 		}
 	}
 }
 
-// TestItemThatRanBesideManyIsNotTheCause: an item ran at three replicas that ended, each time beside many, once beside a message that is known
-// to end replicas.
+// TestItemThatRanBesideManyIsNotTheCause guards an item that ran at three replicas when they ended, each time beside
+// many other messages, and once beside a message that is known to crash replicas.
 func TestItemThatRanBesideManyIsNotTheCause(t *testing.T) {
-	others := func(round, count int) []string {
+	othersOfRound := func(round, count int) []string {
 		var names []string
 		for number := range count {
 			names = append(names, fmt.Sprintf("other-%d-%d", round, number))
@@ -124,22 +133,22 @@
 		return names
 	}
 	store := replay([]observation{
-		{at: 0, replica: 1, messages: append(others(1, 4), "cause"), ran: 90 * time.Millisecond},
-		{at: 170 * time.Millisecond, replica: 2, messages: append(others(2, 3), "cause", "item"), ran: 500 * time.Millisecond},
-		{at: 350 * time.Millisecond, replica: 3, messages: append(others(3, 4), "cause"), ran: 90 * time.Millisecond},
-		{at: 680 * time.Millisecond, replica: 4, messages: append(others(4, 10), "item"), ran: 500 * time.Millisecond},
-		{at: 2 * time.Second, replica: 5, messages: append(others(5, 12), "item"), ran: 1300 * time.Millisecond},
+		{at: 0, replica: 1, messages: append(othersOfRound(1, 4), "cause"), ran: 90 * time.Millisecond},
+		{at: 170 * time.Millisecond, replica: 2, messages: append(othersOfRound(2, 3), "cause", "item"), ran: 500 * time.Millisecond},
+		{at: 350 * time.Millisecond, replica: 3, messages: append(othersOfRound(3, 4), "cause"), ran: 90 * time.Millisecond},
+		{at: 680 * time.Millisecond, replica: 4, messages: append(othersOfRound(4, 10), "item"), ran: 500 * time.Millisecond},
+		{at: 2 * time.Second, replica: 5, messages: append(othersOfRound(5, 12), "item"), ran: 1300 * time.Millisecond},
 	})
 	if got := store.verdict(keyOf("cause")); got != Rejected {
-		t.Errorf("the cause is %s", got)
+		t.Errorf("verdict on the cause is %s, want rejected", got)
 	}
 	if got := store.verdict(keyOf("item")); got != Apart {
-		t.Errorf("the item is %s", got)
+		t.Errorf("verdict on the item is %s, want apart", got)
 	}
 }
 
-// TestEndsApartCountWhateverElseRanThere: another message that ends replicas ran at the same two replicas, each beside many; three ends are the
-// most all the same.
+// TestEndsApartCountWhateverElseRanThere guards the bound of three ended replicas when another message that crashes
+// replicas ran at the same two replicas, each time beside many others.
 func TestEndsApartCountWhateverElseRanThere(t *testing.T) {
 	crowd := func(round int) []string {
 		names := []string{"cause", "other"}
@@ -149,33 +158,39 @@
 		return names
 	}
 	store := replay([]observation{
-		{at: 0, replica: 1, messages: []string{"other"}}, {at: time.Second, replica: 2, messages: []string{"other"}}, {at: 2 * time.Second, replica: 3, messages: []string{"cause"}},
+		{at: 0, replica: 1, messages: []string{"other"}},
+		{at: time.Second, replica: 2, messages: []string{"other"}},
+		{at: 2 * time.Second, replica: 3, messages: []string{"cause"}},
 		{at: 3 * time.Second, replica: 4, messages: crowd(1)}, {at: 4 * time.Second, replica: 5, messages: crowd(2)},
 	})
 	for _, number := range []replica.Key{4, 5} {
 		store.incidents[number].suspects[keyOf("cause")].granted = true
 	}
 	if got := store.verdict(keyOf("cause")); got != Rejected {
-		t.Errorf("the cause is %s", got)
+		t.Errorf("verdict on the cause is %s, want rejected", got)
 	}
 }
 
-// TestPopularMessageIsNotTheCause: a message of many callers ran beside each of three that end replicas, when none was known, and once apart.
+// TestPopularMessageIsNotTheCause guards a message of many callers that ran beside each of three messages that crash
+// replicas, before any of them was suspected, and once under a grant.
 func TestPopularMessageIsNotTheCause(t *testing.T) {
 	store := replay([]observation{
-		{at: 0, replica: 1, messages: []string{"one"}}, {at: 100 * time.Millisecond, replica: 2, messages: []string{"two"}}, {at: 200 * time.Millisecond, replica: 3, messages: []string{"three"}},
-		{at: 300 * time.Millisecond, replica: 4, messages: []string{"popular", "three"}}, {at: 400 * time.Millisecond, replica: 5, messages: []string{"popular", "two"}},
+		{at: 0, replica: 1, messages: []string{"one"}},
+		{at: 100 * time.Millisecond, replica: 2, messages: []string{"two"}},
+		{at: 200 * time.Millisecond, replica: 3, messages: []string{"three"}},
+		{at: 300 * time.Millisecond, replica: 4, messages: []string{"popular", "three"}},
+		{at: 400 * time.Millisecond, replica: 5, messages: []string{"popular", "two"}},
 		{at: 500 * time.Millisecond, replica: 6, messages: []string{"popular", "one"}}, {at: 600 * time.Millisecond, replica: 7, messages: []string{"two"}},
 		{at: 700 * time.Millisecond, replica: 8, messages: []string{"three"}}, {at: 800 * time.Millisecond, replica: 9, messages: []string{"one"}},
 	})
 	store.incidents[6].suspects[keyOf("popular")].granted = true
 	for _, cause := range []string{"one", "two", "three"} {
 		if got := store.verdict(keyOf(cause)); got != Rejected {
-			t.Errorf("%s is %s", cause, got)
+			t.Errorf("verdict on %s is %s", cause, got)
 		}
 	}
 	if got := store.verdict(keyOf("popular")); got == Rejected {
-		t.Errorf("the popular message is %s", got)
+		t.Errorf("verdict on the popular message is %s", got)
 	}
 }
 
@@ -191,14 +206,14 @@
 	otherFirst.join(one.encodeAll(now), now)
 	for _, name := range []string{"a", "b", "c"} {
 		if oneFirst.verdict(keyOf(name)) != otherFirst.verdict(keyOf(name)) {
-			t.Errorf("%s is %s one way and %s the other", name, oneFirst.verdict(keyOf(name)), otherFirst.verdict(keyOf(name)))
+			t.Errorf("verdict on %s is %s in one order of merging and %s in the other", name, oneFirst.verdict(keyOf(name)), otherFirst.verdict(keyOf(name)))
 		}
 	}
 	if got := oneFirst.verdict(keyOf("a")); got != Rejected {
-		t.Errorf("a is %s", got)
+		t.Errorf("verdict on a is %s, want rejected", got)
 	}
 	if got := oneFirst.verdict(keyOf("b")); got != Allowed {
-		t.Errorf("b is %s", got)
+		t.Errorf("verdict on b is %s, want allowed", got)
 	}
 }
 
@@ -213,13 +228,13 @@
 		}
 	}
 	if len(store.incidents) > maxIncidents {
-		t.Errorf("%d incidents are kept", len(store.incidents))
+		t.Errorf("%d incidents are stored, more than maxIncidents", len(store.incidents))
 	}
 	if most := maxIncidents * maxSuspects; len(store.byMessage) > most {
-		t.Errorf("%d messages are kept, more than %d", len(store.byMessage), most)
+		t.Errorf("%d messages are stored, more than %d", len(store.byMessage), most)
 	}
 	if got := store.verdict(keyOf("cause")); got != Rejected {
-		t.Errorf("what is rejected was forgotten before what is only suspected: %s", got)
+		t.Errorf("a rejected message was evicted before suspected ones: its verdict is %s", got)
 	}
 }
 
@@ -227,7 +242,7 @@
 	store := replay([]observation{{replica: 1, messages: []string{"a"}}, {at: time.Second, replica: 2, messages: []string{"a"}}})
 	store.expire(time.Unix(1_000_000, 0).Add(retention + time.Second))
 	if len(store.incidents)+len(store.byMessage) != 0 {
-		t.Errorf("%d incidents and %d messages are left", len(store.incidents), len(store.byMessage))
+		t.Errorf("%d incidents and %d messages are left after retention, want none", len(store.incidents), len(store.byMessage))
 	}
 }
 
@@ -243,32 +258,33 @@
 		one, other Message
 		same       bool
 	}{
-		{"again", text, change(text, func(m *Message) { m.Body = []byte("text") }), true},
+		{"the same message", text, change(text, func(m *Message) { m.Body = []byte("text") }), true},
 		{"another body", text, change(text, func(m *Message) { m.Body = []byte("texts") }), false},
 		{"other parts of the same body", text, change(text, func(m *Message) { m.PromptParts = "a:1,c:2" }), true},
 		{"other parts without a body", bare, change(bare, func(m *Message) { m.PromptParts = "a:1,c:2" }), false},
 		{"another method", text, change(text, func(m *Message) { m.Method = "PUT" }), false},
 		{"another host", text, change(text, func(m *Message) { m.Host = "g" }), false},
-		{"the host in other letters", text, change(text, func(m *Message) { m.Host = "H" }), true},
+		{"the host in upper case", text, change(text, func(m *Message) { m.Host = "H" }), true},
 		{"another path", text, change(text, func(m *Message) { m.Target = "/r?q" }), false},
 		{"another query of the same body", text, change(text, func(m *Message) { m.Target = "/p" }), true},
 		{"another query without a body", bare, change(bare, func(m *Message) { m.Target = "/p?r" }), false},
-		{"what reads alike when joined", text, change(text, func(m *Message) { m.Method, m.Host = "POSTh", "" }), false},
+		{"other fields with the same concatenation", text, change(text, func(m *Message) { m.Method, m.Host = "POSTh", "" }), false},
 	} {
 		if same := test.one.Key() == test.other.Key(); same != test.same {
-			t.Errorf("%s: the same key %t, want %t", test.name, same, test.same)
+			t.Errorf("%s: same key is %t, want %t", test.name, same, test.same)
 		}
 	}
 }
 
-// TestKeyIsThatOfTheBuildBefore: nodes of both builds run side by side while a fleet is upgraded, and count the same items together.
+// TestKeyIsThatOfTheBuildBefore guards against a change of the digest: nodes of two builds run side by side during an
+// upgrade, and must count the same items together.
 func TestKeyIsThatOfTheBuildBefore(t *testing.T) {
 	for want, message := range map[string]Message{
 		"9119a2aa1cdc": {Method: "POST", Host: "h", Target: "/jobs/1", PromptParts: "a:1,b:2"},
 		"23c128f0595d": {Method: "POST", Host: "h", Target: "/jobs/1", Body: []byte("text")},
 	} {
 		if got := message.Key().String(); got != want {
-			t.Errorf("%+v: %s, want %s", message, got, want)
+			t.Errorf("key of %+v is %s, want %s", message, got, want)
 		}
 	}
 }
--- a/internal/quarantine/bound_test.go
+++ b/internal/quarantine/bound_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestAtMostThreeReplicasEnd has callers of all nodes send the same few messages, some of which end their replica, beside others, at random
-// times, while nodes are killed and started. Messages that are first sent within the time in which nodes learn of each other's losses are
-// beyond the bound: the first of each comes alone.
+// TestAtMostThreeReplicasEnd has callers at all nodes send the same few messages at random times beside each other,
+// some of which crash their replica. The first run of each such message is made alone: messages first sent within the
+// time in which nodes learn of each other's losses may exceed the bound.
 func TestAtMostThreeReplicasEnd(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -27,25 +27,25 @@
 	}
 	var all sync.WaitGroup
 	for number, key := range bad {
-		at := c.nodes[number]
-		c.runCrashing(at, number, key)
+		member := c.nodes[number]
+		c.runCrashing(member, number, key)
 	}
 	for range 150 {
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
-		at, number := c.nodes[random.IntN(5)], random.IntN(10)
+		member, number := c.nodes[random.IntN(5)], random.IntN(10)
 		if random.IntN(4) == 0 {
 			key := bad[random.IntN(len(bad))]
-			all.Go(func() { c.runCrashing(at, number, key) })
+			all.Go(func() { c.runCrashing(member, number, key) })
 			continue
 		}
 		key, length := good[random.IntN(len(good))], time.Duration(20+random.IntN(200))*time.Millisecond
-		all.Go(func() { c.runBystander(at, number, key, length) })
+		all.Go(func() { c.runBystander(member, number, key, length) })
 	}
 	all.Wait()
 	time.Sleep(100 * time.Millisecond)
 	for number, key := range bad {
 		if ended := c.crashes(key); ended > maxEndedReplicas {
-			t.Errorf("%d replicas ended under message %d", ended, number)
+			t.Errorf("%d replicas ended under message %d, more than maxEndedReplicas", ended, number)
 		}
 		wantVerdict(t, c.nodes[0], key, Rejected)
 	}
@@ -55,14 +55,14 @@
 	}
 }
 
-// runBystander runs a harmless message to its end, or to that of its replica; a cut ends it as well.
-func (c *cluster) runBystander(at *node, number int, key Key, length time.Duration) {
-	permit := at.Admit(c.t.Context(), key)
+// runBystander runs a harmless message until it completes, its replica ends or it is cut off.
+func (c *cluster) runBystander(member *node, number int, key Key, length time.Duration) {
+	permit := member.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
 		return
 	}
-	handle := c.placeRun(at, permit, key, number)
+	handle := c.placeRun(member, permit, key, number)
 	cut := make(chan struct{})
 	run := permit.Begin(handle, func() { close(cut) })
 	for passed := time.Duration(0); passed < length; passed += time.Millisecond {
--- a/internal/quarantine/fake_test.go
+++ b/internal/quarantine/fake_test.go
@@ -23,21 +23,22 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// fakeMachines are the machines of replicas, as new connections find them.
+// fakeMachines is the network.Network on which the replicas' machines are reached.
 type fakeMachines struct {
 	mutex sync.Mutex
-	// ended are the addresses that refuse, cut those that do not answer.
+	// ended holds the addresses that refuse connections, cut those that do not answer. dials counts the attempts to
+	// connect.
 	ended map[netip.AddrPort]bool
 	cut   map[netip.AddrPort]bool
 	dials int
 }
 
-// Listen fails: nothing is served here.
+// Listen fails: the tests serve nothing.
 func (f *fakeMachines) Listen(context.Context, netip.AddrPort) (net.Listener, error) {
-	return nil, errors.New("nothing listens here")
+	return nil, errors.New("listening is not supported")
 }
 
-// Dial connects to a replica that has not ended.
+// Dial connects to a replica unless it has ended or its link is cut.
 func (f *fakeMachines) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	f.mutex.Lock()
@@ -56,19 +57,21 @@
 	return near, nil
 }
 
+// end makes the address refuse connections.
 func (f *fakeMachines) end(address netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.ended[address] = true
 }
 
+// restart makes the address accept connections again.
 func (f *fakeMachines) restart(address netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	delete(f.ended, address)
 }
 
-// recordStore is a key-value service that counts its listings and may be down.
+// recordStore is a key-value service that counts its listings and can be set down.
 type recordStore struct {
 	*platformtest.KeyValue
 	mutex  sync.Mutex
@@ -86,7 +89,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.down {
-		return errors.New("the service is down")
+		return errors.New("key-value service is down")
 	}
 	return nil
 }
@@ -121,7 +124,7 @@
 	up bool
 }
 
-// cluster is nodes on one network before the same replicas.
+// cluster is a set of nodes on one network that use the same replicas.
 type cluster struct {
 	t        *testing.T
 	network  *memory.Network
@@ -130,18 +133,22 @@
 	nodes    []*node
 
 	mutex sync.Mutex
-	// sides holds the side of a cut on which a node is; 0 is that of most.
+	// sides holds the side of a partition on which each node is; most are on side 0.
 	sides map[netip.AddrPort]int
-	// infos are the replicas; drawn counts all that there ever were.
+	// infos are the current replicas; created counts all replicas that ever existed.
 	infos   []replica.Info
 	created int
-	// crashed counts the replicas that ended, by the message that ended them.
+	// crashed counts the ended replicas by the message that ended them.
 	crashed map[Key]int
 }
 
 func newCluster(t *testing.T, nodes, replicas int) *cluster {
 	created := &cluster{
-		t: t, network: memory.NewNetwork(1), store: &recordStore{KeyValue: platformtest.NewKeyValue()}, sides: map[netip.AddrPort]int{}, crashed: map[Key]int{},
+		t:        t,
+		network:  memory.NewNetwork(1),
+		store:    &recordStore{KeyValue: platformtest.NewKeyValue()},
+		sides:    map[netip.AddrPort]int{},
+		crashed:  map[Key]int{},
 		machines: &fakeMachines{ended: map[netip.AddrPort]bool{}, cut: map[netip.AddrPort]bool{}},
 	}
 	created.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
@@ -154,7 +161,11 @@
 	}
 	for index := range nodes {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+index))
-		created.nodes = append(created.nodes, &node{id: membership.NodeID(fmt.Sprintf("node-%02d", index)), address: address, view: membershiptest.NewViewer(nil)})
+		created.nodes = append(created.nodes, &node{
+			id:      membership.NodeID(fmt.Sprintf("node-%02d", index)),
+			address: address,
+			view:    membershiptest.NewViewer(nil),
+		})
 	}
 	for _, member := range created.nodes {
 		created.start(member)
@@ -163,13 +174,18 @@
 	return created
 }
 
-// newReplica returns another incarnation at another address.
+// newReplica returns a new incarnation of a replica with an address of its own.
 func (c *cluster) newReplica() replica.Info {
 	c.created++
-	return replica.Info{ID: fmt.Sprintf("replica-%d", c.created), Service: "s", Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(c.created)), Slots: 8}
+	return replica.Info{
+		ID:      fmt.Sprintf("replica-%d", c.created),
+		Service: "s",
+		Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(c.created)),
+		Slots:   8,
+	}
 }
 
-// start starts a node's process, which knows nothing of the one before.
+// start starts a node's process without any state of its previous one.
 func (c *cluster) start(started *node) {
 	var err error
 	started.transport, err = memory.NewTransport(c.network, started.address, prometheus.NewRegistry())
@@ -208,7 +224,8 @@
 	return membership.Member{ID: subject.id, PeerAddress: subject.address, State: state}
 }
 
-// agree has all nodes know how things are: who is down or on another side is dead to those that do not reach it.
+// agree updates the views of all nodes to the current state: a node that is down or on another side of a partition is
+// dead to the others.
 func (c *cluster) agree() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -225,7 +242,7 @@
 	}
 }
 
-// cut cuts the given nodes off from the others.
+// cut separates the given nodes from the others.
 func (c *cluster) cut(together ...*node) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -235,7 +252,7 @@
 	}
 }
 
-// crash ends a replica's process; another one comes in its place.
+// crash ends a replica's process and replaces it by a new one.
 func (c *cluster) crash(handle *replica.Handle, by Key) {
 	c.machines.end(handle.Info().Address)
 	c.mutex.Lock()
@@ -253,43 +270,45 @@
 	}
 }
 
-// crashes returns how many replicas a message ended.
+// crashes returns the number of replicas that the message ended.
 func (c *cluster) crashes(key Key) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.crashed[key]
 }
 
-// handle returns a node's handle of the replica of that number.
-func (c *cluster) handle(at *node, number int) *replica.Handle {
+// handle returns a node's handle of the replica with the given number.
+func (c *cluster) handle(member *node, number int) *replica.Handle {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return at.directory.View().Find(c.infos[number].ID)
+	return member.directory.View().Find(c.infos[number].ID)
 }
 
-// placeRun returns where a message runs: the replica of that number, or for a suspect one of those that it prefers without another suspect.
-func (c *cluster) placeRun(at *node, permit Permit, key Key, number int) *replica.Handle {
+// placeRun returns the replica at which a message runs: the one with the given number or, for a suspect, a preferred
+// one without another suspect.
+func (c *cluster) placeRun(member *node, permit Permit, key Key, number int) *replica.Handle {
 	if permit.Verdict() != Apart {
-		return c.handle(at, number)
+		return c.handle(member, number)
 	}
-	all := at.directory.View().Of("s")
+	all := member.directory.View().Of("s")
 	avoided := slices.Concat(permit.Occupied(), NotPreferred(key, all), Failing(all, time.Now()))
 	for _, handle := range all {
 		if !slices.Contains(avoided, handle) {
 			return handle
 		}
 	}
-	return c.handle(at, number)
+	return c.handle(member, number)
 }
 
-// runCrashing runs a message that ends the replica of that number after a while, unless it is cut off before; false where it was not admitted.
-func (c *cluster) runCrashing(at *node, number int, key Key) bool {
-	permit := at.Admit(c.t.Context(), key)
+// runCrashing runs a message that ends the replica after 80 ms unless it is cut off before. It returns false if the
+// message was not admitted.
+func (c *cluster) runCrashing(member *node, number int, key Key) bool {
+	permit := member.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
 		return false
 	}
-	handle := c.placeRun(at, permit, key, number)
+	handle := c.placeRun(member, permit, key, number)
 	cut := make(chan struct{})
 	run := permit.Begin(handle, func() { close(cut) })
 	select {
@@ -310,7 +329,7 @@
 	return f.ended[handle.Info().Address]
 }
 
-// recordedEnds are ends as an owner recorded them, before the first event.
+// recordedEnds returns ends of replicas as an owner recorded them, without the number of events.
 func recordedEnds(ended ...replica.Key) []RecordedEnd {
 	var ends []RecordedEnd
 	for _, key := range ended {
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// nodeOf returns the node that ranks at the given place among the keepers of a message.
+// nodeOf returns the node with the given rank, from 0, among the keepers of a message.
 func (c *cluster) nodeOf(key Key, place int) *node {
 	wanted := keepers(c.nodes[0].view.View(), key)[place].ID
 	for _, member := range c.nodes {
@@ -21,7 +21,7 @@
 			return member
 		}
 	}
-	c.t.Fatal("no such keeper")
+	c.t.Fatal("no node has the ID of the keeper")
 	return nil
 }
 
@@ -32,10 +32,10 @@
 		time.Sleep(50 * time.Millisecond)
 		c.cut(c.nodes[0], c.nodes[1])
 		c.agree()
-		for _, at := range []*node{c.nodes[0], c.nodes[2]} {
-			permit := at.Admit(t.Context(), key)
+		for _, member := range []*node{c.nodes[0], c.nodes[2]} {
+			permit := member.Admit(t.Context(), key)
 			if permit.Verdict() != Rejected {
-				t.Errorf("%s may run the last one on its side of a cut", at.id)
+				t.Errorf("%s was granted the last run on its side of a partition", member.id)
 			}
 			permit.Release()
 		}
@@ -56,19 +56,20 @@
 				c.nodes[0].Recall(key, recordedEnds(test.ended...), 0)
 				time.Sleep(50 * time.Millisecond)
 				first, asking := c.nodeOf(key, 0), c.nodeOf(key, 3)
-				// The members do not know yet that it is gone.
+				// The members do not know yet that it is down.
 				c.kill(first)
 				permit := asking.Admit(t.Context(), key)
 				defer permit.Release()
 				if permit.Verdict() != test.want {
-					t.Errorf("verdict %s, want %s", permit.Verdict(), test.want)
+					t.Errorf("verdict is %s, want %s", permit.Verdict(), test.want)
 				}
 			})
 		})
 	}
 }
 
-// TestKeeperLearnsWhatRanBeside: a keeper that knows nothing of two ends yet decides as the one who asks, not as if the message had been alone.
+// TestKeeperLearnsWhatRanBeside: a keeper that learns of two incidents from the requesting node decides as that node
+// does. It must not treat the message as if it had run alone.
 func TestKeeperLearnsWhatRanBeside(t *testing.T) {
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -86,13 +87,14 @@
 		permit := asking.Admit(t.Context(), key)
 		defer permit.Release()
 		if permit.Verdict() != Apart {
-			t.Errorf("verdict %s", permit.Verdict())
+			t.Errorf("verdict is %s", permit.Verdict())
 		}
 		wantVerdict(t, keeper, key, Apart)
 	})
 }
 
-// TestGrantWithoutAnAnswerIsNoEnd: a keeper that gave a grant too late for the one who asked takes it back; it was not used.
+// TestGrantWithoutAnAnswerIsNoEnd: a grant whose answer arrives after the requester's timeout is released unused. It
+// must not lapse and count as the end of a replica.
 func TestGrantWithoutAnAnswerIsNoEnd(t *testing.T) {
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -107,7 +109,7 @@
 		})
 		permit := asking.Admit(t.Context(), key)
 		if permit.Verdict() != Apart {
-			t.Fatalf("verdict %s", permit.Verdict())
+			t.Fatalf("verdict is %s", permit.Verdict())
 		}
 		permit.Begin(c.handle(asking, 0), nil).End(t.Context(), Other)
 		permit.Release()
@@ -134,87 +136,87 @@
 		permit := asking.Admit(t.Context(), key)
 		defer permit.Release()
 		if permit.Verdict() != Apart {
-			t.Errorf("verdict %s", permit.Verdict())
+			t.Errorf("verdict is %s", permit.Verdict())
 		}
 	})
 }
 
 func TestLateRenewalRevivesNoGrant(t *testing.T) {
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
-		at, key, now := c.nodes[0], keyOf("a"), time.Now()
-		at.Recall(key, recordedEnds(1), 0)
+		member, key, now := c.nodes[0], keyOf("a"), time.Now()
+		member.Recall(key, recordedEnds(1), 0)
 		request := &quarantinepb.GrantRequest{Message: keyBytes(key), Run: 7}
 		for _, step := range []struct {
 			run  uint64
 			want quarantinepb.Verdict
 		}{{7, quarantinepb.Verdict_VERDICT_GRANTED}, {7, quarantinepb.Verdict_VERDICT_GRANTED}, {8, quarantinepb.Verdict_VERDICT_BUSY}} {
 			request.Run = step.run
-			if got := at.handleGrant(request, now).GetVerdict(); got != step.want {
-				t.Errorf("run %d: %s, want %s", step.run, got, step.want)
+			if got := member.handleGrant(request, now).GetVerdict(); got != step.want {
+				t.Errorf("answer to run %d is %s, want %s", step.run, got, step.want)
 			}
 		}
-		at.handleRelease(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: 7}, now)
+		member.handleRelease(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: 7}, now)
 		request.Run = 7
-		if got := at.handleGrant(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
-			t.Errorf("a renewal behind the release: %s", got)
+		if got := member.handleGrant(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
+			t.Errorf("answer to a renewal after the release is %s, want busy", got)
 		}
 		request.Run = 8
-		if got := at.handleGrant(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
-			t.Errorf("the next run: %s", got)
+		if got := member.handleGrant(request, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
+			t.Errorf("answer to the next run is %s, want granted", got)
 		}
 	})
 }
 
 func TestMalformedKeysAreRejected(t *testing.T) {
 	inCluster(t, 1, 1, func(t *testing.T, c *cluster) {
-		at, now := c.nodes[0], time.Now()
-		if got := at.handleGrant(&quarantinepb.GrantRequest{Message: []byte("short")}, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_REJECTED {
-			t.Errorf("verdict %s", got)
+		member, now := c.nodes[0], time.Now()
+		if got := member.handleGrant(&quarantinepb.GrantRequest{Message: []byte("short")}, now).GetVerdict(); got != quarantinepb.Verdict_VERDICT_REJECTED {
+			t.Errorf("verdict is %s", got)
 		}
-		at.handleRelease(&quarantinepb.ReleaseRequest{Message: []byte("short")}, now)
+		member.handleRelease(&quarantinepb.ReleaseRequest{Message: []byte("short")}, now)
 		malformed := &quarantinepb.Notice{
 			Incidents: []*quarantinepb.Incident{{Replica: 1, AgeMillis: 1 << 63, Suspects: []*quarantinepb.Suspect{{Message: []byte("short")}}}},
 			Losses:    []*quarantinepb.Loss{{Message: []byte("short"), Run: 1}},
 		}
-		at.join(malformed, now)
-		if len(at.evidence.incidents)+len(at.evidence.losses) != 0 {
-			t.Error("an incident without a message is kept")
+		member.join(malformed, now)
+		if len(member.evidence.incidents)+len(member.evidence.losses) != 0 {
+			t.Error("evidence with a malformed key is stored")
 		}
 	})
 }
 
 func TestMessageWaitsForTheInquiry(t *testing.T) {
 	inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
-		at, key := c.nodes[0], keyOf("a")
-		handle := c.handle(at, 0)
-		run := at.Admit(t.Context(), key).Begin(handle, nil)
+		member, key := c.nodes[0], keyOf("a")
+		handle := c.handle(member, 0)
+		run := member.Admit(t.Context(), key).Begin(handle, nil)
 		c.machines.end(handle.Info().Address)
 		go run.End(t.Context(), Lost)
 		time.Sleep(100 * time.Microsecond)
-		permit := at.Admit(t.Context(), key)
+		permit := member.Admit(t.Context(), key)
 		defer permit.Release()
 		if permit.Verdict() != Apart {
-			t.Errorf("verdict %s while it is found out whether the replica has ended", permit.Verdict())
+			t.Errorf("verdict is %s while an inquiry into the replica is under way, want apart", permit.Verdict())
 		}
 	})
 }
 
 func TestSuspectsKeepAwayFromEachOther(t *testing.T) {
 	inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
-		at := c.nodes[0]
-		at.Recall(keyOf("a"), recordedEnds(1), 0)
-		at.Recall(keyOf("b"), recordedEnds(2), 0)
-		one, other, harmless := at.Admit(t.Context(), keyOf("a")), at.Admit(t.Context(), keyOf("b")), at.Admit(t.Context(), keyOf("c"))
-		defer one.Release()
-		defer other.Release()
-		first, second := c.handle(at, 0), c.handle(at, 1)
-		one.Begin(first, nil)
-		harmless.Begin(second, nil)
-		if occupied := other.Occupied(); len(occupied) != 1 || occupied[0] != first {
-			t.Errorf("%d replicas are taken by other suspects, want the first", len(occupied))
+		member := c.nodes[0]
+		member.Recall(keyOf("a"), recordedEnds(1), 0)
+		member.Recall(keyOf("b"), recordedEnds(2), 0)
+		permitA, permitB, permitC := member.Admit(t.Context(), keyOf("a")), member.Admit(t.Context(), keyOf("b")), member.Admit(t.Context(), keyOf("c"))
+		defer permitA.Release()
+		defer permitB.Release()
+		first, second := c.handle(member, 0), c.handle(member, 1)
+		permitA.Begin(first, nil)
+		permitC.Begin(second, nil)
+		if occupied := permitB.Occupied(); len(occupied) != 1 || occupied[0] != first {
+			t.Errorf("%d replicas are occupied by other suspects, want only the first", len(occupied))
 		}
-		if occupied := harmless.Occupied(); len(occupied) != 0 {
-			t.Error("a message that is not suspected keeps away from suspects")
+		if occupied := permitC.Occupied(); len(occupied) != 0 {
+			t.Error("occupied replicas are returned for a message that is not suspected")
 		}
 	})
 }
@@ -228,18 +230,26 @@
 		run.End(t.Context(), Lost)
 		time.Sleep(20 * time.Millisecond)
 		if !there.Down(time.Now()) {
-			t.Error("a node that had nothing there goes on to send")
+			t.Error("a node without a run at the ended replica does not avoid it")
 		}
 	})
 }
 
 func TestOpenConnectionShowsThatTheProcessIsThere(t *testing.T) {
 	inCluster(t, 1, 1, func(t *testing.T, c *cluster) {
-		at := c.nodes[0]
-		handle := c.handle(at, 0)
-		replicas := &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{handle.Info().Address: replicatest.Answer(200, replicatest.Signed, "x")}}
+		member := c.nodes[0]
+		handle := c.handle(member, 0)
+		replicas := &replicatest.Network{
+			Scripts: map[netip.AddrPort]replicatest.Script{handle.Info().Address: replicatest.Answer(200, replicatest.Signed, "x")},
+		}
 		defer replicas.CloseAll()
-		answer, err := replica.NewClient(replicas, replicatest.Headers).Do(t.Context(), handle, replica.Call{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{"X-Id": {"1"}}, RequestID: "1"})
+		answer, err := replica.NewClient(replicas, replicatest.Headers).Do(t.Context(), handle, replica.Call{
+			Method:    http.MethodGet,
+			Target:    "/",
+			Host:      "h",
+			Header:    http.Header{"X-Id": {"1"}},
+			RequestID: "1",
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -248,40 +258,40 @@
 		}
 		answer.Close(true)
 		if !handle.KeptAlive() {
-			t.Fatal("no connection is kept")
+			t.Fatal("no connection is kept alive")
 		}
-		run := at.Admit(t.Context(), keyOf("a")).Begin(handle, nil)
+		run := member.Admit(t.Context(), keyOf("a")).Begin(handle, nil)
 		c.machines.end(handle.Info().Address)
 		if run.End(t.Context(), Lost) {
-			t.Error("the replica is taken to have ended while a connection to it is open")
+			t.Error("the replica was found to have ended while a connection to it was open")
 		}
 	})
 }
 
-// TestGrantThatIsGivenBackBeforeItIsAskedForIsNotGiven: an item was held back for good for three ended replicas, of which two had ended: the third was a grant that nobody
-// held ("c83db504c25f7e5f age=994ms ran=3s together=1 progressed=false lapsed"). Its keeper had been paused while the owner asked three times ("suspect_not_decided error=no keeper was
-// reached") and gave each back in vain ("grant_not_released", nine times). When the keeper went on it handled what had come meanwhile in any order: a grant after it had been given
-// back was given, and lapsed.
+// TestGrantThatIsGivenBackBeforeItIsAskedForIsNotGiven guards items against rejection by a grant that nobody held. A
+// keeper was paused while the owner asked three times without reaching it and released each request, with nine calls
+// that failed. When the keeper continued it handled the requests in any order, gave a grant after its release, and
+// counted its lapse as a third ended replica: the item was held back for good, though only two replicas had ended.
 func TestGrantThatIsGivenBackBeforeItIsAskedForIsNotGiven(t *testing.T) {
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
-		at, key := c.nodes[0], keyOf("a")
-		at.Recall(key, recordedEnds(1), 0)
+		member, key := c.nodes[0], keyOf("a")
+		member.Recall(key, recordedEnds(1), 0)
 		for _, run := range []uint64{7, 8, 9} {
-			at.handleRelease(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run}, time.Now())
+			member.handleRelease(&quarantinepb.ReleaseRequest{Message: keyBytes(key), Run: run}, time.Now())
 		}
 		for _, run := range []uint64{7, 8, 9} {
-			if got := at.handleGrant(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: run}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
-				t.Errorf("run %d: %s", run, got)
+			if got := member.handleGrant(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: run}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_BUSY {
+				t.Errorf("answer to run %d is %s, want busy", run, got)
 			}
 		}
 		time.Sleep(2*grantDuration + 2*refreshInterval)
-		at.mutex.Lock()
-		if ended := at.evidence.endCount(key); ended != 1 {
+		member.mutex.Lock()
+		if ended := member.evidence.endCount(key); ended != 1 {
 			t.Errorf("%d ends are counted, want 1", ended)
 		}
-		at.mutex.Unlock()
-		if got := at.handleGrant(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: 10}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
-			t.Errorf("the next run: %s", got)
+		member.mutex.Unlock()
+		if got := member.handleGrant(&quarantinepb.GrantRequest{Message: keyBytes(key), Run: 10}, time.Now()).GetVerdict(); got != quarantinepb.Verdict_VERDICT_GRANTED {
+			t.Errorf("answer to the next run is %s, want granted", got)
 		}
 	})
 }
--- a/internal/quarantine/left.go
+++ b/internal/quarantine/left.go
@@ -16,16 +16,17 @@
 )
 
 // abortedRunInquiryDelays are the waits before the inquiries into the replica of an aborted run of a suspected message,
-// each counted from the one before. Nothing else that this node runs there may reveal that the replica has ended.
+// each counted from the one before. Without them its end could go unnoticed, since this node may have no other run
+// there.
 var abortedRunInquiryDelays = []time.Duration{150 * time.Millisecond, 450 * time.Millisecond}
 
-// abortedRun is a run that this node aborted. Its replica may work on it until the given time.
+// abortedRun is a run that this node aborted, or whose grant lapsed. Its replica may work on it until the given time.
 type abortedRun struct {
 	run   *run
 	until time.Time
 }
 
-// trackAborted tracks an aborted run, since its replica may still end under it.
+// trackAborted tracks a run that was aborted or whose grant lapsed, since its replica may still end under it.
 func (s *Service) trackAborted(aborted *run) {
 	now := clock.Now()
 	s.mutex.Lock()
--- a/internal/quarantine/left_test.go
+++ b/internal/quarantine/left_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRunThatWasCutOffMayStillEndItsReplica: a message runs at two replicas when one of them ends. The run at the other is cut off, but the
-// replica goes on with it for a moment, and ends as well.
+// TestRunThatWasCutOffMayStillEndItsReplica: a message runs at two replicas when one of them ends. The run at the other
+// is cut off, but its replica continues with the message for a moment and ends as well. That end must count.
 func TestRunThatWasCutOffMayStillEndItsReplica(t *testing.T) {
 	for _, bystander := range []bool{false, true} {
 		inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
@@ -34,20 +34,20 @@
 
 func TestCallerThatLeftLeavesNoSuspicionBehind(t *testing.T) {
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
-		at, key := c.nodes[0], keyOf("a")
-		handle := c.handle(at, 0)
-		at.Admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
+		member, key := c.nodes[0], keyOf("a")
+		handle := c.handle(member, 0)
+		member.Admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
 		time.Sleep(2 * abortedRunGrace)
 		c.machines.end(handle.Info().Address)
-		at.Admit(t.Context(), keyOf("b")).Begin(handle, nil).End(t.Context(), Lost)
-		wantVerdict(t, at, key, Allowed)
+		member.Admit(t.Context(), keyOf("b")).Begin(handle, nil).End(t.Context(), Lost)
+		wantVerdict(t, member, key, Allowed)
 		for range 3 * maxAbortedRuns {
-			at.Admit(t.Context(), key).Begin(c.handle(at, 1), nil).End(t.Context(), Left)
+			member.Admit(t.Context(), key).Begin(c.handle(member, 1), nil).End(t.Context(), Left)
 		}
-		at.mutex.Lock()
-		defer at.mutex.Unlock()
-		if at.abortedCount > maxAbortedRuns {
-			t.Errorf("%d runs are remembered", at.abortedCount)
+		member.mutex.Lock()
+		defer member.mutex.Unlock()
+		if member.abortedCount > maxAbortedRuns {
+			t.Errorf("%d aborted runs are tracked, more than maxAbortedRuns", member.abortedCount)
 		}
 	})
 }
@@ -58,27 +58,28 @@
 		ending Ending
 		want   Verdict
 	}{
-		"long, came on":  {2 * shortRunDuration, Interrupted, Allowed},
-		"short, came on": {shortRunDuration / 4, Interrupted, Apart},
-		"long, nothing":  {2 * shortRunDuration, Lost, Apart},
+		"long run with progress":    {2 * shortRunDuration, Interrupted, Allowed},
+		"short run with progress":   {shortRunDuration / 4, Interrupted, Apart},
+		"long run without progress": {2 * shortRunDuration, Lost, Apart},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
-				at, key := c.nodes[0], keyOf("a")
-				handle := c.handle(at, 0)
-				run := at.Admit(t.Context(), key).Begin(handle, nil)
+				member, key := c.nodes[0], keyOf("a")
+				handle := c.handle(member, 0)
+				run := member.Admit(t.Context(), key).Begin(handle, nil)
 				time.Sleep(test.ran)
 				c.machines.end(handle.Info().Address)
 				if !run.End(t.Context(), test.ending) {
-					t.Error("the replica is not found to have ended")
+					t.Error("the replica was not found to have ended")
 				}
-				wantVerdict(t, at, key, test.want)
+				wantVerdict(t, member, key, test.want)
 			})
 		})
 	}
 }
 
-// TestItemThatWasBrokenOffIsNotBlamedForALaterEnd guards items that are cut off to make room: nobody saw what became of them, so that the end of their replica counts like a loss.
+// TestItemThatWasBrokenOffIsNotBlamedForALaterEnd guards items that are cut off to make room for others: nobody
+// observed what became of them, so that the end of their replica counts like a loss.
 func TestItemThatWasBrokenOffIsNotBlamedForALaterEnd(t *testing.T) {
 	for name, test := range map[string]struct {
 		item         bool
@@ -89,19 +90,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 1, 4, func(t *testing.T, c *cluster) {
-				at, key := c.nodes[0], keyOf("a")
-				admit := at.Admit
+				member, key := c.nodes[0], keyOf("a")
+				admit := member.Admit
 				if test.item {
-					admit = at.AdmitItem
+					admit = member.AdmitItem
 				}
-				handle := c.handle(at, 0)
+				handle := c.handle(member, 0)
 				admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
 				time.Sleep(200 * time.Millisecond)
-				at.crashReplicaDuring(c, keyOf("b"), 0)
-				at.mutex.Lock()
-				defer at.mutex.Unlock()
-				if seen, unseen := at.evidence.endCount(key), at.evidence.unseenEndCount(key); seen != test.seen || unseen != test.unseen {
-					t.Errorf("%d ends are counted and %d that nobody saw, want %d and %d", seen, unseen, test.seen, test.unseen)
+				member.crashReplicaDuring(c, keyOf("b"), 0)
+				member.mutex.Lock()
+				defer member.mutex.Unlock()
+				if seen, unseen := member.evidence.endCount(key), member.evidence.unseenEndCount(key); seen != test.seen || unseen != test.unseen {
+					t.Errorf("%d ends are counted and %d are unseen, want %d and %d", seen, unseen, test.seen, test.unseen)
 				}
 			})
 		})
--- a/internal/quarantine/losses_test.go
+++ b/internal/quarantine/losses_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// loseRun has the message run at a replica that lives and lose its connection, after events of its answer where progressed.
-func loseRun(c *cluster, at *node, number int, key Key, progressed bool) Verdict {
-	permit := at.Admit(c.t.Context(), key)
+// loseRun runs the message at a replica that does not end, and loses the connection; with progressed, after events of
+// its answer.
+func loseRun(c *cluster, member *node, number int, key Key, progressed bool) Verdict {
+	permit := member.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
 		return Rejected
 	}
-	run := permit.Begin(c.handle(at, number), nil)
+	run := permit.Begin(c.handle(member, number), nil)
 	time.Sleep(10 * time.Millisecond)
 	if progressed {
 		run.Progress(0, 5)
@@ -22,7 +23,8 @@
 	return permit.Verdict()
 }
 
-// TestLossesCountOverAllNodes: two losses seen by different nodes have the message run apart at each, six are the most.
+// TestLossesCountOverAllNodes: after two losses at different nodes the message is Apart at every node, after six it is
+// rejected.
 func TestLossesCountOverAllNodes(t *testing.T) {
 	inCluster(t, 5, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -40,21 +42,22 @@
 				want = Apart
 			}
 			if verdict != want {
-				t.Errorf("after %d losses: %s, want %s", number, verdict, want)
+				t.Errorf("verdict after %d losses is %s, want %s", number, verdict, want)
 			}
 		}
 	})
 }
 
-// TestLossesEndWithAWholeRun: what came to its end, or further, at a replica does not crash them.
+// TestLossesEndWithAWholeRun: a message that completed or progressed at a replica does not crash replicas, so that its
+// losses are cleared.
 func TestLossesEndWithAWholeRun(t *testing.T) {
-	for name, end := range map[string]func(c *cluster, at *node, key Key){
-		"whole": func(c *cluster, at *node, key Key) {
-			permit := at.Admit(c.t.Context(), key)
-			permit.Begin(c.handle(at, 0), nil).End(c.t.Context(), Whole)
+	for name, end := range map[string]func(c *cluster, member *node, key Key){
+		"whole": func(c *cluster, member *node, key Key) {
+			permit := member.Admit(c.t.Context(), key)
+			permit.Begin(c.handle(member, 0), nil).End(c.t.Context(), Whole)
 			permit.Release()
 		},
-		"further": func(c *cluster, at *node, key Key) { loseRun(c, at, 0, key, true) },
+		"progressed": func(c *cluster, member *node, key Key) { loseRun(c, member, 0, key, true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inCluster(t, 4, 8, func(t *testing.T, c *cluster) {
@@ -65,15 +68,16 @@
 				}
 				end(c, c.nodes[3], key)
 				time.Sleep(100 * time.Millisecond)
-				for _, member := range c.nodes {
-					wantVerdict(t, member, key, Allowed)
+				for _, observer := range c.nodes {
+					wantVerdict(t, observer, key, Allowed)
 				}
 			})
 		})
 	}
 }
 
-// TestOneLossIsKnownToTheKeepersOnly: connections are lost by chance all the time, and a fleet has many nodes.
+// TestOneLossIsKnownToTheKeepersOnly guards against notices to all nodes for each loss: connections are lost by chance
+// all the time, and a fleet has many nodes.
 func TestOneLossIsKnownToTheKeepersOnly(t *testing.T) {
 	inCluster(t, 12, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -86,12 +90,12 @@
 			member.mutex.Unlock()
 		}
 		if knowing < lossKeepers || knowing > lossKeepers+1 {
-			t.Errorf("%d nodes know of the loss, want the one that saw it and %d keepers", knowing, lossKeepers)
+			t.Errorf("%d nodes know of the loss, want the one that observed it and %d keepers", knowing, lossKeepers)
 		}
 	})
 }
 
-// TestLossesCutNoRun: other runs of the message go on, since no replica is known to have ended.
+// TestLossesCutNoRun: losses must not cut off other runs of the message, since no replica is known to have ended.
 func TestLossesCutNoRun(t *testing.T) {
 	inCluster(t, 3, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -103,7 +107,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		if cut {
-			t.Error("the run was cut off")
+			t.Error("the run was cut off because of losses")
 		}
 		run.End(t.Context(), Whole)
 		permit.Release()
@@ -119,15 +123,15 @@
 		kept.add(Key{byte(number), byte(number >> 8), 1}, 1, loss{lostAt: now.Add(time.Duration(number) * time.Millisecond)})
 	}
 	if len(kept) > maxLossMessages || kept.openCount(Key{0xff}) != 2 {
-		t.Errorf("%d messages are kept, %d losses of the one with most", len(kept), kept.openCount(Key{0xff}))
+		t.Errorf("%d messages are stored, with %d losses of the first one, want 2", len(kept), kept.openCount(Key{0xff}))
 	}
 	kept.expire(now.Add(retention + time.Minute))
 	if len(kept) != 0 {
-		t.Errorf("%d messages are kept after their time", len(kept))
+		t.Errorf("%d messages are stored after retention, want none", len(kept))
 	}
 }
 
-// TestLossesOfAPopularMessageAreBounded: cleared ones give way, open ones stay.
+// TestLossesOfAPopularMessageAreBounded: cleared losses are evicted, open ones stay.
 func TestLossesOfAPopularMessageAreBounded(t *testing.T) {
 	now, key := time.Unix(1_000_000, 0), keyOf("a")
 	kept := losses{}
@@ -135,11 +139,11 @@
 		kept.add(key, run, loss{lostAt: now.Add(time.Duration(run) * time.Second), cleared: run%3 != 0 || run >= maxLossesPerMessage/2})
 	}
 	if len(kept[key]) != maxLossesPerMessage || kept.openCount(key) != maxLossesPerMessage/6 {
-		t.Errorf("%d losses are kept, %d of them open, want %d and %d", len(kept[key]), kept.openCount(key), maxLossesPerMessage, maxLossesPerMessage/6)
+		t.Errorf("%d losses are stored and %d are open, want %d and %d", len(kept[key]), kept.openCount(key), maxLossesPerMessage, maxLossesPerMessage/6)
 	}
 }
 
-// TestLossesJoinInAnyOrder: a cleared loss stays cleared, and one that is known counts once.
+// TestLossesJoinInAnyOrder: a cleared loss stays cleared, and a known loss is not counted again.
 func TestLossesJoinInAnyOrder(t *testing.T) {
 	now, key := time.Unix(1_000_000, 0), keyOf("a")
 	open, cleared := losses{}, losses{}
@@ -152,21 +156,21 @@
 	openFirst.join(cleared.encode(key, now), now)
 	clearedFirst.join(cleared.encode(key, now), now)
 	clearedFirst.join(open.encode(key, now), now)
-	if again := clearedFirst.join(open.encode(key, now), now); len(again) != 0 || openFirst.openCount(key) != 2 || clearedFirst.openCount(key) != 2 {
-		t.Errorf("%d and %d open losses, want 2; %d new ones the second time", openFirst.openCount(key), clearedFirst.openCount(key), len(again))
+	if changedAgain := clearedFirst.join(open.encode(key, now), now); len(changedAgain) != 0 || openFirst.openCount(key) != 2 || clearedFirst.openCount(key) != 2 {
+		t.Errorf("%d and %d losses are open, want 2; merging them again changed %d, want none", openFirst.openCount(key), clearedFirst.openCount(key), len(changedAgain))
 	}
 }
 
-// TestLeavingReplicaLosesNoRun: what a planned end breaks off speaks against no message.
+// TestLeavingReplicaLosesNoRun: a run that ends with a draining replica is not a loss of its message.
 func TestLeavingReplicaLosesNoRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1, 2)
-		at, key := c.nodes[0], keyOf("a")
+		member, key := c.nodes[0], keyOf("a")
 		c.infos[0].Draining = true
-		at.directory.Replace(c.infos)
-		loseRun(c, at, 0, key, false)
-		if lost := at.evidence.losses.openCount(key); lost != 0 {
-			t.Errorf("%d losses", lost)
+		member.directory.Replace(c.infos)
+		loseRun(c, member, 0, key, false)
+		if lost := member.evidence.losses.openCount(key); lost != 0 {
+			t.Errorf("%d losses are open, want none", lost)
 		}
 		c.stop()
 	})
--- a/internal/quarantine/progress_test.go
+++ b/internal/quarantine/progress_test.go
@@ -8,10 +8,11 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// endWithProgress is the end of a replica under the message "a" alone: how many events its answer had when the run began and when the replica ended.
+// endWithProgress is the end of a replica where only message "a" ran, with the number of events in its answer when the
+// run began and when the replica ended.
 type endWithProgress struct{ from, to int }
 
-// storeOf returns a book of these ends, a second apart, each of a short run.
+// storeOf returns a store with the given ends, one second apart, each of a short run.
 func storeOf(ends []endWithProgress) *evidenceStore {
 	store := newEvidenceStore()
 	start := time.Unix(1_000_000, 0)
@@ -22,34 +23,35 @@
 	return store
 }
 
-// TestWhatAnAnswerHasPassedDoesNotCount: replicas that end by a message end at the same point of it; an answer that has come further was not ended by its message
-// there.
+// TestWhatAnAnswerHasPassedDoesNotCount: a message that crashes replicas does so at the same point of its answer. An
+// end at a point that the answer has progressed past was not caused by the message.
 func TestWhatAnAnswerHasPassedDoesNotCount(t *testing.T) {
 	for name, test := range map[string]struct {
 		ends []endWithProgress
 		want Verdict
 	}{
-		"one end that made events":                    {[]endWithProgress{{0, 100}}, Apart},
-		"two ends, each further on":                   {[]endWithProgress{{0, 47}, {47, 78}}, Apart},
-		"three ends, each further on":                 {[]endWithProgress{{0, 8}, {8, 38}, {38, 211}}, Apart},
-		"before the first event, then far on":         {[]endWithProgress{{0, 0}, {0, 120}}, Apart},
-		"twice before the first event":                {[]endWithProgress{{0, 0}, {0, 0}}, Rejected},
-		"at the same point of a resumed answer":       {[]endWithProgress{{0, 50}, {50, 50}, {50, 50}}, Rejected},
-		"the last events of a run were lost":          {[]endWithProgress{{0, 45}, {45, 50}, {50, 50}}, Rejected},
-		"at the same point for three callers":         {[]endWithProgress{{0, 50}, {0, 48}, {0, 51}}, Rejected},
-		"far on, then three times before it goes on":  {[]endWithProgress{{0, 100}, {100, 100}, {100, 100}}, Rejected},
-		"six ends, each further on, are the most":     {[]endWithProgress{{0, 30}, {30, 60}, {60, 90}, {90, 120}, {120, 150}, {150, 180}}, Rejected},
-		"five ends, each further on, are not as many": {[]endWithProgress{{0, 30}, {30, 60}, {60, 90}, {90, 120}, {120, 150}}, Apart},
+		"one end that made events":                       {[]endWithProgress{{0, 100}}, Apart},
+		"two ends, with progress":                        {[]endWithProgress{{0, 47}, {47, 78}}, Apart},
+		"three ends, with progress":                      {[]endWithProgress{{0, 8}, {8, 38}, {38, 211}}, Apart},
+		"before the first event, then after many":        {[]endWithProgress{{0, 0}, {0, 120}}, Apart},
+		"twice before the first event":                   {[]endWithProgress{{0, 0}, {0, 0}}, Rejected},
+		"at the same point of a resumed answer":          {[]endWithProgress{{0, 50}, {50, 50}, {50, 50}}, Rejected},
+		"the last events of a run were lost":             {[]endWithProgress{{0, 45}, {45, 50}, {50, 50}}, Rejected},
+		"at the same point for three callers":            {[]endWithProgress{{0, 50}, {0, 48}, {0, 51}}, Rejected},
+		"after many events, then twice without progress": {[]endWithProgress{{0, 100}, {100, 100}, {100, 100}}, Rejected},
+		"six ends, with progress, reject":                {[]endWithProgress{{0, 30}, {30, 60}, {60, 90}, {90, 120}, {120, 150}, {150, 180}}, Rejected},
+		"five ends, with progress, do not reject":        {[]endWithProgress{{0, 30}, {30, 60}, {60, 90}, {90, 120}, {120, 150}}, Apart},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := storeOf(test.ends).verdict(keyOf("a")); got != test.want {
-				t.Errorf("the message is %s, want %s", got, test.want)
+				t.Errorf("verdict is %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// TestProgressIsShared: what a run had made reaches other nodes, in any order, and stays known where a node of another build passes the end on without it.
+// TestProgressIsShared: the progress of a run reaches other nodes, in any order of notices, and is kept when a node of
+// an older build sends the same end without it.
 func TestProgressIsShared(t *testing.T) {
 	now := time.Unix(1_000_100, 0)
 	seen := storeOf([]endWithProgress{{0, 47}, {47, 78}}).encodeAll(now)
@@ -65,12 +67,13 @@
 			receiver.join(incident, now)
 		}
 		if got := receiver.endCount(keyOf("a")); got != 1 {
-			t.Errorf("%s: %d ends count, want the last", name, got)
+			t.Errorf("%s: %d ends are counted, want only the last", name, got)
 		}
 	}
 }
 
-// TestEndsFromOtherBuildsAreNotStrong: nodes of other builds do not say what a run had made. Two ends of short runs from them do not reject a message; three do.
+// TestEndsFromOtherBuildsAreNotStrong: nodes of older builds do not send the progress of a run. Two ends of short runs
+// from them do not reject a message; three do.
 func TestEndsFromOtherBuildsAreNotStrong(t *testing.T) {
 	now := time.Unix(1_000_100, 0)
 	for ends, want := range map[int]Verdict{2: Apart, 3: Rejected} {
@@ -81,12 +84,13 @@
 		receiver := newEvidenceStore()
 		receiver.join(encoded, now)
 		if got := receiver.verdict(keyOf("a")); got != want {
-			t.Errorf("after %d ends the message is %s, want %s", ends, got, want)
+			t.Errorf("verdict after %d ends is %s, want %s", ends, got, want)
 		}
 	}
 }
 
-// TestNewOwnerClearsWhatTheTextHasPassed: the owner of an item before had shared the end of a replica under it and was killed; the log has that the item has come further.
+// TestNewOwnerClearsWhatTheTextHasPassed: the previous owner of an item shared the end of a replica and was killed. The
+// log shows the new owner that the answer has progressed past that point.
 func TestNewOwnerClearsWhatTheTextHasPassed(t *testing.T) {
 	for events, want := range map[int]Verdict{52: Apart, 300: Allowed} {
 		inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
@@ -98,29 +102,31 @@
 			time.Sleep(50 * time.Millisecond)
 			next.Recall(key, []RecordedEnd{{Replica: 1, Reached: 52, ReachedKnown: true}}, events)
 			time.Sleep(50 * time.Millisecond)
-			for _, at := range c.nodes {
-				wantVerdict(t, at, key, want)
+			for _, member := range c.nodes {
+				wantVerdict(t, member, key, want)
 			}
 		})
 	}
 }
 
-// TestEndsAtAnUnknownPointAreNotPassed: beside machines of another build, items that end their replicas at an event of their answer ended four to six of them. Nodes of the other
-// build do not say how far the answer was, in messages nor in the log, and that was read as the begin, which each answer has passed.
+// TestEndsAtAnUnknownPointAreNotPassed guards the bound on ended replicas while nodes of two builds run together. Nodes
+// of the other build report neither in messages nor in the log how far the answer was. This was read as the beginning
+// of the answer, which every answer has progressed past, and items that crash replicas at an event of their answer
+// ended four to six of them.
 func TestEndsAtAnUnknownPointAreNotPassed(t *testing.T) {
 	inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
-		key, at := keyOf("item"), c.nodes[1]
+		key, member := keyOf("item"), c.nodes[1]
 		encoded := storeOf([]endWithProgress{{0, 100}, {100, 100}}).encodeAll(time.Unix(1_000_100, 0))
 		for _, incident := range encoded {
 			incident.AgeMillis = 1000 * incident.Replica
 			incident.Suspects[0].Message, incident.Suspects[0].Progress, incident.Suspects[0].Reached = key[:], quarantinepb.Progress_PROGRESS_UNSPECIFIED, 0
 		}
-		at.join(&quarantinepb.Notice{Incidents: encoded}, time.Now())
-		at.Recall(key, []RecordedEnd{{Replica: 1}, {Replica: 2}, {Replica: 3}}, 100)
-		at.clearAfterProgress(key, 100)
+		member.join(&quarantinepb.Notice{Incidents: encoded}, time.Now())
+		member.Recall(key, []RecordedEnd{{Replica: 1}, {Replica: 2}, {Replica: 3}}, 100)
+		member.clearAfterProgress(key, 100)
 		time.Sleep(10 * refreshInterval)
-		for _, member := range c.nodes {
-			wantVerdict(t, member, key, Rejected)
+		for _, observer := range c.nodes {
+			wantVerdict(t, observer, key, Rejected)
 		}
 	})
 }
--- a/internal/quarantine/recorded.go
+++ b/internal/quarantine/recorded.go
@@ -13,7 +13,7 @@
 
 const (
 	// recordPrefix is the prefix of the records of rejected messages in the key-value service, where they survive the
-	// death of all nodes. The digest of the message follows it.
+	// loss of all nodes. The digest of the message follows it.
 	recordPrefix = "/sloelift/quarantine/"
 	// recordValue is the value of a record: the service accepts no empty value.
 	recordValue = "rejected"
--- a/internal/quarantine/recorded_test.go
+++ b/internal/quarantine/recorded_test.go
@@ -7,14 +7,14 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// rejectMessage has replicas crash under the message until it is rejected.
-func rejectMessage(c *cluster, at *node, key Key) {
+// rejectMessage crashes replicas under the message until it is rejected.
+func rejectMessage(c *cluster, member *node, key Key) {
 	for number := range maxEndedReplicas {
-		c.runCrashing(at, number, key)
+		c.runCrashing(member, number, key)
 		time.Sleep(200 * time.Millisecond)
 	}
-	if got := at.Check(key); got != Rejected {
-		c.t.Fatalf("the message is %s", got)
+	if got := member.Check(key); got != Rejected {
+		c.t.Fatalf("verdict is %s, want rejected", got)
 	}
 }
 
@@ -29,13 +29,13 @@
 	c.agree()
 }
 
-// TestRejectionIsRecordedOnce: one node writes it, whoever learns of it.
+// TestRejectionIsRecordedOnce: only one node writes the record of a rejection, whichever nodes learn of it.
 func TestRejectionIsRecordedOnce(t *testing.T) {
 	inCluster(t, 6, 8, func(t *testing.T, c *cluster) {
 		rejectMessage(c, c.nodes[0], keyOf("a"))
 		time.Sleep(10 * time.Second)
 		if written := c.store.Len(); written != 1 {
-			t.Errorf("%d records", written)
+			t.Errorf("%d records were written, want 1", written)
 		}
 	})
 }
@@ -74,22 +74,24 @@
 	})
 }
 
-// TestRecordsAreReadByOneNodeOfAZone: where all nodes of a fleet start, the others learn from it.
+// TestRecordsAreReadByOneNodeOfAZone: when all nodes of a fleet start, one node of a zone reads the records and the
+// others learn from it.
 func TestRecordsAreReadByOneNodeOfAZone(t *testing.T) {
 	inCluster(t, 30, 8, func(t *testing.T, c *cluster) {
 		time.Sleep(10 * time.Second)
 		if c.store.listed != 1 {
-			t.Errorf("%d listings by 30 nodes of one zone", c.store.listed)
+			t.Errorf("30 nodes of one zone listed the records %d times, want 1", c.store.listed)
 		}
 		for number, member := range c.nodes {
 			if !member.isComplete() {
-				t.Errorf("node %d is not complete", number)
+				t.Errorf("node %d does not know which messages were rejected", number)
 			}
 		}
 	})
 }
 
-// TestRestartedNodeLearnsFromTheOthers: a node that starts alone reads nothing, and knows what was rejected before the others started.
+// TestRestartedNodeLearnsFromTheOthers: a single node that restarts does not read the records. It learns from the
+// others what was rejected before they started.
 func TestRestartedNodeLearnsFromTheOthers(t *testing.T) {
 	inCluster(t, 4, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -103,12 +105,13 @@
 		c.agree()
 		time.Sleep(500 * time.Millisecond)
 		if got := c.nodes[2].Check(key); got != Rejected || c.store.listed != listed {
-			t.Errorf("%s after %d further listings", got, c.store.listed-listed)
+			t.Errorf("verdict is %s after %d more listings, want rejected after none", got, c.store.listed-listed)
 		}
 	})
 }
 
-// TestRecalledMessageIsForgotten: as long after its recall as one whose replicas ended since.
+// TestRecalledMessageIsForgotten: a recalled rejection expires after retention, like one whose replicas ended at the
+// time of the recall.
 func TestRecalledMessageIsForgotten(t *testing.T) {
 	inCluster(t, 2, 8, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
@@ -117,22 +120,22 @@
 		restartAll(c)
 		time.Sleep(retention + 2*refreshInterval + 3*time.Second)
 		if got := c.nodes[0].Check(key); got != Allowed {
-			t.Errorf("%s", got)
+			t.Errorf("verdict is %s, want allowed", got)
 		}
 	})
 }
 
-// TestLeavingNodeWritesNoRecord: it counts as no keeper, and nobody else lives.
+// TestLeavingNodeWritesNoRecord: a leaving node is not a keeper, even if there is no other live node.
 func TestLeavingNodeWritesNoRecord(t *testing.T) {
 	inCluster(t, 1, 8, func(t *testing.T, c *cluster) {
-		at, key := c.nodes[0], keyOf("a")
-		rejectMessage(c, at, key)
-		at.view.Set(&membership.View{Self: at.id, Members: []membership.Member{c.member(at, membership.Leaving)}})
-		at.mutex.Lock()
-		at.rejected[key] = recordMissing
-		at.mutex.Unlock()
-		if missing := at.missingRecords(); len(missing) != 0 {
-			t.Errorf("%d records are to be written", len(missing))
+		member, key := c.nodes[0], keyOf("a")
+		rejectMessage(c, member, key)
+		member.view.Set(&membership.View{Self: member.id, Members: []membership.Member{c.member(member, membership.Leaving)}})
+		member.mutex.Lock()
+		member.rejected[key] = recordMissing
+		member.mutex.Unlock()
+		if missing := member.missingRecords(); len(missing) != 0 {
+			t.Errorf("%d records are missing, want none", len(missing))
 		}
 	})
 }
--- a/internal/quarantine/recurring_test.go
+++ b/internal/quarantine/recurring_test.go
@@ -7,12 +7,19 @@
 	"time"
 )
 
-// attemptKey is the key of one attempt at a request, whose prompt parts and query may be those of the attempt.
+// attemptKey returns the key of one attempt at a request, whose prompt parts and query differ between attempts.
 func attemptKey(number int) Key {
-	return Message{Method: "POST", Host: "h", Target: fmt.Sprintf("/ask/1?try=%d", number), Body: []byte("body"), PromptParts: fmt.Sprintf("5c1e:800,%x:410", number)}.Key()
+	return Message{
+		Method:      "POST",
+		Host:        "h",
+		Target:      fmt.Sprintf("/ask/1?try=%d", number),
+		Body:        []byte("body"),
+		PromptParts: fmt.Sprintf("5c1e:800,%x:410", number),
+	}.Key()
 }
 
-// TestRequestThatCrashesReplicasIsRejectedWhateverPartsItNames guards the bound of three replicas where each attempt names other prompt parts.
+// TestRequestThatCrashesReplicasIsRejectedWhateverPartsItNames guards the bound of three ended replicas when each
+// attempt names different prompt parts.
 func TestRequestThatCrashesReplicasIsRejectedWhateverPartsItNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := newCluster(t, 3, 12)
@@ -24,22 +31,23 @@
 			time.Sleep(time.Second)
 		}
 		if crashed > maxEndedReplicas {
-			t.Errorf("%d attempts crashed a replica, %d may", crashed, maxEndedReplicas)
+			t.Errorf("%d attempts crashed a replica, want at most %d", crashed, maxEndedReplicas)
 		}
 		running.stop()
 	})
 }
 
-// TestCrashThatIsNotRecognizedIsBounded: connections to the address of an ended replica are accepted, as a supervisor of the process does.
+// TestCrashThatIsNotRecognizedIsBounded: the address of an ended replica still accepts connections, as with a
+// supervisor that holds the socket, so that the end is not recognized. The number of runs must be bounded all the same.
 func TestCrashThatIsNotRecognizedIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := newCluster(t, 3, 12)
 		key, runs := Key{1}, 0
 		for number := range 30 {
-			at := running.nodes[number%3]
-			permit := at.Admit(t.Context(), key)
+			member := running.nodes[number%3]
+			permit := member.Admit(t.Context(), key)
 			if permit.Verdict() != Rejected {
-				run := permit.Begin(running.handle(at, number%12), nil)
+				run := permit.Begin(running.handle(member, number%12), nil)
 				time.Sleep(80 * time.Millisecond)
 				run.End(t.Context(), Lost)
 				runs++
@@ -49,13 +57,14 @@
 		}
 		const wantMost = 2 * maxEndedReplicas
 		if runs > wantMost {
-			t.Errorf("the message was sent %d times and never came to its end, %d are the most", runs, wantMost)
+			t.Errorf("the message was sent %d times without completing, want at most %d", runs, wantMost)
 		}
 		running.stop()
 	})
 }
 
-// TestRejectionOutlivesARestartOfAllNodes guards a rejected message against being learned anew by each life of the nodes.
+// TestRejectionOutlivesARestartOfAllNodes guards against a rejected message crashing replicas again after each restart
+// of all nodes.
 func TestRejectionOutlivesARestartOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := newCluster(t, 3, 12)
@@ -68,7 +77,7 @@
 				time.Sleep(time.Second)
 			}
 			if life == 0 && crashed > maxEndedReplicas {
-				t.Fatalf("%d crashes in the first life", crashed)
+				t.Fatalf("%d replicas crashed before the first restart", crashed)
 			}
 			for _, member := range running.nodes {
 				running.kill(member)
@@ -80,7 +89,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		if crashed > maxEndedReplicas {
-			t.Errorf("%d replicas crashed over all lives, %d may", crashed, maxEndedReplicas)
+			t.Errorf("%d replicas crashed over all restarts, want at most %d", crashed, maxEndedReplicas)
 		}
 		running.stop()
 	})
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -103,7 +103,7 @@
 	// events in the answer then.
 	progressed bool
 	reached    int
-	// aborted reports that this node aborted the run; the service's mutex guards it.
+	// aborted reports that this node aborted the run or that its grant lapsed; the service's mutex guards it.
 	aborted bool
 	// unseen reports that the run was made by another node, which did not report its result.
 	unseen bool
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -37,7 +37,7 @@
 	// avoids them too.
 	Directory *replica.Directory
 	Viewer    membership.Viewer
-	// Store keeps the records of rejected messages, which survive the death of all nodes; nil if there is none.
+	// Store keeps the records of rejected messages, which must survive the loss of all nodes; nil if there is none.
 	Store      platform.KeyValue
 	Caller     transport.Caller
 	Registrar  transport.Registrar
@@ -235,7 +235,7 @@
 	s.cutRuns(ended.key)
 }
 
-// clearMessage clears all evidence against a message that completed.
+// clearMessage clears the incidents and losses of a message that completed.
 func (s *Service) clearMessage(key Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// inCluster runs check in virtual time before nodes and replicas.
+// inCluster runs check in virtual time with a cluster of the given numbers of nodes and replicas.
 func inCluster(t *testing.T, nodes, replicas int, check func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -23,10 +23,10 @@
 	})
 }
 
-func wantVerdict(t *testing.T, at *node, key Key, want Verdict) {
+func wantVerdict(t *testing.T, member *node, key Key, want Verdict) {
 	t.Helper()
-	if got := at.Check(key); got != want {
-		t.Errorf("%s finds the message %s, want %s", at.id, got, want)
+	if got := member.Check(key); got != want {
+		t.Errorf("verdict at %s is %s, want %s", member.id, got, want)
 	}
 }
 
@@ -38,7 +38,7 @@
 		want    Verdict
 	}{
 		{"the process refuses connections", func(c *cluster, handle *replica.Handle) { c.machines.end(handle.Info().Address) }, true, Apart},
-		{"the process takes connections: one was lost", func(*cluster, *replica.Handle) {}, false, Allowed},
+		{"the process accepts connections: only one was lost", func(*cluster, *replica.Handle) {}, false, Allowed},
 		{"the link is cut", func(c *cluster, handle *replica.Handle) { c.machines.cut[handle.Info().Address] = true }, false, Allowed},
 		{"the replica drains", func(c *cluster, handle *replica.Handle) {
 			c.machines.end(handle.Info().Address)
@@ -49,14 +49,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
-				at, key := c.nodes[0], keyOf("a")
-				handle := c.handle(at, 0)
-				run := at.Admit(t.Context(), key).Begin(handle, nil)
+				member, key := c.nodes[0], keyOf("a")
+				handle := c.handle(member, 0)
+				run := member.Admit(t.Context(), key).Begin(handle, nil)
 				test.prepare(c, handle)
 				if ended := run.End(t.Context(), Lost); ended != test.ended {
 					t.Errorf("replica ended: %t, want %t", ended, test.ended)
 				}
-				wantVerdict(t, at, key, test.want)
+				wantVerdict(t, member, key, test.want)
 				if test.ended && !handle.Avoided(time.Now()) {
 					t.Error("the ended replica is not avoided")
 				}
@@ -67,11 +67,11 @@
 
 func TestOneInquiryForAllRunsOfAReplica(t *testing.T) {
 	inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
-		at := c.nodes[0]
-		handle := c.handle(at, 0)
+		member := c.nodes[0]
+		handle := c.handle(member, 0)
 		var runs []Run
 		for number := range 17 {
-			runs = append(runs, at.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(handle, nil))
+			runs = append(runs, member.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(handle, nil))
 		}
 		c.machines.end(handle.Info().Address)
 		var lost sync.WaitGroup
@@ -80,10 +80,10 @@
 		}
 		lost.Wait()
 		if c.machines.dials != 1 {
-			t.Errorf("the replica was asked %d times", c.machines.dials)
+			t.Errorf("%d connections to the replica were attempted, want 1", c.machines.dials)
 		}
 		for number := range 17 {
-			wantVerdict(t, at, keyOf(fmt.Sprint(number)), Apart)
+			wantVerdict(t, member, keyOf(fmt.Sprint(number)), Apart)
 		}
 	})
 }
@@ -108,14 +108,14 @@
 
 func TestNothingIsSentWithoutIncidents(t *testing.T) {
 	inCluster(t, 3, 3, func(t *testing.T, c *cluster) {
-		at := c.nodes[0]
+		member := c.nodes[0]
 		for number := range 100 {
-			at.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(c.handle(at, 0), nil).End(t.Context(), Whole)
+			member.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(c.handle(member, 0), nil).End(t.Context(), Whole)
 		}
 		time.Sleep(10 * time.Second)
-		for _, member := range c.nodes {
-			if sent := testutil.ToFloat64(member.metrics.notices); sent != 0 {
-				t.Errorf("%s has sent %v notices", member.id, sent)
+		for _, observer := range c.nodes {
+			if sent := testutil.ToFloat64(observer.metrics.notices); sent != 0 {
+				t.Errorf("%s sent %v notices, want none", observer.id, sent)
 			}
 		}
 	})
@@ -129,7 +129,7 @@
 		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
 		if !cut.Load() {
-			t.Error("the other run of the message goes on")
+			t.Error("the other run of the message was not cut off")
 		}
 		run.End(t.Context(), Other)
 	})
@@ -156,7 +156,7 @@
 }
 
 func TestNodeThatIsCutOff(t *testing.T) {
-	// The node is the keeper of some of the messages.
+	// With eight messages the node is the keeper of some.
 	for number := range 8 {
 		inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 			key := keyOf(fmt.Sprint(number))
@@ -164,11 +164,11 @@
 			c.cut(alone)
 			c.runCrashing(alone, 0, key)
 			if c.runCrashing(alone, 1, key) {
-				t.Error("a node that reaches no other sent the message once more")
+				t.Error("a node that reaches no other sent the message again")
 			}
 			c.agree()
 			if c.runCrashing(alone, 1, key) {
-				t.Error("a node that knows itself cut off sent the message once more")
+				t.Error("a node that knows of the partition sent the message again")
 			}
 			for _, member := range c.nodes[1:] {
 				wantVerdict(t, member, key, Allowed)
@@ -197,7 +197,7 @@
 			holder, other = member, holder
 		}
 		if permit := holder.Admit(t.Context(), key); permit.Verdict() != Apart {
-			t.Fatalf("the holder has no grant: %s", permit.Verdict())
+			t.Fatalf("verdict at the holder is %s, want apart", permit.Verdict())
 		}
 		c.kill(holder)
 		c.agree()
@@ -208,7 +208,7 @@
 		ended, unseen := other.evidence.endCount(key), other.evidence.unseenEndCount(key)
 		other.mutex.Unlock()
 		if ended != 1 || unseen != 1 {
-			t.Errorf("%d ends are counted and %d that nobody saw, want that of the replica and that of the run nobody saw end", ended, unseen)
+			t.Errorf("%d ends are counted and %d are unseen, want 1 and 1", ended, unseen)
 		}
 	})
 }
@@ -218,32 +218,32 @@
 		key := keyOf("a")
 		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(50 * time.Millisecond)
-		var atOnce, most int
+		var concurrent, maxConcurrent int
 		var mutex sync.Mutex
 		var all sync.WaitGroup
 		for number := range 9 {
-			at := c.nodes[number%3]
+			member := c.nodes[number%3]
 			all.Go(func() {
-				permit := at.Admit(t.Context(), key)
+				permit := member.Admit(t.Context(), key)
 				defer permit.Release()
 				if permit.Verdict() != Apart {
 					return
 				}
-				run := permit.Begin(c.handle(at, number%6), nil)
+				run := permit.Begin(c.handle(member, number%6), nil)
 				mutex.Lock()
-				atOnce++
-				most = max(most, atOnce)
+				concurrent++
+				maxConcurrent = max(maxConcurrent, concurrent)
 				mutex.Unlock()
 				time.Sleep(100 * time.Millisecond)
 				mutex.Lock()
-				atOnce--
+				concurrent--
 				mutex.Unlock()
 				run.End(t.Context(), Other)
 			})
 		}
 		all.Wait()
-		if most != 1 {
-			t.Errorf("%d runs of the suspect at once", most)
+		if maxConcurrent != 1 {
+			t.Errorf("%d runs of the suspect were under way at once, want 1", maxConcurrent)
 		}
 	})
 }
--- a/internal/quarantine/undecided_test.go
+++ b/internal/quarantine/undecided_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// TestMessageThatIsNotSuspectedIsSentAfterTheWait: an inquiry into a replica that goes on for long, as behind a cut, keeps no message from the other
-// replicas that none is known to have ended under.
+// TestMessageThatIsNotSuspectedIsSentAfterTheWait: an inquiry into a replica that takes long, as behind a partition,
+// must not keep a message from the other replicas if no replica is known to have ended under it.
 func TestMessageThatIsNotSuspectedIsSentAfterTheWait(t *testing.T) {
 	inCluster(t, 1, 1, func(t *testing.T, c *cluster) {
-		at, key := c.nodes[0], keyOf("popular")
-		at.mutex.Lock()
-		at.pendingInquiries[key] = 1
-		at.mutex.Unlock()
-		permit := at.Admit(t.Context(), key)
+		member, key := c.nodes[0], keyOf("popular")
+		member.mutex.Lock()
+		member.pendingInquiries[key] = 1
+		member.mutex.Unlock()
+		permit := member.Admit(t.Context(), key)
 		if verdict := permit.Verdict(); verdict != Allowed {
-			t.Errorf("verdict %s after the wait", verdict)
+			t.Errorf("verdict is %s after the wait, want allowed", verdict)
 		}
 		permit.Release()
 	})
--- a/internal/quarantine/unseen_test.go
+++ b/internal/quarantine/unseen_test.go
@@ -7,23 +7,25 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// TestInnocentItemIsNotRejectedByEndsThatNobodySaw guards an item whose owners were killed while its replicas crashed: what it had made there is not known.
+// TestInnocentItemIsNotRejectedByEndsThatNobodySaw guards an item whose owners were killed while its replicas crashed:
+// the progress of its runs is not known, so that the ends count like losses.
 func TestInnocentItemIsNotRejectedByEndsThatNobodySaw(t *testing.T) {
 	now, key := time.Unix(1_000_000, 0), keyOf("item")
 	store := newEvidenceStore()
 	store.add(1, now, key, suspect{runDuration: 3 * time.Second, progressed: true, reached: 139, reachedKnown: true, origin: originSeen})
 	for number := range maxUnfinishedRuns - 1 {
 		if got := store.verdict(key); got != Apart {
-			t.Errorf("after one end and %d that nobody saw: %s, want %s", number, got, Apart)
+			t.Errorf("verdict after one observed and %d unseen ends is %s, want %s", number, got, Apart)
 		}
 		store.add(replica.Key(number+2), now.Add(time.Duration(number+1)*time.Second), key, unseenSuspect(originLapsed))
 	}
 	if got := store.verdict(key); got != Rejected {
-		t.Errorf("after %d ends: %s, want %s", maxUnfinishedRuns, got, Rejected)
+		t.Errorf("verdict after %d ends is %s, want %s", maxUnfinishedRuns, got, Rejected)
 	}
 }
 
-// TestEndThatSomebodySawCounts: nodes learn of the same end from the keeper, which did not see it, and from its holder, in any order.
+// TestEndThatSomebodySawCounts: nodes learn of the same end, in any order, from the keeper, which did not observe it,
+// and from the holder, which did. The observation must prevail.
 func TestEndThatSomebodySawCounts(t *testing.T) {
 	now, key := time.Unix(1_000_000, 0), keyOf("item")
 	seen := suspect{runDuration: 100 * time.Millisecond, reachedKnown: true, granted: true, origin: originSeen}
@@ -34,18 +36,18 @@
 		holder.add(replica.Key(number+1), at, key, seen)
 	}
 	if got := keeper.verdict(key); got != Apart {
-		t.Errorf("the keeper alone: %s", got)
+		t.Errorf("verdict from the keeper's evidence alone is %s, want apart", got)
 	}
 	later := now.Add(5 * time.Second)
 	learned := newEvidenceStore()
 	learned.join(keeper.encodeAll(later), later)
 	if got := learned.verdict(key); got != Apart {
-		t.Errorf("what the keeper sends: %s", got)
+		t.Errorf("verdict from the evidence that the keeper sends is %s, want apart", got)
 	}
 	for _, store := range []*evidenceStore{learned, keeper} {
 		store.join(holder.encodeAll(later), later)
 		if got := store.verdict(key); got != Rejected {
-			t.Errorf("with what the holder sends: %s", got)
+			t.Errorf("verdict with the evidence that the holder sends is %s, want rejected", got)
 		}
 	}
 }
