--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -45,9 +45,9 @@
 
 // admit returns the permit of a message. For a suspected message it first waits until it is decided whether it may run.
 func (s *Service) admit(ctx context.Context, key Key) *permit {
-	known, inquired := s.currentPermit(key)
-	if known.verdict == Allowed && !inquired {
-		return known
+	current, inquired := s.currentPermit(key)
+	if current.verdict == Allowed && !inquired {
+		return current
 	}
 	bounded, cancel := context.WithTimeout(ctx, maxAdmitWait)
 	defer cancel()
@@ -58,7 +58,7 @@
 
 // currentPermit returns the permit that follows from what this node knows of a message now. inquired reports whether an
 // inquiry into a replica where a run of the message was lost is under way.
-func (s *Service) currentPermit(key Key) (known *permit, inquired bool) {
+func (s *Service) currentPermit(key Key) (current *permit, inquired bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.permitFor(key, s.evidence.verdict(key)), s.pendingInquiries[key] > 0
@@ -108,11 +108,11 @@
 // not sent without a grant. A message under which no replica is known to have ended is sent as usual, even if an
 // inquiry into a replica is still under way.
 func (s *Service) permitAfterTimeout(key Key) *permit {
-	timedOut, _ := s.currentPermit(key)
-	if timedOut.verdict == Apart {
-		timedOut.verdict = Rejected
+	current, _ := s.currentPermit(key)
+	if current.verdict == Apart {
+		current.verdict = Rejected
 	}
-	return timedOut
+	return current
 }
 
 // releaseQueue lets the next caller on this node ask for the grant of a message.
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -151,8 +151,8 @@
 	return true
 }
 
-// merge combines what two nodes know of the same run; the order does not matter. The shorter duration wins: that of a
-// run whose end nobody observed is only assumed, and is longer than that of a short run.
+// merge combines what two nodes know of the same run; the order does not matter. The shorter duration is kept: the
+// assumed duration of an unobserved run exceeds that of a short run, so that an observed short run prevails.
 func (s suspect) merge(other suspect) suspect {
 	merged := s
 	if s.assumed() {
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -52,9 +52,9 @@
 func (s *Service) inquire(handle *replica.Handle) *inquiry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.inquiries[handle.Key()]
-	if known != nil && (!known.ended || !handle.AnsweredSince(known.at)) {
-		return known
+	current := s.inquiries[handle.Key()]
+	if current != nil && (!current.ended || !handle.AnsweredSince(current.at)) {
+		return current
 	}
 	started := &inquiry{done: make(chan struct{}), at: clock.Now()}
 	s.inquiries[handle.Key()] = started
@@ -69,11 +69,11 @@
 // runInquiry carries out an inquiry. The end of a draining replica is planned and does not count against the messages
 // that ran there.
 func (s *Service) runInquiry(pending *inquiry, handle *replica.Handle) {
-	found := s.probe(handle)
-	ended := found.ended()
+	result := s.probe(handle)
+	ended := result.ended()
 	counted := ended && !handle.Info().Draining
 	s.mutex.Lock()
-	pending.ended, pending.counted, pending.finding, pending.at = ended, counted, found, clock.Now()
+	pending.ended, pending.counted, pending.finding, pending.at = ended, counted, result, clock.Now()
 	if !ended {
 		delete(s.inquiries, handle.Key())
 	}
@@ -124,7 +124,8 @@
 	return !handle.KeptAlive()
 }
 
-// expireInquiries drops the inquiries that found a replica ended longer than retention ago. The mutex is held.
+// expireInquiries drops the inquiries that found an ended replica and are older than retention; nothing runs at these
+// replicas any more. The mutex is held.
 func (s *Service) expireInquiries(now time.Time) {
 	for key, concluded := range s.inquiries {
 		if concluded.ended && now.Sub(concluded.at) >= retention {
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -86,17 +86,17 @@
 
 // summarizeEndedRuns returns the summary for a message.
 func (e *evidenceStore) summarizeEndedRuns(message Key) endedRunsSummary {
-	found := endedRunsSummary{itemsOnly: true, longItemsWithProgress: true}
+	summary := endedRunsSummary{itemsOnly: true, longItemsWithProgress: true}
 	for _, end := range e.byMessage[message] {
 		suspected := end.suspects[message]
 		if suspected.cleared || suspected.unseen || e.answerProgressedPast(message, end) {
 			continue
 		}
-		found.itemsOnly = found.itemsOnly && suspected.item
-		found.anyGranted = found.anyGranted || suspected.granted
-		found.longItemsWithProgress = found.longItemsWithProgress && suspected.item && suspected.progressed && suspected.runDuration > shortRunDuration
+		summary.itemsOnly = summary.itemsOnly && suspected.item
+		summary.anyGranted = summary.anyGranted || suspected.granted
+		summary.longItemsWithProgress = summary.longItemsWithProgress && suspected.item && suspected.progressed && suspected.runDuration > shortRunDuration
 	}
-	return found
+	return summary
 }
 
 // nextEndRejects reports whether one more ended replica may reject the message.
@@ -218,18 +218,18 @@
 // countEnds counts the given incidents of a message, which are ordered by time, without those that another message
 // explains. Of a mass crash, in which the message ran at only some of the replicas, one incident counts.
 func (e *evidenceStore) countEnds(message Key, open []*incident) int {
-	doubtful := e.endedRepeatedlyUnderGrant(message)
+	countExplained := e.endedRepeatedlyUnderGrant(message)
 	ended := 0
 	for index := 0; index < len(open); {
-		together := e.concurrentIncidents(open[index])
+		concurrent := e.concurrentIncidents(open[index])
 		counted := 0
-		for index < len(open) && slices.Contains(together, open[index]) {
-			if doubtful || !e.explainedByOther(open[index], message) {
+		for index < len(open) && slices.Contains(concurrent, open[index]) {
+			if countExplained || !e.explainedByOther(open[index], message) {
 				counted++
 			}
 			index++
 		}
-		if len(together) >= massCrashReplicas && counted < len(together) {
+		if len(concurrent) >= massCrashReplicas && counted < len(concurrent) {
 			counted = min(counted, 1)
 		}
 		ended += counted
