--- /dev/null
+++ b/internal/quarantine/aborted.go
@@ -0,0 +1,93 @@
+package quarantine
+
+import (
+	"time"
+
+	"github.com/sloelift/sloelift/internal/clock"
+	"github.com/sloelift/sloelift/internal/replica"
+)
+
+const (
+	// abortedRunGrace is how long a replica may continue to work on a message after the connection was closed: most
+	// stop at the next step, some only at their next write.
+	abortedRunGrace = 2 * time.Second
+	// maxAbortedRuns bounds the aborted runs that are tracked.
+	maxAbortedRuns = 4096
+)
+
+// abortedRunInquiryDelays are the waits before the inquiries into the replica of an aborted run of a suspected message,
+// each counted from the one before. Without them its end could go unnoticed, since this node may have no other run
+// there.
+var abortedRunInquiryDelays = []time.Duration{150 * time.Millisecond, 450 * time.Millisecond}
+
+// abortedRun is a run that this node aborted, or whose grant lapsed. Its replica may work on it until the given time.
+type abortedRun struct {
+	run   *run
+	until time.Time
+}
+
+// trackAborted tracks a run that was aborted or whose grant lapsed, since its replica may still end under it.
+func (s *Service) trackAborted(aborted *run) {
+	now := clock.Now()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.expireAbortedRuns(now)
+	if s.abortedCount >= maxAbortedRuns {
+		return
+	}
+	aborted.aborted = true
+	s.abortedCount++
+	s.abortedRuns[aborted.handle.Key()] = append(s.abortedRuns[aborted.handle.Key()], abortedRun{run: aborted, until: now.Add(abortedRunGrace)})
+	if s.evidence.verdict(aborted.key) != Allowed && !s.stopped {
+		s.running.Go(func() { s.inquireAfterAbort(aborted.handle) })
+	}
+}
+
+// inquireAfterAbort inquires after each of abortedRunInquiryDelays whether the replica has ended.
+func (s *Service) inquireAfterAbort(handle *replica.Handle) {
+	for _, wait := range abortedRunInquiryDelays {
+		select {
+		case <-time.After(wait):
+		case <-s.ctx.Done():
+			return
+		}
+		inquiry := s.inquire(handle)
+		<-inquiry.done
+		if inquiry.ended {
+			return
+		}
+	}
+}
+
+// suspectAbortedRuns counts the end of a replica against the messages whose aborted runs may still have been there. The
+// mutex is held.
+func (s *Service) suspectAbortedRuns(ended replica.Key, endedAt time.Time) {
+	for _, aborted := range s.abortedRuns[ended] {
+		if endedAt.Before(aborted.until) && endedAt.After(aborted.run.startedAt) {
+			s.suspect(aborted.run, endedAt, endedAt.Sub(aborted.run.startedAt))
+		}
+	}
+	s.abortedCount -= len(s.abortedRuns[ended])
+	delete(s.abortedRuns, ended)
+}
+
+// expireAbortedRuns drops the aborted runs on which no replica works any more. It does so at most once per
+// abortedRunGrace. The mutex is held.
+func (s *Service) expireAbortedRuns(now time.Time) {
+	if now.Before(s.expireAbortedAt) {
+		return
+	}
+	s.expireAbortedAt = now.Add(abortedRunGrace)
+	for replicaKey, runs := range s.abortedRuns {
+		kept := runs[:0]
+		for _, aborted := range runs {
+			if now.Before(aborted.until.Add(abortedRunGrace)) {
+				kept = append(kept, aborted)
+			}
+		}
+		s.abortedCount -= len(runs) - len(kept)
+		if s.abortedRuns[replicaKey] = kept; len(kept) == 0 {
+			delete(s.abortedRuns, replicaKey)
+		}
+	}
+}
--- a/internal/quarantine/fake_test.go
+++ b/internal/quarantine/fake_test.go
@@ -23,25 +23,26 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// fakeMachines are the machines of replicas, as new connections find them.
+// fakeMachines is the network.Network on which the replicas' machines are reached.
 type fakeMachines struct {
 	mutex sync.Mutex
-	// ended are the addresses that refuse, cut those that do not answer.
+	// ended holds the addresses that refuse connections, cut those that do not answer. dials counts the attempts to
+	// connect.
 	ended map[netip.AddrPort]bool
 	cut   map[netip.AddrPort]bool
-	asked int
+	dials int
 }
 
-// Listen fails: nothing is served here.
+// Listen fails: the tests serve nothing.
 func (f *fakeMachines) Listen(context.Context, netip.AddrPort) (net.Listener, error) {
-	return nil, errors.New("nothing listens here")
+	return nil, errors.New("listening is not supported")
 }
 
-// Dial connects to a replica that has not ended.
+// Dial connects to a replica unless it has ended or its link is cut.
 func (f *fakeMachines) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	time.Sleep(time.Millisecond)
 	f.mutex.Lock()
-	f.asked++
+	f.dials++
 	ended, cut := f.ended[address], f.cut[address]
 	f.mutex.Unlock()
 	if cut {
@@ -56,19 +57,21 @@
 	return near, nil
 }
 
+// end makes the address refuse connections.
 func (f *fakeMachines) end(address netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.ended[address] = true
 }
 
-func (f *fakeMachines) begin(address netip.AddrPort) {
+// restart makes the address accept connections again.
+func (f *fakeMachines) restart(address netip.AddrPort) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	delete(f.ended, address)
 }
 
-// recordStore is a key-value service that counts its listings and may be down.
+// recordStore is a key-value service that counts its listings and can be set down.
 type recordStore struct {
 	*platformtest.KeyValue
 	mutex  sync.Mutex
@@ -86,7 +89,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.down {
-		return errors.New("the service is down")
+		return errors.New("key-value service is down")
 	}
 	return nil
 }
@@ -121,7 +124,7 @@
 	up bool
 }
 
-// cluster is nodes on one network before the same replicas.
+// cluster is a set of nodes on one network that use the same replicas.
 type cluster struct {
 	t        *testing.T
 	network  *memory.Network
@@ -130,46 +133,59 @@
 	nodes    []*node
 
 	mutex sync.Mutex
-	// sides holds the side of a cut on which a node is; 0 is that of most.
+	// sides holds the side of a partition on which each node is; most are on side 0.
 	sides map[netip.AddrPort]int
-	// infos are the replicas; drawn counts all that there ever were.
-	infos []replica.Info
-	drawn int
-	// crashed counts the replicas that ended, by the message that ended them.
+	// infos are the current replicas; created counts all replicas that ever existed.
+	infos   []replica.Info
+	created int
+	// crashed counts the ended replicas by the message that ended them.
 	crashed map[Key]int
 }
 
 func newCluster(t *testing.T, nodes, replicas int) *cluster {
-	made := &cluster{
-		t: t, network: memory.NewNetwork(1), store: &recordStore{KeyValue: platformtest.NewKeyValue()}, sides: map[netip.AddrPort]int{}, crashed: map[Key]int{},
+	created := &cluster{
+		t:        t,
+		network:  memory.NewNetwork(1),
+		store:    &recordStore{KeyValue: platformtest.NewKeyValue()},
+		sides:    map[netip.AddrPort]int{},
+		crashed:  map[Key]int{},
 		machines: &fakeMachines{ended: map[netip.AddrPort]bool{}, cut: map[netip.AddrPort]bool{}},
 	}
-	made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-		made.mutex.Lock()
-		defer made.mutex.Unlock()
-		return memory.Conditions{Delay: time.Millisecond, Cut: made.sides[from] != made.sides[to]}
+	created.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
+		created.mutex.Lock()
+		defer created.mutex.Unlock()
+		return memory.Conditions{Delay: time.Millisecond, Cut: created.sides[from] != created.sides[to]}
 	})
 	for range replicas {
-		made.infos = append(made.infos, made.newReplica())
+		created.infos = append(created.infos, created.newReplica())
 	}
 	for index := range nodes {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+index))
-		made.nodes = append(made.nodes, &node{id: membership.NodeID(fmt.Sprintf("node-%02d", index)), address: address, view: membershiptest.NewViewer(nil)})
+		created.nodes = append(created.nodes, &node{
+			id:      membership.NodeID(fmt.Sprintf("node-%02d", index)),
+			address: address,
+			view:    membershiptest.NewViewer(nil),
+		})
 	}
-	for _, each := range made.nodes {
-		made.start(each)
+	for _, member := range created.nodes {
+		created.start(member)
 	}
-	made.agree()
-	return made
+	created.agree()
+	return created
 }
 
-// newReplica returns another incarnation at another address.
+// newReplica returns a new incarnation of a replica with an address of its own.
 func (c *cluster) newReplica() replica.Info {
-	c.drawn++
-	return replica.Info{ID: fmt.Sprintf("replica-%d", c.drawn), Service: "s", Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(c.drawn)), Slots: 8}
+	c.created++
+	return replica.Info{
+		ID:      fmt.Sprintf("replica-%d", c.created),
+		Service: "s",
+		Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.2"), uint16(c.created)),
+		Slots:   8,
+	}
 }
 
-// start starts a node's process, which knows nothing of the one before.
+// start starts a node's process without any state of its previous one.
 func (c *cluster) start(started *node) {
 	var err error
 	started.transport, err = memory.NewTransport(c.network, started.address, prometheus.NewRegistry())
@@ -197,18 +213,19 @@
 }
 
 func (c *cluster) stop() {
-	for _, each := range c.nodes {
-		if each.up {
-			c.kill(each)
+	for _, member := range c.nodes {
+		if member.up {
+			c.kill(member)
 		}
 	}
 }
 
-func (c *cluster) member(of *node, state membership.State) membership.Member {
-	return membership.Member{ID: of.id, PeerAddress: of.address, State: state}
+func (c *cluster) member(subject *node, state membership.State) membership.Member {
+	return membership.Member{ID: subject.id, PeerAddress: subject.address, State: state}
 }
 
-// agree has all nodes know how things are: who is down or on another side is dead to those that do not reach it.
+// agree updates the views of all nodes to the current state: a node that is down or on another side of a partition is
+// dead to the others.
 func (c *cluster) agree() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -225,17 +242,17 @@
 	}
 }
 
-// cut cuts the given nodes off from the others.
+// cut separates the given nodes from the others.
 func (c *cluster) cut(together ...*node) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	clear(c.sides)
-	for _, each := range together {
-		c.sides[each.address] = 1
+	for _, member := range together {
+		c.sides[member.address] = 1
 	}
 }
 
-// crash ends a replica's process; another one comes in its place.
+// crash ends a replica's process and replaces it by a new one.
 func (c *cluster) crash(handle *replica.Handle, by Key) {
 	c.machines.end(handle.Info().Address)
 	c.mutex.Lock()
@@ -246,50 +263,52 @@
 			c.infos[index] = c.newReplica()
 		}
 	}
-	for _, each := range c.nodes {
-		if each.up {
-			each.directory.Replace(c.infos)
+	for _, member := range c.nodes {
+		if member.up {
+			member.directory.Replace(c.infos)
 		}
 	}
 }
 
-// crashes returns how many replicas a message ended.
+// crashes returns the number of replicas that the message ended.
 func (c *cluster) crashes(key Key) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.crashed[key]
 }
 
-// handle returns a node's handle of the replica of that number.
-func (c *cluster) handle(at *node, number int) *replica.Handle {
+// handle returns a node's handle of the replica with the given number.
+func (c *cluster) handle(member *node, number int) *replica.Handle {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return at.directory.View().Find(c.infos[number].ID)
+	return member.directory.View().Find(c.infos[number].ID)
 }
 
-// place returns where a message runs: the replica of that number, or for a suspect one of those that it prefers without another suspect.
-func (c *cluster) place(at *node, permit Permit, key Key, number int) *replica.Handle {
+// placeRun returns the replica at which a message runs: the one with the given number or, for a suspect, a preferred
+// one without another suspect.
+func (c *cluster) placeRun(member *node, permit Permit, key Key, number int) *replica.Handle {
 	if permit.Verdict() != Apart {
-		return c.handle(at, number)
+		return c.handle(member, number)
 	}
-	all := at.directory.View().Of("s")
+	all := member.directory.View().Of("s")
 	avoided := slices.Concat(permit.Occupied(), NotPreferred(key, all), Failing(all, time.Now()))
 	for _, handle := range all {
 		if !slices.Contains(avoided, handle) {
 			return handle
 		}
 	}
-	return c.handle(at, number)
+	return c.handle(member, number)
 }
 
-// crashing runs a message that ends the replica of that number after a while, unless it is cut off before; false where it was not admitted.
-func (c *cluster) crashing(at *node, number int, key Key) bool {
-	permit := at.Admit(c.t.Context(), key)
+// runCrashing runs a message that ends the replica after 80 ms unless it is cut off before. It returns false if the
+// message was not admitted.
+func (c *cluster) runCrashing(member *node, number int, key Key) bool {
+	permit := member.Admit(c.t.Context(), key)
 	defer permit.Release()
 	if permit.Verdict() == Rejected {
 		return false
 	}
-	handle := c.place(at, permit, key, number)
+	handle := c.placeRun(member, permit, key, number)
 	cut := make(chan struct{})
 	run := permit.Begin(handle, func() { close(cut) })
 	select {
@@ -310,11 +329,11 @@
 	return f.ended[handle.Info().Address]
 }
 
-// recorded are ends as an owner recorded them, before the first event.
-func recorded(ended ...replica.Key) []RecordedEnd {
+// recordedEnds returns ends of replicas as an owner recorded them, without the number of events.
+func recordedEnds(ended ...replica.Key) []RecordedEnd {
 	var ends []RecordedEnd
-	for _, each := range ended {
-		ends = append(ends, RecordedEnd{Replica: each})
+	for _, key := range ended {
+		ends = append(ends, RecordedEnd{Replica: key})
 	}
 	return ends
 }
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -12,23 +12,27 @@
 )
 
 const (
-	// probeTimeout bounds a question to a replica's machine: a refusal comes within a round trip, silence is a link that is cut.
+	// probeTimeout bounds the attempt to connect to a replica's machine: a refusal arrives within a round trip, and no
+	// answer means a cut link.
 	probeTimeout = 150 * time.Millisecond
-	// settleTime is the time within which the connections of one process that ends are seen to end.
-	settleTime = 5 * time.Millisecond
+	// connectionCloseWait is the time within which all connections of a process that ends are seen to close.
+	connectionCloseWait = 5 * time.Millisecond
 )
 
-// inquiry finds out, once for all runs that were lost there together, whether a replica's process has ended.
+// inquiry finds out whether the process of a replica has ended. All runs that were lost at the replica at the same time
+// share one inquiry.
 type inquiry struct {
 	done chan struct{}
-	// ended says that it has, counted that it counts against what ran there; both are set before done is closed.
+	// ended reports that the process has ended, counted that this is evidence against the messages that ran there. Both
+	// are set before done is closed.
 	ended   bool
 	counted bool
 	finding finding
-	at      time.Time
+	// at is when the inquiry began, or when it concluded once done is closed.
+	at time.Time
 }
 
-// finding is what an inquiry concluded from, as it stands in the log.
+// finding is the reason for the result of an inquiry, as it is logged.
 type finding string
 
 const (
@@ -39,43 +43,45 @@
 	findingNoAnswer       finding = "no_answer"
 )
 
-// ended says that the finding shows the end of the process.
+// ended reports whether the finding shows that the process has ended.
 func (f finding) ended() bool { return f == findingReplaced || f == findingRefused }
 
-// inquire returns the inquiry into a replica, begun where none is under way and none found its end before. One that found it is out of date
-// where the replica has answered since: it refused connections for a while, and had not ended.
+// inquire returns the inquiry into a replica. It starts one unless one is under way or has already found that the
+// replica ended. That finding is discarded if the replica has answered since: it refused connections for a while
+// without having ended.
 func (s *Service) inquire(handle *replica.Handle) *inquiry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.inquiries[handle.Key()]
-	if known != nil && (!known.ended || !handle.AnsweredSince(known.at)) {
-		return known
+	current := s.inquiries[handle.Key()]
+	if current != nil && (!current.ended || !handle.AnsweredSince(current.at)) {
+		return current
 	}
-	begun := &inquiry{done: make(chan struct{}), at: clock.Now()}
-	s.inquiries[handle.Key()] = begun
+	started := &inquiry{done: make(chan struct{}), at: clock.Now()}
+	s.inquiries[handle.Key()] = started
 	if s.stopped {
-		close(begun.done)
-		return begun
+		close(started.done)
+		return started
 	}
-	s.running.Go(func() { s.conduct(begun, handle) })
-	return begun
+	s.running.Go(func() { s.runInquiry(started, handle) })
+	return started
 }
 
-// conduct answers an inquiry. A replica that drains ends as planned, whatever runs there.
-func (s *Service) conduct(begun *inquiry, handle *replica.Handle) {
-	found := s.probe(handle)
-	ended := found.ended()
+// runInquiry carries out an inquiry. The end of a draining replica is planned and does not count against the messages
+// that ran there.
+func (s *Service) runInquiry(pending *inquiry, handle *replica.Handle) {
+	result := s.probe(handle)
+	ended := result.ended()
 	counted := ended && !handle.Info().Draining
 	s.mutex.Lock()
-	begun.ended, begun.counted, begun.finding, begun.at = ended, counted, found, clock.Now()
+	pending.ended, pending.counted, pending.finding, pending.at = ended, counted, result, clock.Now()
 	if !ended {
 		delete(s.inquiries, handle.Key())
 	}
 	if counted {
-		s.suspectLeft(handle.Key(), begun.at)
+		s.suspectAbortedRuns(handle.Key(), pending.at)
 	}
 	s.mutex.Unlock()
-	close(begun.done)
+	close(pending.done)
 	if ended {
 		handle.Ended(clock.Now())
 		s.metrics.ended.Inc()
@@ -83,22 +89,23 @@
 	}
 }
 
-// probe finds out whether the replica's process has ended: all connections to it have ended, and its machine refuses new ones. Where a new
-// connection is made, or there is no answer, the process may still run, and only a connection or a link was lost.
+// probe finds out whether the replica's process has ended, which is so if all connections to it have closed and its
+// machine refuses new ones. If a new connection succeeds or there is no answer, the process may still run, and only a
+// connection or a link was lost.
 func (s *Service) probe(handle *replica.Handle) finding {
 	if handle.Replaced() {
-		// It has started again under its ID, and its address takes connections again.
+		// The replica has started again under its ID, and its address accepts connections again.
 		return findingReplaced
 	}
-	if handle.KeptAlive() && !s.endsSoon(handle) {
+	if handle.KeptAlive() && !s.connectionsCloseSoon(handle) {
 		return findingConnectionKept
 	}
 	bounded, cancel := context.WithTimeout(s.ctx, probeTimeout)
 	defer cancel()
 	connection, err := s.network.Dial(bounded, handle.Info().Address)
 	if err == nil {
-		if failure := connection.Close(); failure != nil {
-			s.logger.Debug().Err(failure).Msg("probe_not_closed")
+		if closeErr := connection.Close(); closeErr != nil {
+			s.logger.Debug().Err(closeErr).Msg("probe_not_closed")
 		}
 		return findingConnected
 	}
@@ -108,19 +115,20 @@
 	return findingNoAnswer
 }
 
-// endsSoon says that the kept connections have ended a moment later.
-func (s *Service) endsSoon(handle *replica.Handle) bool {
+// connectionsCloseSoon reports whether the kept-alive connections have closed after connectionCloseWait.
+func (s *Service) connectionsCloseSoon(handle *replica.Handle) bool {
 	select {
-	case <-time.After(settleTime):
+	case <-time.After(connectionCloseWait):
 	case <-s.ctx.Done():
 	}
 	return !handle.KeptAlive()
 }
 
-// forgetInquiries drops the ends of replicas that nothing runs at any more. The mutex is held.
-func (s *Service) forgetInquiries(now time.Time) {
-	for key, each := range s.inquiries {
-		if each.ended && now.Sub(each.at) >= remember {
+// expireInquiries drops the inquiries that found an ended replica and are older than retention; nothing runs at these
+// replicas any more. The mutex is held.
+func (s *Service) expireInquiries(now time.Time) {
+	for key, concluded := range s.inquiries {
+		if concluded.ended && now.Sub(concluded.at) >= retention {
 			delete(s.inquiries, key)
 		}
 	}
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -13,20 +13,20 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// inCluster runs check in virtual time before nodes and replicas.
+// inCluster runs check in virtual time with a cluster of the given numbers of nodes and replicas.
 func inCluster(t *testing.T, nodes, replicas int, check func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		made := newCluster(t, nodes, replicas)
-		defer made.stop()
-		check(t, made)
+		created := newCluster(t, nodes, replicas)
+		defer created.stop()
+		check(t, created)
 	})
 }
 
-func wantVerdict(t *testing.T, at *node, key Key, want Verdict) {
+func wantVerdict(t *testing.T, member *node, key Key, want Verdict) {
 	t.Helper()
-	if got := at.Check(key); got != want {
-		t.Errorf("%s finds the message %s, want %s", at.id, got, want)
+	if got := member.Check(key); got != want {
+		t.Errorf("verdict at %s is %s, want %s", member.id, got, want)
 	}
 }
 
@@ -38,7 +38,7 @@
 		want    Verdict
 	}{
 		{"the process refuses connections", func(c *cluster, handle *replica.Handle) { c.machines.end(handle.Info().Address) }, true, Apart},
-		{"the process takes connections: one was lost", func(*cluster, *replica.Handle) {}, false, Allowed},
+		{"the process accepts connections: only one was lost", func(*cluster, *replica.Handle) {}, false, Allowed},
 		{"the link is cut", func(c *cluster, handle *replica.Handle) { c.machines.cut[handle.Info().Address] = true }, false, Allowed},
 		{"the replica drains", func(c *cluster, handle *replica.Handle) {
 			c.machines.end(handle.Info().Address)
@@ -49,14 +49,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
-				at, key := c.nodes[0], keyOf("a")
-				handle := c.handle(at, 0)
-				run := at.Admit(t.Context(), key).Begin(handle, nil)
+				member, key := c.nodes[0], keyOf("a")
+				handle := c.handle(member, 0)
+				run := member.Admit(t.Context(), key).Begin(handle, nil)
 				test.prepare(c, handle)
 				if ended := run.End(t.Context(), Lost); ended != test.ended {
 					t.Errorf("replica ended: %t, want %t", ended, test.ended)
 				}
-				wantVerdict(t, at, key, test.want)
+				wantVerdict(t, member, key, test.want)
 				if test.ended && !handle.Avoided(time.Now()) {
 					t.Error("the ended replica is not avoided")
 				}
@@ -67,23 +67,23 @@
 
 func TestOneInquiryForAllRunsOfAReplica(t *testing.T) {
 	inCluster(t, 1, 3, func(t *testing.T, c *cluster) {
-		at := c.nodes[0]
-		handle := c.handle(at, 0)
+		member := c.nodes[0]
+		handle := c.handle(member, 0)
 		var runs []Run
 		for number := range 17 {
-			runs = append(runs, at.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(handle, nil))
+			runs = append(runs, member.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(handle, nil))
 		}
 		c.machines.end(handle.Info().Address)
 		var lost sync.WaitGroup
-		for _, each := range runs {
-			lost.Go(func() { each.End(t.Context(), Lost) })
+		for _, run := range runs {
+			lost.Go(func() { run.End(t.Context(), Lost) })
 		}
 		lost.Wait()
-		if c.machines.asked != 1 {
-			t.Errorf("the replica was asked %d times", c.machines.asked)
+		if c.machines.dials != 1 {
+			t.Errorf("%d connections to the replica were attempted, want 1", c.machines.dials)
 		}
 		for number := range 17 {
-			wantVerdict(t, at, keyOf(fmt.Sprint(number)), Apart)
+			wantVerdict(t, member, keyOf(fmt.Sprint(number)), Apart)
 		}
 	})
 }
@@ -91,31 +91,31 @@
 func TestOtherNodesKnowSoon(t *testing.T) {
 	inCluster(t, 5, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Apart)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Apart)
 		}
 		permit := c.nodes[3].Admit(t.Context(), key)
 		permit.Begin(c.handle(c.nodes[3], 1), nil).End(t.Context(), Whole)
 		permit.Release()
 		time.Sleep(30 * time.Millisecond)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Allowed)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Allowed)
 		}
 	})
 }
 
 func TestNothingIsSentWithoutIncidents(t *testing.T) {
 	inCluster(t, 3, 3, func(t *testing.T, c *cluster) {
-		at := c.nodes[0]
+		member := c.nodes[0]
 		for number := range 100 {
-			at.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(c.handle(at, 0), nil).End(t.Context(), Whole)
+			member.Admit(t.Context(), keyOf(fmt.Sprint(number))).Begin(c.handle(member, 0), nil).End(t.Context(), Whole)
 		}
 		time.Sleep(10 * time.Second)
-		for _, each := range c.nodes {
-			if sent := testutil.ToFloat64(each.metrics.notices); sent != 0 {
-				t.Errorf("%s has sent %v notices", each.id, sent)
+		for _, observer := range c.nodes {
+			if sent := testutil.ToFloat64(observer.metrics.notices); sent != 0 {
+				t.Errorf("%s sent %v notices, want none", observer.id, sent)
 			}
 		}
 	})
@@ -126,10 +126,10 @@
 		key := keyOf("a")
 		var cut atomic.Bool
 		run := c.nodes[1].Admit(t.Context(), key).Begin(c.handle(c.nodes[1], 1), func() { cut.Store(true) })
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
 		if !cut.Load() {
-			t.Error("the other run of the message goes on")
+			t.Error("the other run of the message was not cut off")
 		}
 		run.End(t.Context(), Other)
 	})
@@ -138,9 +138,9 @@
 func TestStartedNodeAsksOthers(t *testing.T) {
 	inCluster(t, 4, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(30 * time.Millisecond)
-		c.crashing(c.nodes[1], 1, key)
+		c.runCrashing(c.nodes[1], 1, key)
 		time.Sleep(100 * time.Millisecond)
 		c.kill(c.nodes[0])
 		c.kill(c.nodes[1])
@@ -156,28 +156,28 @@
 }
 
 func TestNodeThatIsCutOff(t *testing.T) {
-	// The node is the keeper of some of the messages.
+	// With eight messages the node is the keeper of some.
 	for number := range 8 {
 		inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 			key := keyOf(fmt.Sprint(number))
 			alone := c.nodes[0]
 			c.cut(alone)
-			c.crashing(alone, 0, key)
-			if c.crashing(alone, 1, key) {
-				t.Error("a node that reaches no other sent the message once more")
+			c.runCrashing(alone, 0, key)
+			if c.runCrashing(alone, 1, key) {
+				t.Error("a node that reaches no other sent the message again")
 			}
 			c.agree()
-			if c.crashing(alone, 1, key) {
-				t.Error("a node that knows itself cut off sent the message once more")
+			if c.runCrashing(alone, 1, key) {
+				t.Error("a node that knows of the partition sent the message again")
 			}
-			for _, each := range c.nodes[1:] {
-				wantVerdict(t, each, key, Allowed)
+			for _, member := range c.nodes[1:] {
+				wantVerdict(t, member, key, Allowed)
 			}
 			c.cut()
 			c.agree()
 			time.Sleep(3 * refreshInterval * time.Duration(len(c.nodes)))
-			for _, each := range c.nodes {
-				wantVerdict(t, each, key, Apart)
+			for _, member := range c.nodes {
+				wantVerdict(t, member, key, Apart)
 			}
 		})
 	}
@@ -186,29 +186,29 @@
 func TestHolderThatIsKilledCounts(t *testing.T) {
 	inCluster(t, 4, 4, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(50 * time.Millisecond)
 		keeper := keepers(c.nodes[0].view.View(), key)[0].ID
 		var holder, other *node
-		for _, each := range c.nodes {
-			if each.id == keeper {
+		for _, member := range c.nodes {
+			if member.id == keeper {
 				continue
 			}
-			holder, other = each, holder
+			holder, other = member, holder
 		}
 		if permit := holder.Admit(t.Context(), key); permit.Verdict() != Apart {
-			t.Fatalf("the holder has no grant: %s", permit.Verdict())
+			t.Fatalf("verdict at the holder is %s, want apart", permit.Verdict())
 		}
 		c.kill(holder)
 		c.agree()
-		time.Sleep(2 * grantTerm)
+		time.Sleep(2 * grantDuration)
 		permit := other.Admit(t.Context(), key)
 		defer permit.Release()
 		other.mutex.Lock()
-		ended, unseen := other.book.count(key), other.book.unseenEnds(key)
+		ended, unseen := other.evidence.endCount(key), other.evidence.unseenEndCount(key)
 		other.mutex.Unlock()
 		if ended != 1 || unseen != 1 {
-			t.Errorf("%d ends are counted and %d that nobody saw, want that of the replica and that of the run nobody saw end", ended, unseen)
+			t.Errorf("%d ends are counted and %d are unseen, want 1 and 1", ended, unseen)
 		}
 	})
 }
@@ -216,34 +216,34 @@
 func TestSuspectsWaitForEachOther(t *testing.T) {
 	inCluster(t, 3, 6, func(t *testing.T, c *cluster) {
 		key := keyOf("a")
-		c.crashing(c.nodes[0], 0, key)
+		c.runCrashing(c.nodes[0], 0, key)
 		time.Sleep(50 * time.Millisecond)
-		var atOnce, most int
+		var concurrent, maxConcurrent int
 		var mutex sync.Mutex
 		var all sync.WaitGroup
 		for number := range 9 {
-			at := c.nodes[number%3]
+			member := c.nodes[number%3]
 			all.Go(func() {
-				permit := at.Admit(t.Context(), key)
+				permit := member.Admit(t.Context(), key)
 				defer permit.Release()
 				if permit.Verdict() != Apart {
 					return
 				}
-				run := permit.Begin(c.handle(at, number%6), nil)
+				run := permit.Begin(c.handle(member, number%6), nil)
 				mutex.Lock()
-				atOnce++
-				most = max(most, atOnce)
+				concurrent++
+				maxConcurrent = max(maxConcurrent, concurrent)
 				mutex.Unlock()
 				time.Sleep(100 * time.Millisecond)
 				mutex.Lock()
-				atOnce--
+				concurrent--
 				mutex.Unlock()
 				run.End(t.Context(), Other)
 			})
 		}
 		all.Wait()
-		if most != 1 {
-			t.Errorf("%d runs of the suspect at once", most)
+		if maxConcurrent != 1 {
+			t.Errorf("%d runs of the suspect were under way at once, want 1", maxConcurrent)
 		}
 	})
 }
@@ -251,12 +251,12 @@
 func TestRecordedEndsAreRecalled(t *testing.T) {
 	inCluster(t, 3, 3, func(t *testing.T, c *cluster) {
 		key := keyOf("item")
-		c.nodes[0].Recall(key, recorded(1, 2), 0)
+		c.nodes[0].Recall(key, recordedEnds(1, 2), 0)
 		wantVerdict(t, c.nodes[0], key, Apart)
-		c.nodes[0].Recall(key, recorded(1, 2, 3), 0)
+		c.nodes[0].Recall(key, recordedEnds(1, 2, 3), 0)
 		time.Sleep(50 * time.Millisecond)
-		for _, each := range c.nodes {
-			wantVerdict(t, each, key, Rejected)
+		for _, member := range c.nodes {
+			wantVerdict(t, member, key, Rejected)
 		}
 	})
 }
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -16,51 +16,54 @@
 )
 
 const (
-	// noticeInterval is the least time between two notices of one node: what is learned meanwhile goes with the next.
+	// noticeInterval is the least time between two notices of one node; what is learned meanwhile is sent with the
+	// next.
 	noticeInterval = 10 * time.Millisecond
-	// repeatAfter is when a notice is sent once more, since one-way messages may be lost.
-	repeatAfter = 250 * time.Millisecond
-	// refreshInterval is how often a node with anything in its book sends all of it to one other, so that nodes that were cut off or
-	// started meanwhile come to know it.
+	// repeatDelay is the time after which a notice is sent once more, since one-way messages may be lost.
+	repeatDelay = 250 * time.Millisecond
+	// refreshInterval is how often a node that has any evidence sends all of it to one other node, so that nodes that
+	// were partitioned or started meanwhile learn of it.
 	refreshInterval = 2 * time.Second
-	// askCount is the number of nodes that a starting node asks, askTimeout the wait for one. The pause between rounds is askSoonInterval at first,
-	// askInterval from askSoon on, and refreshInterval from askLongest on.
-	askCount    = 3
+	// askedPeers is the number of nodes that a starting node asks for their evidence in each round, askTimeout the
+	// timeout for one of them. The pause between rounds is fastAskInterval until fastAskTime has passed, then
+	// askInterval until askTime has passed, then refreshInterval.
+	askedPeers  = 3
 	askInterval = 200 * time.Millisecond
-	// lookInterval is how often a node that knows no other looks for one.
-	lookInterval    = 10 * time.Millisecond
-	askTimeout      = 300 * time.Millisecond
-	askSoon         = 500 * time.Millisecond
-	askSoonInterval = 50 * time.Millisecond
-	askLongest      = 5 * time.Second
+	// peerPollInterval is how often a node that knows no other member checks for one.
+	peerPollInterval = 10 * time.Millisecond
+	askTimeout       = 300 * time.Millisecond
+	fastAskTime      = 500 * time.Millisecond
+	fastAskInterval  = 50 * time.Millisecond
+	askTime          = 5 * time.Second
 )
 
-// announce queues a message of an incident for the next notice to the other nodes. The mutex is held.
+// announce queues a message of an incident, or its losses with noReplica, for the next notice to the other nodes. The
+// mutex is held.
 func (s *Service) announce(ended replica.Key, key Key) {
-	note(s.outbox, ended, key)
-	subscription.Signal(s.news)
+	queueMessage(s.outbox, ended, key)
+	subscription.Signal(s.outboxChanged)
 }
 
-// note adds a message of an incident to outbox.
-func note(outbox map[replica.Key]map[Key]bool, ended replica.Key, key Key) {
+// queueMessage adds a message of an incident to outbox.
+func queueMessage(outbox map[replica.Key]map[Key]bool, ended replica.Key, key Key) {
 	if outbox[ended] == nil {
 		outbox[ended] = map[Key]bool{}
 	}
 	outbox[ended][key] = true
 }
 
-// share sends the other nodes what this node learns: in a notice soon after, in the same notice once more after repeatAfter, and the whole
-// book to one of them each refreshInterval.
+// share sends new evidence to the other nodes: in a notice soon after it is learned and in the same notice again after
+// repeatDelay. Each refreshInterval it sends all evidence to one node.
 func (s *Service) share() {
 	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
-	repeat := time.NewTimer(repeatAfter)
+	repeat := time.NewTimer(repeatDelay)
 	defer repeat.Stop()
 	for {
 		select {
-		case <-s.news:
+		case <-s.outboxChanged:
 			s.sendAll(s.takeOutbox(clock.Now()))
-			repeat.Reset(repeatAfter)
+			repeat.Reset(repeatDelay)
 			select {
 			case <-time.After(noticeInterval):
 			case <-s.ctx.Done():
@@ -76,21 +79,21 @@
 	}
 }
 
-// takeOutbox returns the notice of what was not sent yet, and keeps its content for the repeated one.
+// takeOutbox empties the outbox and returns its notice. It keeps the content for the repeated notice.
 func (s *Service) takeOutbox(now time.Time) *quarantinepb.Notice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	notice := s.noticeOf(s.outbox, now)
 	for ended, keys := range s.outbox {
 		for key := range keys {
-			note(s.repeats, ended, key)
+			queueMessage(s.repeats, ended, key)
 		}
 	}
 	clear(s.outbox)
 	return notice
 }
 
-// takeRepeats returns the notice of what was sent once.
+// takeRepeats returns the notice that repeats what was sent once.
 func (s *Service) takeRepeats(now time.Time) *quarantinepb.Notice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -99,24 +102,24 @@
 	return notice
 }
 
-// noticeOf returns what the book has of the given messages. The mutex is held.
-func (s *Service) noticeOf(of map[replica.Key]map[Key]bool, now time.Time) *quarantinepb.Notice {
+// noticeOf returns a notice with the evidence on the queued messages. The mutex is held.
+func (s *Service) noticeOf(queued map[replica.Key]map[Key]bool, now time.Time) *quarantinepb.Notice {
 	notice := &quarantinepb.Notice{}
-	for ended, keys := range of {
+	for ended, keys := range queued {
 		if ended == noReplica {
 			for key := range keys {
-				notice.Losses = append(notice.Losses, s.book.losses.encode(key, now)...)
+				notice.Losses = append(notice.Losses, s.evidence.losses.encode(key, now)...)
 			}
 			continue
 		}
-		known := s.book.incidents[ended]
-		if known == nil {
+		end := s.evidence.incidents[ended]
+		if end == nil {
 			continue
 		}
-		encoded := encodeHead(known, now)
+		encoded := encodeIncidentHead(end, now)
 		for key := range keys {
-			if each := known.suspects[key]; each != nil {
-				encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, each))
+			if suspected := end.suspects[key]; suspected != nil {
+				encoded.Suspects = append(encoded.Suspects, encodeSuspect(key, suspected))
 			}
 		}
 		notice.Incidents = append(notice.Incidents, encoded)
@@ -124,7 +127,7 @@
 	return notice
 }
 
-// sendAll queues a notice for all other nodes.
+// sendAll sends a notice to all other nodes that are not dead; an empty one is not sent.
 func (s *Service) sendAll(notice *quarantinepb.Notice) {
 	if len(notice.Incidents)+len(notice.Losses) == 0 {
 		return
@@ -137,7 +140,7 @@
 	}
 }
 
-// send queues a notice for one node. One that is lost is made up for by the repeated notice and by refresh.
+// send sends a notice to one node. The repeated notice and refresh make up for a lost one.
 func (s *Service) send(to netip.AddrPort, notice *quarantinepb.Notice) {
 	s.metrics.notices.Inc()
 	if err := s.caller.Send(to, methodNotice, notice); err != nil {
@@ -145,29 +148,29 @@
 	}
 }
 
-// refresh forgets what is old and sends the rest to one other node.
+// refresh drops expired evidence and sends the rest to one other node.
 func (s *Service) refresh(now time.Time) {
 	s.mutex.Lock()
-	s.book.forget(now)
-	s.forgetInquiries(now)
-	s.forgetGrants(now)
+	s.evidence.expire(now)
+	s.expireInquiries(now)
+	s.expireGrants(now)
 	for key := range s.rejected {
-		s.noteVerdict(key)
+		s.updateRejected(key)
 	}
-	s.metrics.note(s.book.counts())
-	notice := &quarantinepb.Notice{Incidents: s.book.all(now), Losses: s.book.losses.all(now)}
+	s.metrics.setMessages(s.evidence.verdictCounts())
+	notice := &quarantinepb.Notice{Incidents: s.evidence.encodeAll(now), Losses: s.evidence.losses.encodeApart(now)}
 	s.mutex.Unlock()
 	if len(notice.Incidents)+len(notice.Losses) == 0 {
 		return
 	}
-	others := s.others()
-	if len(others) > 0 {
-		s.send(others[0].PeerAddress, notice)
+	peers := s.shuffledPeers()
+	if len(peers) > 0 {
+		s.send(peers[0].PeerAddress, notice)
 	}
 }
 
-// others returns the living members without this node, in random order.
-func (s *Service) others() []membership.Member {
+// shuffledPeers returns the live members except this node, in random order.
+func (s *Service) shuffledPeers() []membership.Member {
 	view := s.viewer.View()
 	var found []membership.Member
 	for _, member := range view.Live() {
@@ -179,61 +182,63 @@
 	return found
 }
 
-// askOthers asks a few nodes for their books, until this node knows what was rejected before its start: it may have been started again after it
-// had seen replicas end, alone or together with all others.
-func (s *Service) askOthers() {
-	s.awaitOthers()
-	for began := clock.Now(); ; {
-		asked := clock.Since(began)
-		if asked >= askLongest && s.store == nil {
+// askPeers asks a few nodes for their evidence until this node knows which messages were rejected before its start. It
+// may have restarted after observing ends of replicas, alone or together with all other nodes.
+func (s *Service) askPeers() {
+	s.awaitPeers()
+	for startedAt := clock.Now(); ; {
+		askedFor := clock.Since(startedAt)
+		if askedFor >= askTime && s.store == nil {
 			return
 		}
-		others := s.others()
-		for _, other := range others[:min(askCount, len(others))] {
-			s.ask(other.PeerAddress)
+		peers := s.shuffledPeers()
+		for _, peer := range peers[:min(askedPeers, len(peers))] {
+			s.askPeer(peer.PeerAddress)
 		}
-		if !s.isComplete() && s.readsRecords(asked) {
+		if !s.isComplete() && s.shouldReadRecords(askedFor) {
 			s.readRecords()
 		}
 		if s.isComplete() {
 			return
 		}
-		if !pause.Sleep(s.ctx, askAgainAfter(asked)) {
+		if !pause.Sleep(s.ctx, askPause(askedFor)) {
 			return
 		}
 	}
 }
 
-// askAgainAfter returns the pause before others are asked again. Callers come to a node as soon as it has started, and the others may have started with it.
-func askAgainAfter(asked time.Duration) time.Duration {
+// askPause returns the pause before other nodes are asked again. It is short at first: callers arrive as soon as a node
+// has started, and the other nodes may have started with it.
+func askPause(askedFor time.Duration) time.Duration {
 	switch {
-	case asked < askSoon:
-		return askSoonInterval
-	case asked < askLongest:
+	case askedFor < fastAskTime:
+		return fastAskInterval
+	case askedFor < askTime:
 		return askInterval
 	default:
 		return refreshInterval
 	}
 }
 
-// awaitOthers waits until another member is known, for askInterval at most: a node that has just started knows none, and callers come at once.
-func (s *Service) awaitOthers() {
-	for began := clock.Now(); clock.Since(began) < askInterval && s.ctx.Err() == nil; {
-		if len(s.others()) > 0 || !pause.Sleep(s.ctx, lookInterval) {
+// awaitPeers waits until another member is known, for at most askInterval: a node that has just started knows none, and
+// callers arrive at once.
+func (s *Service) awaitPeers() {
+	for startedAt := clock.Now(); clock.Since(startedAt) < askInterval && s.ctx.Err() == nil; {
+		if len(s.shuffledPeers()) > 0 || !pause.Sleep(s.ctx, peerPollInterval) {
 			return
 		}
 	}
 }
 
-// isComplete says that this node knows the messages that were rejected before all nodes were killed.
+// isComplete reports whether this node knows the messages that were rejected before all nodes were killed.
 func (s *Service) isComplete() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.complete
 }
 
-// ask takes in the book of one node.
-func (s *Service) ask(address netip.AddrPort) {
+// askPeer merges the evidence of one node.
+func (s *Service) askPeer(address netip.AddrPort) {
 	bounded, cancel := context.WithTimeout(s.ctx, askTimeout)
 	defer cancel()
 	var response quarantinepb.ListResponse
--- /dev/null
+++ b/internal/quarantine/stable.go
@@ -0,0 +1,62 @@
+package quarantine
+
+import (
+	"time"
+
+	"github.com/sloelift/sloelift/internal/clock"
+	"github.com/sloelift/sloelift/internal/replica"
+)
+
+const (
+	// stableWindow is the time over which ends of replicas are counted: several times that in which most items progress
+	// past the point at which an earlier run ended.
+	stableWindow = 5 * time.Second
+	// stableReplicasPerEnd is the number of a service's replicas for each of which one end within stableWindow is
+	// tolerated while the service counts as stable. With fewer replicas no end is tolerated.
+	stableReplicasPerEnd = 50
+)
+
+// isStable reports whether at most one in stableReplicasPerEnd of a service's replicas ended within stableWindow. Ends
+// whose time nobody observed are ignored: they say nothing about the present.
+func (e *evidenceStore) isStable(service string, replicas int, now time.Time) bool {
+	ended := 0
+	for _, end := range e.incidents {
+		if end.mayConcern(service) && !end.timeAssumed && now.Sub(end.learnedAt) < stableWindow {
+			ended++
+		}
+	}
+	return ended*stableReplicasPerEnd <= replicas
+}
+
+// mayConcern reports whether the replica belonged to the service or its service is unknown.
+func (i *incident) mayConcern(service string) bool { return i.service == "" || i.service == service }
+
+// setService sets the service of an ended replica if it is not known yet.
+func (e *evidenceStore) setService(ended replica.Key, service string) {
+	if known := e.incidents[ended]; known != nil && known.service == "" {
+		known.service = service
+	}
+}
+
+// Calm implements ItemRegister. For stableWindow after its start a node reports false: it may not know yet which
+// replicas ended before.
+func (s *Service) Calm(service string) bool {
+	now, replicas := clock.Now(), len(s.directory.View().Of(service))
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return now.Sub(s.startedAt) >= stableWindow && s.evidence.isStable(service, replicas, now)
+}
+
+// Counts implements ItemRegister.
+func (s *Service) Counts(key Key) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.evidence.verdict(key) != Allowed || s.evidence.endCount(key) > 0
+}
+
+// Decides implements ItemRegister.
+func (s *Service) Decides(key Key) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.evidence.verdict(key) == Apart && s.evidence.nextEndRejects(key)
+}
