--- a/internal/admission/cluster_test.go
+++ b/internal/admission/cluster_test.go
@@ -29,20 +29,21 @@
 	clusterDelay      = time.Millisecond
 )
 
-// cluster is three nodes in two zones before four replicas, on virtual time.
+// cluster is three nodes in two zones with four replicas, on virtual time. It implements the
+// interfaces that the nodes depend on.
 type cluster struct {
-	engine.Client // only the calls below are used
+	engine.Client // only the methods implemented below are called
 	t             *testing.T
 	network       *memory.Network
 	nodes         []*clusterNode
-	// mutex guards all below.
-	mutex   sync.Mutex
-	view    *membership.View
-	viewers []func(*membership.View)
-	online  map[string]int
-	batch   map[string]int
-	leaving map[string]bool
-	// completed counts the batch items that ended whole.
+	// mutex guards the fields below.
+	mutex       sync.Mutex
+	view        *membership.View
+	subscribers []func(*membership.View)
+	online      map[string]int
+	batch       map[string]int
+	leaving     map[string]bool
+	// completed counts the batch items that ran to their end.
 	completed map[string]int
 }
 
@@ -83,17 +84,18 @@
 
 func (c *cluster) newNode(member membership.Member) *clusterNode {
 	registry := prometheus.NewRegistry()
-	end, err := memory.NewTransport(c.network, member.PeerAddress, registry)
+	nodeTransport, err := memory.NewTransport(c.network, member.PeerAddress, registry)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	own := settings.Settings{Node: string(member.ID), Zone: member.Zone, PeerAddress: member.PeerAddress}
-	node := &clusterNode{cluster: c, id: string(member.ID), transport: end}
-	node.fleet = fleet.NewService(fleet.DefaultOptions(), own, c, c, c, end, zerolog.Nop())
-	node.fleet.Register(end)
+	nodeSettings := settings.Settings{Node: string(member.ID), Zone: member.Zone, PeerAddress: member.PeerAddress}
+	node := &clusterNode{cluster: c, id: string(member.ID), transport: nodeTransport}
+	node.fleet = fleet.NewService(fleet.DefaultOptions(), nodeSettings, c, c, c, nodeTransport, zerolog.Nop())
+	node.fleet.Register(nodeTransport)
 	node.router = routing.New(routing.DefaultOptions(), node.fleet, "", member.Zone, registry)
-	node.credits = NewCreditService(DefaultOptions(), own, node.fleet, node.router, c, clusterConfig{clusterBatchLimit}, end, registry, zerolog.Nop())
-	node.credits.Register(end)
+	node.credits = NewCreditService(DefaultOptions(), nodeSettings, node.fleet, node.router, c,
+		clusterConfig{clusterBatchLimit}, nodeTransport, registry, zerolog.Nop())
+	node.credits.Register(nodeTransport)
 	node.router.ObserveOnline(node.credits.onlineStarted)
 	return node
 }
@@ -103,7 +105,7 @@
 	n.fleet.Stop()
 }
 
-// stop ends all nodes, then, once nothing is on the way, the network's ends.
+// stop stops all nodes and then, when no message is in flight any more, their transports.
 func (c *cluster) stop() {
 	for _, node := range c.nodes {
 		node.stop()
@@ -114,15 +116,15 @@
 	}
 }
 
-// cut loses every frame from and to a node.
-func (c *cluster) cut(node *clusterNode) {
-	lost := node.transport.Address()
+// partition cuts a node off the network.
+func (c *cluster) partition(node *clusterNode) {
+	address := node.transport.Address()
 	c.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-		return memory.Conditions{Delay: clusterDelay, Cut: from == lost || to == lost}
+		return memory.Conditions{Delay: clusterDelay, Cut: from == address || to == address}
 	})
 }
 
-// View, Subscribe, Load and the others are the ports that a node uses.
+// View implements membership.Viewer.
 func (c *cluster) View() *membership.View {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -132,7 +134,7 @@
 func (c *cluster) Subscribe(notify func(*membership.View)) (unsubscribe func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.viewers = append(c.viewers, notify)
+	c.subscribers = append(c.subscribers, notify)
 	return func() {}
 }
 
@@ -170,7 +172,8 @@
 
 func (clusterConfig) Subscribe(func(*config.Snapshot)) (unsubscribe func()) { return func() {} }
 
-// runItems runs batch items at each node until ctx ends, each for itemTime or until its credit is revoked.
+// runItems keeps perNode batch items running or waiting at each node until ctx ends. An item
+// runs for itemTime or until its credit is revoked.
 func (c *cluster) runItems(ctx context.Context, perNode int) (wait func()) {
 	var running sync.WaitGroup
 	for _, node := range c.nodes {
@@ -194,16 +197,17 @@
 	}
 	defer credit.Release()
 	replica := credit.Decision.Endpoint.Replica
-	n.cluster.change(n.cluster.batch, replica, 1)
-	defer n.cluster.change(n.cluster.batch, replica, -1)
+	n.cluster.adjust(n.cluster.batch, replica, 1)
+	defer n.cluster.adjust(n.cluster.batch, replica, -1)
 	select {
 	case <-time.After(itemTime):
-		n.cluster.change(n.cluster.completed, replica, 1)
+		n.cluster.adjust(n.cluster.completed, replica, 1)
 	case <-credit.Revoked:
 	}
 }
 
-func (c *cluster) change(counts map[string]int, replica string, delta int) {
+// adjust changes the count of a replica and checks its batch limit.
+func (c *cluster) adjust(counts map[string]int, replica string, delta int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	counts[replica] += delta
@@ -218,8 +222,8 @@
 	return counts[replica]
 }
 
-// expectThroughput checks that batch items complete at nine tenths of the rate at
-// which the replicas' batch slots could run them, over a number of rounds.
+// expectThroughput checks that each replica completes batch items at 90 % or more of the rate
+// that its batch slots allow.
 func (c *cluster) expectThroughput(replicas ...string) {
 	c.t.Helper()
 	const rounds = 20
@@ -242,15 +246,16 @@
 		wait := c.runItems(ctx, 20)
 		time.Sleep(2 * time.Second)
 		c.expectThroughput("r0", "r1", "r2", "r3")
-		// A burst at one gateway fills every slot; reports come only each 100 ms.
+		// A burst at one gateway fills every slot. Load reports come only every 100 ms, so batch
+		// must yield to the online signals.
 		var releases []func()
 		for range 4 * clusterSlots {
 			decision, done, err := c.nodes[2].router.Pick(routing.Request{Service: "chat"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.change(c.online, decision.Endpoint.Replica, 1)
-			releases = append(releases, func() { c.change(c.online, decision.Endpoint.Replica, -1); done() })
+			c.adjust(c.online, decision.Endpoint.Replica, 1)
+			releases = append(releases, func() { c.adjust(c.online, decision.Endpoint.Replica, -1); done() })
 		}
 		time.Sleep(20 * time.Millisecond)
 		for _, replica := range []string{"r0", "r1", "r2", "r3"} {
@@ -303,8 +308,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		wait := c.runItems(ctx, 20)
 		time.Sleep(time.Second)
-		lost := c.nodes[2] // the only node of its zone, so home of r2 and r3
-		c.cut(lost)
+		lost := c.nodes[2] // the only node of its zone, hence the home of r2 and r3
+		c.partition(lost)
 		lost.stop()
 		time.Sleep(DefaultOptions().TimeToLive + 100*time.Millisecond)
 		if batch := c.count(c.batch, "r2") + c.count(c.batch, "r3"); batch != 0 {
@@ -314,7 +319,7 @@
 		members := append([]membership.Member(nil), c.view.Members...)
 		members[2].State = membership.Dead
 		c.view = &membership.View{Version: 2, Members: members}
-		viewers := c.viewers
+		viewers := c.subscribers
 		c.mutex.Unlock()
 		for _, notify := range viewers {
 			notify(c.view)
--- a/internal/admission/credit_events.go
+++ b/internal/admission/credit_events.go
@@ -7,55 +7,57 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// event is an input of homeState.step or requesterState.step.
+// event is an input of homeState.step or requesterState.step. Each state ignores the events
+// of the other.
 type event interface{ isEvent() }
 
-// action is an output of a step.
+// action is an effect that a step requests; CreditService.execute carries it out.
 type action interface{ isAction() }
 
-// homedReplica is a replica that this node grants credits for.
+// homedReplica is a replica whose credits this node grants.
 type homedReplica struct {
 	id      string
 	service string
 	// batchLimit is the service's BatchConcurrentPerReplica.
 	batchLimit int
-	// closed: the replica is leaving, draining or failing, and takes nothing new; what runs
-	// there runs to its end.
+	// closed is set while the replica is leaving, draining or failing. It gets no new
+	// credits; items that run there finish.
 	closed bool
-	// lost: the replica is unreachable, or no longer this home's.
+	// lost is set when the replica is unreachable or has another home node. Its credits are
+	// revoked.
 	lost bool
 }
 
 // Events of the home node.
 type (
-	// homesChanged replaces the set of homed replicas.
-	homesChanged struct{ replicas []homedReplica }
-	// loadHeard is a report of a homed replica.
-	loadHeard struct {
-		replica string
-		report  engine.LoadReport
-		heardAt time.Time
+	// homedReplicasChanged carries the new set of homed replicas.
+	homedReplicasChanged struct{ replicas []homedReplica }
+	// loadReported carries a load report of a replica; receivedAt is on this node's clock.
+	loadReported struct {
+		replica    string
+		report     engine.LoadReport
+		receivedAt time.Time
 	}
-	// demandHeard is what a node has waiting.
-	demandHeard struct{ demand *admissionpb.Demand }
-	// renewHeard asks to extend credits; reply gets the answer and has room for it.
-	renewHeard struct {
+	// demandReceived carries the batch items that wait at a requester.
+	demandReceived struct{ demand *admissionpb.Demand }
+	// renewReceived is a requester's call to renew credits. reply is buffered for one response.
+	renewReceived struct {
 		request *admissionpb.RenewRequest
 		reply   chan<- *admissionpb.RenewResponse
 	}
-	// releaseHeard gives credits back.
-	releaseHeard struct{ release *admissionpb.Release }
-	// onlineHeard tells of online requests that start on homed replicas.
-	onlineHeard struct{ started *admissionpb.OnlineStarted }
-	// grantAnswered is the requester's answer; lost means that there was none. Credits
-	// that surely did not reach it are declined.
-	grantAnswered struct {
+	// releaseReceived returns credits.
+	releaseReceived struct{ release *admissionpb.Release }
+	// onlineStartsReceived counts online requests that nodes have just sent to homed replicas.
+	onlineStartsReceived struct{ started *admissionpb.OnlineStarted }
+	// grantReplied is the result of a grant call. noReply is set if the call failed. declined
+	// lists the credits that the requester refused or that cannot have reached it.
+	grantReplied struct {
 		requester string
 		declined  []uint64
-		lost      bool
+		noReply   bool
 	}
-	// ticked is the passing of time.
-	ticked struct{}
+	// tick is sent every creditTickInterval, for timeouts.
+	tick struct{}
 )
 
 // Actions of the home node.
@@ -65,39 +67,39 @@
 		requester string
 		request   *admissionpb.GrantRequest
 	}
-	// sendRevoke takes credits back from a requester.
+	// sendRevoke revokes credits of a requester.
 	sendRevoke struct {
 		requester string
 		revoke    *admissionpb.Revoke
 	}
-	// noteRevoked tells operators that credits of a replica are taken back.
-	noteRevoked struct {
+	// recordRevocation logs that credits of a replica are revoked.
+	recordRevocation struct {
 		replica string
 		count   int
 		online  int
 		reason  revokeReason
 	}
-	// answerRenew answers a renewHeard.
-	answerRenew struct {
+	// replyRenew responds to a renewReceived.
+	replyRenew struct {
 		reply    chan<- *admissionpb.RenewResponse
 		response *admissionpb.RenewResponse
 	}
 )
 
-// revokeReason is why credits are taken back.
+// revokeReason is the reason of a revocation, as it is logged.
 type revokeReason string
 
 // Reasons of a revocation.
 const (
-	// revokedForOnline: online requests need the slots.
+	// revokedForOnline means that online requests need the slots.
 	revokedForOnline revokeReason = "online"
-	// revokedWithoutReport: the replica's load is not known any more.
+	// revokedWithoutReport means that the last load report is missing or stale.
 	revokedWithoutReport revokeReason = "no_report"
-	// revokedLost: the replica is unreachable or another node's.
+	// revokedLost means that the replica is unreachable or has another home node.
 	revokedLost revokeReason = "lost"
 )
 
-// creditKey names a credit among all nodes and their restarts.
+// creditKey identifies a credit across all nodes. epoch is the incarnation of the home node.
 type creditKey struct {
 	home   string
 	epoch  uint64
@@ -106,29 +108,31 @@
 
 // Events of the requester.
 type (
-	// itemWaits is a batch item that needs a credit.
-	itemWaits struct {
+	// itemQueued adds a batch item to those that wait for a credit.
+	itemQueued struct {
 		item    uint64
 		request *BatchRequest
 	}
-	// itemLeaves is an item that no longer waits.
-	itemLeaves struct{ item uint64 }
-	// creditEnded is an item that has ended or left its replica.
-	creditEnded struct{ key creditKey }
-	// grantsHeard offers credits; reply gets those declined and has room for them.
-	grantsHeard struct {
+	// itemCancelled removes a waiting item.
+	itemCancelled struct{ item uint64 }
+	// creditReturned reports that the item that used the credit has ended or left its replica.
+	creditReturned struct{ key creditKey }
+	// grantsReceived is a home node's call that offers credits. reply is buffered for one
+	// response, which lists the declined ones.
+	grantsReceived struct {
 		request *admissionpb.GrantRequest
 		reply   chan<- *admissionpb.GrantResponse
 	}
-	// revokeHeard takes credits back.
-	revokeHeard struct{ revoke *admissionpb.Revoke }
-	// renewAnswered is a home node's answer; response is nil where there was none.
-	renewAnswered struct {
-		home     string
-		epoch    uint64
-		sentAt   time.Time
-		asked    []uint64
-		response *admissionpb.RenewResponse
+	// revokeReceived revokes credits.
+	revokeReceived struct{ revoke *admissionpb.Revoke }
+	// renewReplied is the result of a renew call for the requested credits, which was sent at
+	// sentAt. response is nil if the call failed.
+	renewReplied struct {
+		home      string
+		epoch     uint64
+		sentAt    time.Time
+		requested []uint64
+		response  *admissionpb.RenewResponse
 	}
 )
 
@@ -141,55 +145,55 @@
 		replica string
 		expires time.Time
 	}
-	// takeCredit tells an item to leave its replica at once.
-	takeCredit struct{ key creditKey }
-	// noteLapsed tells operators that a credit ended without a renewal or a revocation.
-	noteLapsed struct {
+	// withdrawCredit tells an item to leave its replica immediately.
+	withdrawCredit struct{ key creditKey }
+	// recordLapse logs and counts a credit that expired without a renewal or a revocation.
+	recordLapse struct {
 		key     creditKey
 		replica string
 	}
-	// answerGrants answers a grantsHeard.
-	answerGrants struct {
+	// replyGrants responds to a grantsReceived.
+	replyGrants struct {
 		reply    chan<- *admissionpb.GrantResponse
 		response *admissionpb.GrantResponse
 	}
-	// sendDemand announces waiting items to home nodes that may have room.
+	// sendDemand announces waiting items to home nodes that may have free slots.
 	sendDemand struct{ demand *admissionpb.Demand }
-	// sendRenew asks a home node to extend credits.
+	// sendRenew asks a home node to renew credits.
 	sendRenew struct {
 		home    string
 		request *admissionpb.RenewRequest
 	}
-	// sendRelease gives credits back.
+	// sendRelease returns credits to their home node.
 	sendRelease struct {
 		home    string
 		release *admissionpb.Release
 	}
 )
 
-func (homesChanged) isEvent()  {}
-func (loadHeard) isEvent()     {}
-func (demandHeard) isEvent()   {}
-func (renewHeard) isEvent()    {}
-func (releaseHeard) isEvent()  {}
-func (onlineHeard) isEvent()   {}
-func (grantAnswered) isEvent() {}
-func (ticked) isEvent()        {}
-func (itemWaits) isEvent()     {}
-func (itemLeaves) isEvent()    {}
-func (creditEnded) isEvent()   {}
-func (grantsHeard) isEvent()   {}
-func (revokeHeard) isEvent()   {}
-func (renewAnswered) isEvent() {}
+func (homedReplicasChanged) isEvent() {}
+func (loadReported) isEvent()         {}
+func (demandReceived) isEvent()       {}
+func (renewReceived) isEvent()        {}
+func (releaseReceived) isEvent()      {}
+func (onlineStartsReceived) isEvent() {}
+func (grantReplied) isEvent()         {}
+func (tick) isEvent()                 {}
+func (itemQueued) isEvent()           {}
+func (itemCancelled) isEvent()        {}
+func (creditReturned) isEvent()       {}
+func (grantsReceived) isEvent()       {}
+func (revokeReceived) isEvent()       {}
+func (renewReplied) isEvent()         {}
 
-func (sendGrants) isAction()    {}
-func (sendRevoke) isAction()    {}
-func (noteRevoked) isAction()   {}
-func (noteLapsed) isAction()    {}
-func (answerRenew) isAction()   {}
-func (deliverCredit) isAction() {}
-func (takeCredit) isAction()    {}
-func (answerGrants) isAction()  {}
-func (sendDemand) isAction()    {}
-func (sendRenew) isAction()     {}
-func (sendRelease) isAction()   {}
+func (sendGrants) isAction()       {}
+func (sendRevoke) isAction()       {}
+func (recordRevocation) isAction() {}
+func (recordLapse) isAction()      {}
+func (replyRenew) isAction()       {}
+func (deliverCredit) isAction()    {}
+func (withdrawCredit) isAction()   {}
+func (replyGrants) isAction()      {}
+func (sendDemand) isAction()       {}
+func (sendRenew) isAction()        {}
+func (sendRelease) isAction()      {}
--- a/internal/admission/credit_grant.go
+++ b/internal/admission/credit_grant.go
@@ -11,62 +11,66 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// requesterDemand is what one node has waiting, as it last told.
+// requesterDemand is the latest announcement of one requester.
 type requesterDemand struct {
-	sequence uint64
-	heardAt  time.Time
-	groups   []*admissionpb.DemandGroup
+	sequence   uint64
+	receivedAt time.Time
+	groups     []*admissionpb.DemandGroup
 }
 
+// onDemand stores an announcement. One that does not have a higher sequence number than the
+// stored one is ignored, unless the stored one has lapsed: a requester that restarts numbers
+// its announcements from 1 again.
 func (h *homeState) onDemand(now time.Time, demand *admissionpb.Demand) {
 	known := h.demands[demand.GetRequester()]
-	if known != nil && known.sequence >= demand.GetSequence() && now.Sub(known.heardAt) < 2*h.options.DemandRefresh {
+	if known != nil && known.sequence >= demand.GetSequence() && now.Sub(known.receivedAt) < 2*h.options.DemandRefresh {
 		return
 	}
 	h.demands[demand.GetRequester()] = &requesterDemand{
-		sequence: demand.GetSequence(), heardAt: now, groups: demand.GetGroups(),
+		sequence: demand.GetSequence(), receivedAt: now, groups: demand.GetGroups(),
 	}
 }
 
-// waitingGroup is a group of items that wait at one node.
+// waitingGroup is a group of like items that wait at one requester.
 type waitingGroup struct {
-	requester string
-	heardAt   time.Time
-	group     *admissionpb.DemandGroup
-	urgency   int
+	requester  string
+	receivedAt time.Time
+	group      *admissionpb.DemandGroup
+	slackClass int
 }
 
-// grant offers what is idle to those who wait, in order.
+// grant offers the idle capacity of each replica to the waiting groups, in order of precedes.
 func (h *homeState) grant(now time.Time) []action {
 	groups := h.waitingGroups(now)
 	if len(groups) == 0 {
 		return nil
 	}
-	offers := make(map[string]*admissionpb.GrantRequest)
+	requests := make(map[string]*admissionpb.GrantRequest)
 	for _, replica := range h.sortedReplicas() {
-		room, _ := replica.capacity(now, &h.options)
-		for room -= replica.out; room > 0 && h.mayStart(now, replica); room-- {
-			chosen := h.choose(now, groups, replica)
+		free, _ := replica.capacity(now, &h.options)
+		for free -= replica.outstanding; free > 0 && h.startIntervalElapsed(now, replica); free-- {
+			chosen := h.selectGroup(now, groups, replica)
 			if chosen == nil {
 				break
 			}
 			chosen.group.Count--
-			h.offer(now, offers, chosen, replica)
+			h.addGrant(now, requests, chosen, replica)
 		}
 	}
-	actions := make([]action, 0, len(offers))
-	for _, requester := range slices.Sorted(maps.Keys(offers)) {
-		actions = append(actions, sendGrants{requester: requester, request: offers[requester]})
+	actions := make([]action, 0, len(requests))
+	for _, requester := range slices.Sorted(maps.Keys(requests)) {
+		actions = append(actions, sendGrants{requester: requester, request: requests[requester]})
 	}
 	return actions
 }
 
-// mayStart says whether enough time has passed since the last new credit on a replica.
-func (h *homeState) mayStart(now time.Time, replica *replicaState) bool {
+// startIntervalElapsed reports whether the replica may get another new credit. Only
+// PolicySloelift spaces new credits.
+func (h *homeState) startIntervalElapsed(now time.Time, replica *replicaState) bool {
 	return h.options.Policy != routing.PolicySloelift || !now.Before(replica.nextStart)
 }
 
-// waitingGroups lists the groups that still wait.
+// waitingGroups returns the groups that have items without a credit.
 func (h *homeState) waitingGroups(now time.Time) []*waitingGroup {
 	var groups []*waitingGroup
 	for _, requester := range slices.Sorted(maps.Keys(h.demands)) {
@@ -74,8 +78,8 @@
 		for _, group := range demand.groups {
 			if group.GetCount() > 0 {
 				groups = append(groups, &waitingGroup{
-					requester: requester, heardAt: demand.heardAt, group: group,
-					urgency: urgency(now, time.UnixMilli(int64(group.GetDeadlineUnixMillis()))),
+					requester: requester, receivedAt: demand.receivedAt, group: group,
+					slackClass: slackClass(now, time.UnixMilli(int64(group.GetDeadlineUnixMillis()))),
 				})
 			}
 		}
@@ -83,13 +87,13 @@
 	return groups
 }
 
-// infeasible is the urgency of an item that can't make its deadline any more: it goes
-// behind all that can.
+// infeasible is the slack class of an item whose deadline has passed. It sorts after all
+// other classes.
 const infeasible = math.MaxInt
 
-// urgency puts deadlines into classes of similar slack, so that owners can share
-// fairly inside a class; a lower value is more urgent.
-func urgency(now, deadline time.Time) int {
+// slackClass maps a deadline to a logarithmic class of the time left until then; a lower
+// class is more urgent. Tenants share capacity fairly within a class.
+func slackClass(now, deadline time.Time) int {
 	slack := deadline.Sub(now)
 	if slack <= 0 {
 		return infeasible
@@ -98,8 +102,8 @@
 	return int(math.Floor(classesPerDoubling * math.Log2(slack.Seconds())))
 }
 
-// sortedReplicas lists those with a report: first those with the fewest online requests, and
-// of those the ones with the fewest credits out.
+// sortedReplicas returns the replicas that have a load report, ordered by online requests,
+// then by outstanding credits, fewest first.
 func (h *homeState) sortedReplicas() []*replicaState {
 	replicas := make([]*replicaState, 0, len(h.replicas))
 	for _, replica := range h.replicas {
@@ -110,92 +114,100 @@
 	slices.SortFunc(replicas, func(a, b *replicaState) int {
 		return cmp.Or(
 			cmp.Compare(a.online(&h.options), b.online(&h.options)),
-			cmp.Compare(a.out, b.out),
+			cmp.Compare(a.outstanding, b.outstanding),
 			cmp.Compare(a.id, b.id),
 		)
 	})
 	return replicas
 }
 
-// choose returns the group that the next credit on a replica goes to, or nil.
-func (h *homeState) choose(now time.Time, groups []*waitingGroup, replica *replicaState) *waitingGroup {
+// selectGroup returns the group that gets the next credit on a replica, or nil if no group
+// can use one.
+func (h *homeState) selectGroup(now time.Time, groups []*waitingGroup, replica *replicaState) *waitingGroup {
 	var best *waitingGroup
-	for _, one := range groups {
-		if one.group.GetCount() == 0 || one.group.GetService() != replica.service {
+	for _, candidate := range groups {
+		if candidate.group.GetCount() == 0 || candidate.group.GetService() != replica.service {
 			continue
 		}
-		if _, paused := h.pauses[declinedPair{one.requester, replica.id}]; paused {
+		if _, paused := h.declinedUntil[requesterReplica{candidate.requester, replica.id}]; paused {
 			continue
 		}
-		if !routing.Serves(&replica.report, one.group.GetModel(), one.group.GetAdapter()) {
+		if !routing.Serves(&replica.report, candidate.group.GetModel(), candidate.group.GetAdapter()) {
 			continue
 		}
-		if best == nil || h.before(now, one, best, replica) {
-			best = one
+		if best == nil || h.precedes(now, candidate, best, replica) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// before orders by rank, then earliest feasible deadline, then the owner with far fewer
-// credits out, then a prompt beginning that the replica holds or is preferred for, then the
-// node with the fewest credits. PolicyFIFO takes who asked first.
-func (h *homeState) before(now time.Time, a, b *waitingGroup, replica *replicaState) bool {
+// precedes reports whether group a is served before group b on a replica. It compares, in
+// this order: rank (higher first), slack class (less slack first), outstanding credits of the
+// tenant (fewer first, if they differ by more than FairnessSlack), prefix affinity to the
+// replica (higher first), and outstanding credits of the requester (fewer first). Under
+// PolicyFIFO the earlier announcement precedes.
+func (h *homeState) precedes(now time.Time, a, b *waitingGroup, replica *replicaState) bool {
 	if h.options.Policy == routing.PolicyFIFO {
-		return cmp.Or(a.heardAt.Compare(b.heardAt), cmp.Compare(a.requester, b.requester)) < 0
+		return cmp.Or(a.receivedAt.Compare(b.receivedAt), cmp.Compare(a.requester, b.requester)) < 0
 	}
-	tenants := h.outByTenant[a.group.GetTenant()] - h.outByTenant[b.group.GetTenant()]
-	if max(tenants, -tenants) <= h.options.FairnessSlack {
-		tenants = 0
+	tenantDifference := h.outstandingByTenant[a.group.GetTenant()] - h.outstandingByTenant[b.group.GetTenant()]
+	if max(tenantDifference, -tenantDifference) <= h.options.FairnessSlack {
+		tenantDifference = 0
 	}
 	return cmp.Or(
 		cmp.Compare(b.group.GetRank(), a.group.GetRank()),
-		cmp.Compare(a.urgency, b.urgency),
-		tenants,
-		cmp.Compare(h.affinity(now, b, replica), h.affinity(now, a, replica)),
-		cmp.Compare(h.outByNode[a.requester], h.outByNode[b.requester]),
+		cmp.Compare(a.slackClass, b.slackClass),
+		tenantDifference,
+		cmp.Compare(h.prefixAffinity(now, b, replica), h.prefixAffinity(now, a, replica)),
+		cmp.Compare(h.outstandingByNode[a.requester], h.outstandingByNode[b.requester]),
 		cmp.Compare(a.requester, b.requester),
 	) < 0
 }
 
-// affinity orders groups for a replica by the beginning of their prompts; higher is better.
-func (h *homeState) affinity(now time.Time, waiting *waitingGroup, replica *replicaState) uint64 {
+// prefixAffinity rates how well the prompt prefix of a group suits a replica; higher is
+// better. A prefix that the replica should have cached rates highest; others rate by
+// rendezvous hashing, and prompts without a prefix rate 0.
+func (h *homeState) prefixAffinity(now time.Time, waiting *waitingGroup, replica *replicaState) uint64 {
 	prefix := waiting.group.GetPrefix()
 	switch {
 	case prefix == 0:
 		return 0
-	case replica.holds(now, prefix, &h.options):
+	case replica.hasCachedPrefix(now, prefix, &h.options):
 		return math.MaxUint64
 	default:
 		return routing.Affinity(prefix, replica.id)
 	}
 }
 
-func (h *homeState) offer(now time.Time, offers map[string]*admissionpb.GrantRequest, to *waitingGroup, replica *replicaState) {
-	h.last++
+// addGrant creates a credit for an item of the waiting group and adds it to the request for
+// the group's requester.
+func (h *homeState) addGrant(now time.Time, requests map[string]*admissionpb.GrantRequest, waiting *waitingGroup, replica *replicaState) {
+	h.lastCreditID++
 	credit := &grantedCredit{
-		id: h.last, requester: to.requester, tenant: to.group.GetTenant(), replica: replica,
-		rank:    int(to.group.GetRank()),
-		expires: now.Add(grantAllowance + h.options.TimeToLive + h.options.ExpirySlack),
+		id: h.lastCreditID, requester: waiting.requester, tenant: waiting.group.GetTenant(), replica: replica,
+		rank:    int(waiting.group.GetRank()),
+		expires: now.Add(grantCallTimeout + h.options.TimeToLive + h.options.ExpirySlack),
 	}
 	h.credits[credit.id] = credit
 	replica.nextStart = now.Add(replica.startInterval(&h.options))
-	if prefix := to.group.GetPrefix(); prefix != 0 {
-		replica.prefixes[prefix] = now
+	if prefix := waiting.group.GetPrefix(); prefix != 0 {
+		replica.prefixGrantedAt[prefix] = now
 	}
-	h.count(credit, 1)
-	replica.outPeaks.note(now, replica.out)
-	request := offers[to.requester]
+	h.adjustOutstanding(credit, 1)
+	replica.outstandingPeak.record(now, replica.outstanding)
+	request := requests[waiting.requester]
 	if request == nil {
 		request = &admissionpb.GrantRequest{Home: h.node, Epoch: h.epoch}
-		offers[to.requester] = request
+		requests[waiting.requester] = request
 	}
 	request.Grants = append(request.Grants, &admissionpb.Grant{
 		Credit: credit.id, Replica: replica.id, TimeToLiveMicros: uint64(h.options.TimeToLive.Microseconds()),
-		Service: to.group.GetService(), Model: to.group.GetModel(), Adapter: to.group.GetAdapter(),
-		Prefix: to.group.GetPrefix(),
+		Service: waiting.group.GetService(), Model: waiting.group.GetModel(), Adapter: waiting.group.GetAdapter(),
+		Prefix: waiting.group.GetPrefix(),
 	})
 }
 
-// grantAllowance bounds how long an offer may be on its way: the transport gives it up then.
-const grantAllowance = 500 * time.Millisecond
+// grantCallTimeout is the deadline of a grant call. The transport delivers no offer later than
+// that, so the home node can compute when a credit has expired at the requester.
+const grantCallTimeout = 500 * time.Millisecond
--- a/internal/admission/credit_home.go
+++ b/internal/admission/credit_home.go
@@ -8,90 +8,92 @@
 	admissionpb "github.com/sloelift/sloelift/api/proto/admission"
 )
 
-// grantedCredit is a credit that may be in use at a requester.
+// grantedCredit is the home node's record of a credit that a requester may be using.
 type grantedCredit struct {
 	id        uint64
 	requester string
 	tenant    string
 	replica   *replicaState
-	rank      int
-	heldFor   time.Duration
-	// expires is when the requester has surely stopped using it.
+	// rank and runningFor describe the item that uses the credit, as of the last renewal.
+	rank       int
+	runningFor time.Duration
+	// expires is the time by which the requester must have stopped using the credit.
 	expires time.Time
 	revoked bool
 	// revokeSentAt is when the revocation was last sent.
 	revokeSentAt time.Time
 }
 
-// homeState grants the credits of the replicas that this node is home to. It belongs
-// to one goroutine. Invariant: a credit is granted only while the credits out on its
-// replica, revoked ones among them, are fewer than the replica's capacity.
+// homeState grants the credits of the replicas that this node is home to. It is confined to
+// one goroutine. Invariant: a credit is granted only while the outstanding credits of its
+// replica, including revoked ones, are fewer than the replica's capacity.
 type homeState struct {
-	options  Options
-	node     string
-	epoch    uint64
-	last     uint64
-	replicas map[string]*replicaState
-	credits  map[uint64]*grantedCredit
-	demands  map[string]*requesterDemand
-	pauses   map[declinedPair]time.Time
-	// outByTenant and outByNode count the credits out, for fair shares.
-	outByTenant map[string]int
-	outByNode   map[string]int
+	options       Options
+	node          string
+	epoch         uint64
+	lastCreditID  uint64
+	replicas      map[string]*replicaState
+	credits       map[uint64]*grantedCredit
+	demands       map[string]*requesterDemand
+	declinedUntil map[requesterReplica]time.Time
+	// outstandingByTenant and outstandingByNode count outstanding credits, for fair sharing.
+	outstandingByTenant map[string]int
+	outstandingByNode   map[string]int
 }
 
-type declinedPair struct{ requester, replica string }
+// requesterReplica is the key of declinedUntil: a requester that declined a replica.
+type requesterReplica struct{ requester, replica string }
 
-// revokeResend is the time after which a revocation that had no effect is sent again.
-const revokeResend = 50 * time.Millisecond
+// revokeResendInterval is the time after which an unanswered revocation is sent again.
+const revokeResendInterval = 50 * time.Millisecond
 
 func newHomeState(options Options, node string, epoch uint64) *homeState {
 	return &homeState{
 		options: options, node: node, epoch: epoch,
-		replicas: make(map[string]*replicaState),
-		credits:  make(map[uint64]*grantedCredit),
-		demands:  make(map[string]*requesterDemand),
-		pauses:   make(map[declinedPair]time.Time),
+		replicas:      make(map[string]*replicaState),
+		credits:       make(map[uint64]*grantedCredit),
+		demands:       make(map[string]*requesterDemand),
+		declinedUntil: make(map[requesterReplica]time.Time),
 
-		outByTenant: make(map[string]int),
-		outByNode:   make(map[string]int),
+		outstandingByTenant: make(map[string]int),
+		outstandingByNode:   make(map[string]int),
 	}
 }
 
-// step takes one event at the given time.
+// step applies one event at the given time and returns the resulting actions.
 func (h *homeState) step(now time.Time, input event) []action {
 	var actions []action
 	switch typed := input.(type) {
-	case homesChanged:
-		h.onHomes(typed)
-	case loadHeard:
+	case homedReplicasChanged:
+		h.onHomedReplicas(typed)
+	case loadReported:
 		h.onLoad(typed)
-	case demandHeard:
+	case demandReceived:
 		h.onDemand(now, typed.demand)
-	case renewHeard:
+	case renewReceived:
 		actions = append(actions, h.onRenew(now, typed))
-	case releaseHeard:
+	case releaseReceived:
 		h.onRelease(now, typed.release)
-	case onlineHeard:
-		h.onOnline(now, typed.started)
-	case grantAnswered:
-		h.onAnswer(now, typed)
-	case ticked:
+	case onlineStartsReceived:
+		h.onOnlineStarts(now, typed.started)
+	case grantReplied:
+		h.onGrantReply(now, typed)
+	case tick:
 		h.expire(now)
 	default:
 		return nil
 	}
-	actions = append(actions, h.revoke(now)...)
+	actions = append(actions, h.revokeExcess(now)...)
 	return append(actions, h.grant(now)...)
 }
 
-func (h *homeState) onHomes(changed homesChanged) {
-	wanted := make(map[string]bool, len(changed.replicas))
-	for _, homed := range changed.replicas {
+func (h *homeState) onHomedReplicas(event homedReplicasChanged) {
+	wanted := make(map[string]bool, len(event.replicas))
+	for _, homed := range event.replicas {
 		wanted[homed.id] = true
 		known := h.replicas[homed.id]
 		if known == nil {
-			known = &replicaState{prefixes: make(map[uint64]time.Time)}
+			known = &replicaState{prefixGrantedAt: make(map[uint64]time.Time)}
 			h.replicas[homed.id] = known
 		}
 		known.homedReplica = homed
@@ -104,55 +106,55 @@
 	}
 	for _, credit := range h.credits {
 		if current := h.replicas[credit.replica.id]; current != nil && current != credit.replica {
-			h.move(credit, current)
+			h.rebind(credit, current)
 		}
 	}
 }
 
-// move puts a credit on a replica's state that was made anew after the replica had left this home for a while.
-func (h *homeState) move(credit *grantedCredit, to *replicaState) {
+// rebind moves a credit to the new state of a replica that left this home node and came back.
+func (h *homeState) rebind(credit *grantedCredit, to *replicaState) {
 	credit.replica = to
-	to.out++
+	to.outstanding++
 	if credit.revoked {
 		to.revoked++
 	}
 }
 
-func (h *homeState) onLoad(heard loadHeard) {
-	replica := h.replicas[heard.replica]
+func (h *homeState) onLoad(event loadReported) {
+	replica := h.replicas[event.replica]
 	if replica == nil {
 		return
 	}
-	replica.report, replica.hasReport, replica.heardAt = heard.report, true, heard.heardAt
-	replica.peaks.note(heard.heardAt, replica.online(&h.options))
+	replica.report, replica.hasReport, replica.receivedAt = event.report, true, event.receivedAt
+	replica.onlinePeak.record(event.receivedAt, replica.online(&h.options))
 }
 
-func (h *homeState) onOnline(now time.Time, started *admissionpb.OnlineStarted) {
-	for _, one := range started.GetCounts() {
-		replica := h.replicas[one.GetReplica()]
+func (h *homeState) onOnlineStarts(now time.Time, started *admissionpb.OnlineStarted) {
+	for _, count := range started.GetCounts() {
+		replica := h.replicas[count.GetReplica()]
 		if replica == nil {
 			continue
 		}
-		replica.signals = append(replica.signals, onlineSignal{at: now, count: int(one.GetCount())})
-		replica.peaks.note(now, replica.online(&h.options))
+		replica.signals = append(replica.signals, onlineSignal{at: now, count: int(count.GetCount())})
+		replica.onlinePeak.record(now, replica.online(&h.options))
 	}
 }
 
-func (h *homeState) onRenew(now time.Time, heard renewHeard) action {
+func (h *homeState) onRenew(now time.Time, event renewReceived) action {
 	response := &admissionpb.RenewResponse{TimeToLiveMicros: uint64(h.options.TimeToLive.Microseconds())}
-	if heard.request.GetEpoch() == h.epoch {
-		for _, use := range heard.request.GetUses() {
+	if event.request.GetEpoch() == h.epoch {
+		for _, use := range event.request.GetUses() {
 			credit := h.credits[use.GetCredit()]
 			if credit == nil || credit.revoked || credit.replica.lost {
 				continue
 			}
 			credit.rank = int(use.GetRank())
-			credit.heldFor = time.Duration(use.GetHeldMillis()) * time.Millisecond
+			credit.runningFor = time.Duration(use.GetHeldMillis()) * time.Millisecond
 			credit.expires = now.Add(h.options.TimeToLive + h.options.ExpirySlack)
 			response.Renewed = append(response.Renewed, credit.id)
 		}
 	}
-	return answerRenew{reply: heard.reply, response: response}
+	return replyRenew{reply: event.reply, response: response}
 }
 
 func (h *homeState) onRelease(now time.Time, release *admissionpb.Release) {
@@ -160,88 +162,91 @@
 		return
 	}
 	for _, id := range release.GetCredits() {
-		h.drop(now, id)
+		h.removeCredit(now, id)
 	}
 }
 
-func (h *homeState) onAnswer(now time.Time, answer grantAnswered) {
-	if answer.lost {
-		// The requester may hold the credits: they lapse. Nothing more until it is heard again.
-		delete(h.demands, answer.requester)
+func (h *homeState) onGrantReply(now time.Time, reply grantReplied) {
+	if reply.noReply {
+		// The requester may hold the credits, so they stay outstanding until they expire. It
+		// gets no more until it announces demand again.
+		delete(h.demands, reply.requester)
 	}
-	for _, id := range answer.declined {
+	for _, id := range reply.declined {
 		if credit := h.credits[id]; credit != nil {
-			h.pauses[declinedPair{answer.requester, credit.replica.id}] = now.Add(h.options.DeclinePause)
-			h.drop(now, id)
+			h.declinedUntil[requesterReplica{reply.requester, credit.replica.id}] = now.Add(h.options.DeclinePause)
+			h.removeCredit(now, id)
 		}
 	}
 }
 
-func (h *homeState) drop(now time.Time, id uint64) {
+// removeCredit ends a credit that was released, declined or has expired.
+func (h *homeState) removeCredit(now time.Time, id uint64) {
 	credit := h.credits[id]
 	if credit == nil {
 		return
 	}
 	delete(h.credits, id)
-	h.count(credit, -1)
+	h.adjustOutstanding(credit, -1)
 	if credit.revoked {
 		credit.replica.revoked--
 	}
-	credit.replica.outPeaks.note(now, credit.replica.out)
+	credit.replica.outstandingPeak.record(now, credit.replica.outstanding)
 }
 
-// count keeps the numbers of credits out.
-func (h *homeState) count(credit *grantedCredit, delta int) {
-	credit.replica.out += delta
-	add(h.outByTenant, credit.tenant, delta)
-	add(h.outByNode, credit.requester, delta)
+// adjustOutstanding adds delta to the outstanding counts of the credit's replica, tenant and
+// requester.
+func (h *homeState) adjustOutstanding(credit *grantedCredit, delta int) {
+	credit.replica.outstanding += delta
+	addCount(h.outstandingByTenant, credit.tenant, delta)
+	addCount(h.outstandingByNode, credit.requester, delta)
 }
 
-func add(counts map[string]int, key string, delta int) {
+func addCount(counts map[string]int, key string, delta int) {
 	if counts[key] += delta; counts[key] == 0 {
 		delete(counts, key)
 	}
 }
 
-// expire drops what has lapsed.
+// expire removes expired credits, demands, cached prefixes and declines.
 func (h *homeState) expire(now time.Time) {
 	for id, credit := range h.credits {
 		if !now.Before(credit.expires) {
-			h.drop(now, id)
+			h.removeCredit(now, id)
 		}
 	}
 	for requester, demand := range h.demands {
-		if now.Sub(demand.heardAt) > 2*h.options.DemandRefresh {
+		if now.Sub(demand.receivedAt) > 2*h.options.DemandRefresh {
 			delete(h.demands, requester)
 		}
 	}
 	for _, replica := range h.replicas {
-		for prefix, at := range replica.prefixes {
-			if now.Sub(at) >= h.options.PrefixMemory {
-				delete(replica.prefixes, prefix)
+		for prefix, grantedAt := range replica.prefixGrantedAt {
+			if now.Sub(grantedAt) >= h.options.PrefixMemory {
+				delete(replica.prefixGrantedAt, prefix)
 			}
 		}
 	}
-	for pair, until := range h.pauses {
+	for pair, until := range h.declinedUntil {
 		if !now.Before(until) {
-			delete(h.pauses, pair)
+			delete(h.declinedUntil, pair)
 		}
 	}
 }
 
-// revoke takes back as few credits as bring each replica within its capacity: the
-// lowest rank first, and of those the one with the least work done.
-func (h *homeState) revoke(now time.Time) []action {
+// revokeExcess revokes as few credits as bring each replica within its capacity, in
+// revocationOrder, and all credits of lost replicas.
+func (h *homeState) revokeExcess(now time.Time) []action {
 	var actions []action
 	for _, id := range slices.Sorted(maps.Keys(h.replicas)) {
 		replica := h.replicas[id]
-		_, keep := replica.capacity(now, &h.options)
-		if excess := replica.out - replica.revoked - keep; excess > 0 {
-			for _, credit := range h.victims(replica)[:excess] {
+		_, keepLimit := replica.capacity(now, &h.options)
+		if excess := replica.outstanding - replica.revoked - keepLimit; excess > 0 {
+			for _, credit := range h.revocationOrder(replica)[:excess] {
 				credit.revoked = true
 				replica.revoked++
 			}
-			actions = append(actions, noteRevoked{
+			actions = append(actions, recordRevocation{
 				replica: id, count: excess, online: replica.online(&h.options), reason: replica.revokeReason(now, &h.options),
 			})
 		}
@@ -255,24 +260,25 @@
 	return append(actions, h.sendRevocations(now)...)
 }
 
-// revokeReason is why credits of the replica are taken back.
+// revokeReason returns why credits of the replica are revoked.
 func (r *replicaState) revokeReason(now time.Time, options *Options) revokeReason {
 	switch {
 	case r.lost:
 		return revokedLost
-	case !r.reportBacks(now, options):
+	case !r.reportUsable(now, options):
 		return revokedWithoutReport
 	default:
 		return revokedForOnline
 	}
 }
 
-// sendRevocations tells requesters, again and again until the credits are given back or lapse.
+// sendRevocations sends pending revocations, and repeats them every revokeResendInterval until
+// the credits are released or expire.
 func (h *homeState) sendRevocations(now time.Time) []action {
 	byRequester := make(map[string]*admissionpb.Revoke)
 	for _, id := range slices.Sorted(maps.Keys(h.credits)) {
 		credit := h.credits[id]
-		if !credit.revoked || now.Sub(credit.revokeSentAt) < revokeResend {
+		if !credit.revoked || now.Sub(credit.revokeSentAt) < revokeResendInterval {
 			continue
 		}
 		credit.revokeSentAt = now
@@ -290,8 +296,9 @@
 	return actions
 }
 
-// victims returns the credits of a replica that are in use, cheapest to take back first.
-func (h *homeState) victims(replica *replicaState) []*grantedCredit {
+// revocationOrder returns the unrevoked credits of a replica, cheapest to revoke first: lowest
+// rank, then shortest running time, then newest.
+func (h *homeState) revocationOrder(replica *replicaState) []*grantedCredit {
 	var inUse []*grantedCredit
 	for _, credit := range h.credits {
 		if credit.replica == replica && !credit.revoked {
@@ -302,8 +309,8 @@
 		switch {
 		case a.rank != b.rank:
 			return a.rank - b.rank
-		case a.heldFor != b.heldFor:
-			return int(a.heldFor - b.heldFor)
+		case a.runningFor != b.runningFor:
+			return int(a.runningFor - b.runningFor)
 		case a.id > b.id:
 			return -1
 		default:
--- a/internal/admission/credit_service.go
+++ b/internal/admission/credit_service.go
@@ -20,21 +20,21 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Log fields of this slice.
+// Log fields of this package.
 const (
 	fieldCredits = "credits"
 	fieldOnline  = "online"
 )
 
 const (
-	creditEventQueue = 8192
-	creditTick       = 10 * time.Millisecond
-	renewTimeout     = 300 * time.Millisecond
-	answerTimeout    = time.Second
+	creditEventCapacity = 8192
+	creditTickInterval  = 10 * time.Millisecond
+	renewTimeout        = 300 * time.Millisecond
+	replyTimeout        = time.Second
 )
 
-// CreditService is the CreditSource of one node and, for the replicas that the node
-// is home to, the grantor of credits. One goroutine owns both states.
+// CreditService is the CreditSource of one node. It also grants the credits of the replicas
+// that the node is home to. One control goroutine owns the state of both roles.
 type CreditService struct {
 	options  Options
 	settings settings.Settings
@@ -51,51 +51,51 @@
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	// mutex guards all below.
-	mutex   sync.Mutex
-	nextID  uint64
-	items   map[uint64]*pendingItem
-	inUse   map[creditKey]*usedCredit
-	signals map[string]int
-	flush   *time.Timer
+	// mutex guards the fields below.
+	mutex        sync.Mutex
+	nextID       uint64
+	pending      map[uint64]*pendingAcquire
+	active       map[creditKey]*activeCredit
+	unsentStarts map[string]int
+	flushTimer   *time.Timer
 }
 
-// pendingItem is an Acquire that has not returned; credit has room for one value.
-type pendingItem struct {
+// pendingAcquire is a call of Acquire that waits. credit is buffered for one value.
+type pendingAcquire struct {
 	request *BatchRequest
 	credit  chan *Credit
 }
 
-// usedCredit is a Credit that was handed out.
-type usedCredit struct{ revoked chan struct{} }
+// activeCredit is a Credit that an item holds; revoked is its Credit.Revoked.
+type activeCredit struct{ revoked chan struct{} }
 
 type creditMetrics struct {
-	granted *prometheus.CounterVec
-	out     prometheus.Gauge
+	events *prometheus.CounterVec
+	inUse  prometheus.Gauge
 }
 
-// NewCreditService returns a CreditService that is not started.
-func NewCreditService(options Options, own settings.Settings, replicas *fleet.Service, router *routing.Service,
+// NewCreditService returns a CreditService; Start starts it.
+func NewCreditService(options Options, nodeSettings settings.Settings, replicas *fleet.Service, router *routing.Service,
 	viewer membership.Viewer, source config.Source, caller transport.Caller, registerer prometheus.Registerer,
 	logger zerolog.Logger) *CreditService {
 	service := &CreditService{
-		options: options, settings: own, fleet: replicas, router: router, viewer: viewer, config: source, caller: caller,
+		options: options, settings: nodeSettings, fleet: replicas, router: router, viewer: viewer, config: source, caller: caller,
 		logger: logger.With().Str(logging.FieldSlice, "admission").Logger(),
 		metrics: creditMetrics{
-			granted: prometheus.NewCounterVec(prometheus.CounterOpts{
+			events: prometheus.NewCounterVec(prometheus.CounterOpts{
 				Name: "sloelift_credits_total", Help: "Batch credits at their requester, by event.",
 			}, []string{"event"}),
-			out: prometheus.NewGauge(prometheus.GaugeOpts{
+			inUse: prometheus.NewGauge(prometheus.GaugeOpts{
 				Name: "sloelift_credits_in_use", Help: "Batch credits in use by items of this node.",
 			}),
 		},
-		events:  make(chan event, creditEventQueue),
-		stopped: make(chan struct{}),
-		items:   make(map[uint64]*pendingItem),
-		inUse:   make(map[creditKey]*usedCredit),
-		signals: make(map[string]int),
+		events:       make(chan event, creditEventCapacity),
+		stopped:      make(chan struct{}),
+		pending:      make(map[uint64]*pendingAcquire),
+		active:       make(map[creditKey]*activeCredit),
+		unsentStarts: make(map[string]int),
 	}
-	registerer.MustRegister(service.metrics.granted, service.metrics.out)
+	registerer.MustRegister(service.metrics.events, service.metrics.inUse)
 	return service
 }
 
@@ -110,7 +110,8 @@
 	}()
 }
 
-// Stop ends the goroutines and waits for them. Credits in use lapse.
+// Stop stops the goroutines, waits for them, and revokes the credits in use without releasing
+// them; they expire at their home nodes.
 func (s *CreditService) Stop() {
 	if s.cancel == nil {
 		return
@@ -120,53 +121,56 @@
 	s.running.Wait()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.flush != nil {
-		s.flush.Stop()
+	if s.flushTimer != nil {
+		s.flushTimer.Stop()
 	}
-	for _, used := range s.inUse {
+	for _, used := range s.active {
 		close(used.revoked)
 	}
-	clear(s.inUse)
+	clear(s.active)
 }
 
-// Acquire waits until an idle replica is granted or ctx ends.
+// Acquire implements CreditSource.
 func (s *CreditService) Acquire(ctx context.Context, request BatchRequest) (*Credit, error) {
 	request.Routing.Batch = true
-	pending := &pendingItem{request: &request, credit: make(chan *Credit, 1)}
+	pending := &pendingAcquire{request: &request, credit: make(chan *Credit, 1)}
 	s.mutex.Lock()
 	s.nextID++
 	id := s.nextID
-	s.items[id] = pending
+	s.pending[id] = pending
 	s.mutex.Unlock()
-	s.push(itemWaits{item: id, request: &request})
+	s.enqueue(itemQueued{item: id, request: &request})
 	select {
 	case credit := <-pending.credit:
 		return credit, nil
 	case <-ctx.Done():
 	}
 	s.mutex.Lock()
-	_, waits := s.items[id]
-	delete(s.items, id)
+	_, stillPending := s.pending[id]
+	delete(s.pending, id)
 	s.mutex.Unlock()
-	if !waits {
-		(<-pending.credit).Release() // granted just then
+	if !stillPending {
+		(<-pending.credit).Release() // granted while ctx ended
 	} else {
-		s.push(itemLeaves{item: id})
+		s.enqueue(itemCancelled{item: id})
 	}
 	return nil, ctx.Err()
 }
 
-func (s *CreditService) push(input event) {
+// enqueue passes an event to the control goroutine. It blocks while the event queue is full and
+// discards the event once the service has stopped.
+func (s *CreditService) enqueue(input event) {
 	select {
 	case s.events <- input:
 	case <-s.stopped:
 	}
 }
 
-// control owns the states.
+// control is the control goroutine: it owns the home and requester states, feeds them events,
+// and executes the resulting actions.
 func (s *CreditService) control(ctx context.Context) {
 	home := newHomeState(s.options, s.settings.Node, rand.Uint64())
-	requester := newRequesterState(s.options, s.settings.Node, s.router.Overlap, s.isClosed)
+	requester := newRequesterState(s.options, s.settings.Node, s.router.Overlap, s.replicaClosed)
 	changed := make(chan struct{}, 1)
 	wake := func() {
 		select {
@@ -178,12 +182,12 @@
 	defer s.config.Subscribe(func(*config.Snapshot) { wake() })()
 	defer s.fleet.SubscribeLoad(func(replica string, report engine.LoadReport, at time.Time) {
 		select {
-		case s.events <- loadHeard{replica: replica, report: report, heardAt: at}:
-		default: // the next report follows soon
+		case s.events <- loadReported{replica: replica, report: report, receivedAt: at}:
+		default: // dropped: the next report follows soon
 		}
 	})()
 	wake()
-	ticker := time.NewTicker(creditTick)
+	ticker := time.NewTicker(creditTickInterval)
 	defer ticker.Stop()
 	for {
 		var input event
@@ -191,29 +195,29 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-			input = s.homes()
+			input = s.homedReplicas()
 		case input = <-s.events:
 		case <-ticker.C:
-			input = ticked{}
+			input = tick{}
 		}
 		now := time.Now()
 		actions := append(home.step(now, input), requester.step(now, input)...)
 		for _, output := range actions {
-			s.perform(ctx, output)
+			s.execute(ctx, output)
 		}
 	}
 }
 
-// homes lists the replicas that this node is home to.
-func (s *CreditService) homes() homesChanged {
+// homedReplicas returns the replicas that this node is home to.
+func (s *CreditService) homedReplicas() homedReplicasChanged {
 	services := s.config.Current().Services
-	var changed homesChanged
+	var changed homedReplicasChanged
 	for _, replica := range s.fleet.Directory().Replicas {
 		if string(replica.Home) != s.settings.Node {
 			continue
 		}
 		homed := homedReplica{
-			id: replica.ID, service: replica.Service, closed: closed(&replica), lost: replica.Failed && !replica.HasLoad,
+			id: replica.ID, service: replica.Service, closed: closedToBatch(&replica), lost: replica.Failed && !replica.HasLoad,
 		}
 		if service := services[replica.Service]; service != nil {
 			homed.batchLimit = service.BatchConcurrentPerReplica
@@ -223,56 +227,60 @@
 	return changed
 }
 
-// closed says that a replica takes no new batch items.
-func closed(replica *fleet.Replica) bool {
+// closedToBatch reports whether a replica takes no new batch items.
+func closedToBatch(replica *fleet.Replica) bool {
 	return replica.Leaving || replica.Failed || replica.Draining()
 }
 
-// isClosed says the same of a replica by its id; one that isn't listed is closed.
-func (s *CreditService) isClosed(id string) bool {
+// replicaClosed reports whether the replica with the given id takes no new batch items. One
+// that is not in the directory takes none.
+func (s *CreditService) replicaClosed(id string) bool {
 	replica := s.fleet.Directory().Find(id)
-	return replica == nil || closed(replica)
+	return replica == nil || closedToBatch(replica)
 }
 
-func (s *CreditService) perform(ctx context.Context, output action) {
+// execute carries out one action. It runs on the control goroutine and must not block.
+func (s *CreditService) execute(ctx context.Context, output action) {
 	switch typed := output.(type) {
 	case sendGrants:
-		s.background(func() { s.offer(ctx, typed) })
+		s.background(func() { s.callGrant(ctx, typed) })
 	case sendRevoke:
-		s.sendTo(typed.requester, methodRevoke, typed.revoke, revokeHeard{revoke: typed.revoke}, s.pushLater)
-	case noteRevoked:
+		s.sendTo(typed.requester, methodRevoke, typed.revoke, revokeReceived{revoke: typed.revoke}, s.enqueueAsync)
+	case recordRevocation:
 		s.logger.Info().Str(logging.FieldReplica, typed.replica).Int(fieldCredits, typed.count).Int(fieldOnline, typed.online).
 			Str(logging.FieldReason, string(typed.reason)).Msg("credits revoked")
-	case noteLapsed:
-		s.metrics.granted.WithLabelValues("lapsed").Inc()
+	case recordLapse:
+		s.metrics.events.WithLabelValues("lapsed").Inc()
 		s.logger.Warn().Str(logging.FieldReplica, typed.replica).Str(logging.FieldPeer, typed.key.home).Msg("credit lapsed")
-	case answerRenew:
+	case replyRenew:
 		typed.reply <- typed.response
 	case deliverCredit:
 		s.deliver(typed)
-	case takeCredit:
-		s.take(typed.key)
-	case answerGrants:
+	case withdrawCredit:
+		s.withdraw(typed.key)
+	case replyGrants:
 		typed.reply <- typed.response
 	case sendDemand:
-		s.announce(typed.demand)
+		s.announceDemand(typed.demand)
 	case sendRenew:
-		s.background(func() { s.renew(ctx, typed) })
+		s.background(func() { s.callRenew(ctx, typed) })
 	case sendRelease:
-		s.metrics.granted.WithLabelValues("released").Inc()
-		s.sendTo(typed.home, methodRelease, typed.release, releaseHeard{release: typed.release}, s.pushLater)
+		s.metrics.events.WithLabelValues("released").Inc()
+		s.sendTo(typed.home, methodRelease, typed.release, releaseReceived{release: typed.release}, s.enqueueAsync)
 	}
 }
 
-// pushLater is push for the control goroutine, which must not wait for itself.
-func (s *CreditService) pushLater(input event) {
+// enqueueAsync enqueues an event without blocking. The control goroutine uses it, since it would
+// deadlock if it waited for its own full queue.
+func (s *CreditService) enqueueAsync(input event) {
 	select {
 	case s.events <- input:
 	default:
-		s.background(func() { s.push(input) })
+		s.background(func() { s.enqueue(input) })
 	}
 }
 
+// background runs work on a goroutine that Stop waits for.
 func (s *CreditService) background(work func()) {
 	s.running.Add(1)
 	go func() {
@@ -281,22 +289,23 @@
 	}()
 }
 
-// deliver hands a credit to its item, or gives it back if the item has just left.
+// deliver passes a credit to the Acquire that waits for it, or returns the credit if that call
+// has ended.
 func (s *CreditService) deliver(granted deliverCredit) {
 	s.mutex.Lock()
-	pending := s.items[granted.item]
-	delete(s.items, granted.item)
+	pending := s.pending[granted.item]
+	delete(s.pending, granted.item)
 	if pending != nil {
-		s.inUse[granted.key] = &usedCredit{revoked: make(chan struct{})}
+		s.active[granted.key] = &activeCredit{revoked: make(chan struct{})}
 	}
-	used := s.inUse[granted.key]
+	used := s.active[granted.key]
 	s.mutex.Unlock()
 	if pending == nil {
-		s.pushLater(creditEnded{key: granted.key})
+		s.enqueueAsync(creditReturned{key: granted.key})
 		return
 	}
-	s.metrics.granted.WithLabelValues("granted").Inc()
-	s.metrics.out.Inc()
+	s.metrics.events.WithLabelValues("granted").Inc()
+	s.metrics.inUse.Inc()
 	decision := routing.Decision{Endpoint: engine.Endpoint{Replica: granted.replica}}
 	if replica := s.fleet.Directory().Find(granted.replica); replica != nil {
 		decision.Endpoint, decision.Zone = replica.Endpoint, replica.Zone
@@ -314,25 +323,26 @@
 
 func (s *CreditService) release(key creditKey) {
 	s.mutex.Lock()
-	delete(s.inUse, key)
+	delete(s.active, key)
 	s.mutex.Unlock()
-	s.metrics.out.Dec()
-	s.push(creditEnded{key: key})
+	s.metrics.inUse.Dec()
+	s.enqueue(creditReturned{key: key})
 }
 
-func (s *CreditService) take(key creditKey) {
+// withdraw closes Credit.Revoked of a credit that is in use.
+func (s *CreditService) withdraw(key creditKey) {
 	s.mutex.Lock()
-	used := s.inUse[key]
-	delete(s.inUse, key)
+	used := s.active[key]
+	delete(s.active, key)
 	s.mutex.Unlock()
 	if used != nil {
-		s.metrics.granted.WithLabelValues("revoked").Inc()
+		s.metrics.events.WithLabelValues("revoked").Inc()
 		close(used.revoked)
 	}
 }
 
-// address returns the peer address of a node.
-func (s *CreditService) address(node string) (netip.AddrPort, bool) {
+// peerAddress returns the peer address of a node, and whether the node is a member.
+func (s *CreditService) peerAddress(node string) (netip.AddrPort, bool) {
 	member, ok := s.viewer.View().Find(membership.NodeID(node))
 	return member.PeerAddress, ok
 }
--- a/internal/admission/fx.go
+++ b/internal/admission/fx.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Module provides Limiter and CreditSource. Options may be supplied.
+// Module provides Limiter and CreditSource. It uses DefaultOptions unless *Options is supplied.
 var Module = fx.Module("admission", fx.Provide(
 	provideLimiter,
 	provideCredits,
--- a/internal/admission/idle_capacity.go
+++ b/internal/admission/idle_capacity.go
@@ -7,36 +7,38 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// replicaState is what the home node knows of one replica.
+// replicaState is the home node's view of one replica.
 type replicaState struct {
 	homedReplica
-	report    engine.LoadReport
-	hasReport bool
-	heardAt   time.Time
-	// signals are online starts that the report may not count yet, oldest first.
+	report     engine.LoadReport
+	hasReport  bool
+	receivedAt time.Time
+	// signals are online starts that the load report may not include yet, oldest first.
 	signals []onlineSignal
-	// out counts credits that were granted and neither released nor lapsed; revoked
-	// are those of them that were taken back.
-	out     int
-	revoked int
-	// peaks remembers online load, outPeaks credits out, over a window of time.
-	peaks windowMaximum
+	// outstanding counts the credits that were granted and neither released nor expired;
+	// revoked counts those among them that were revoked.
+	outstanding int
+	revoked     int
+	// onlinePeak tracks the number of online requests.
+	onlinePeak slidingMaximum
 	// nextStart is when the next new credit may be granted.
 	nextStart time.Time
-	// prefixes are the prompt beginnings of items granted here, with the time.
-	prefixes map[uint64]time.Time
-	outPeaks windowMaximum
+	// prefixGrantedAt holds the prompt prefixes of granted items, with the time of the last grant.
+	prefixGrantedAt map[uint64]time.Time
+	// outstandingPeak tracks the number of outstanding credits.
+	outstandingPeak slidingMaximum
 }
 
+// onlineSignal is a message that count online requests were started on the replica.
 type onlineSignal struct {
 	at    time.Time
 	count int
 }
 
-// online is the number of online requests on the replica: those reported and those
-// signalled since the report was measured.
+// online returns the number of online requests on the replica: those in the last report plus
+// those signalled since it was measured. It discards older signals.
 func (r *replicaState) online(options *Options) int {
-	measured := routing.MeasuredAt(r.report.MeasuredAt, r.heardAt, options.MaxLag)
+	measured := routing.MeasuredAt(r.report.MeasuredAt, r.receivedAt, options.MaxLag)
 	first := 0
 	for first < len(r.signals) && r.signals[first].at.Before(measured) {
 		first++
@@ -49,112 +51,116 @@
 	return max(0, online)
 }
 
-// startInterval is the least time between two new credits.
+// startInterval returns the minimum time between two new credits.
 func (r *replicaState) startInterval(options *Options) time.Duration {
 	step := time.Duration(r.report.StepMicros) * time.Microsecond
 	return min(time.Duration(options.StartSteps)*step, maxStartInterval)
 }
 
-// maxStartInterval bounds startInterval where steps are long.
+// maxStartInterval bounds startInterval on replicas with long steps.
 const maxStartInterval = 100 * time.Millisecond
 
-// holds says that the replica should have a prompt beginning in its cache.
-func (r *replicaState) holds(now time.Time, prefix uint64, options *Options) bool {
-	at, ok := r.prefixes[prefix]
-	return ok && prefix != 0 && now.Sub(at) < options.PrefixMemory
+// hasCachedPrefix reports whether the replica should still have a prompt prefix in its cache.
+func (r *replicaState) hasCachedPrefix(now time.Time, prefix uint64, options *Options) bool {
+	grantedAt, ok := r.prefixGrantedAt[prefix]
+	return ok && prefix != 0 && now.Sub(grantedAt) < options.PrefixMemory
 }
 
-// reportBacks says whether credits may rest on the last report.
-func (r *replicaState) reportBacks(now time.Time, options *Options) bool {
-	return !r.lost && r.hasReport && now.Sub(r.heardAt) <= options.ReportMaxAge
+// reportUsable reports whether credits may be granted and kept on the basis of the last report.
+func (r *replicaState) reportUsable(now time.Time, options *Options) bool {
+	return !r.lost && r.hasReport && now.Sub(r.receivedAt) <= options.ReportMaxAge
 }
 
-// foreign is the number of batch requests on the replica that no credit of this home
-// accounts for, for instance of a home node before this one.
-func (r *replicaState) foreign(now time.Time, options *Options) int {
-	return max(0, r.report.RunningBatch+r.report.WaitingBatch-r.outPeaks.value(now, options.MaxLag))
+// unaccountedBatch returns the number of batch requests on the replica that hold no credit of
+// this home node, for example those granted by a previous one.
+func (r *replicaState) unaccountedBatch(now time.Time, options *Options) int {
+	return max(0, r.report.RunningBatch+r.report.WaitingBatch-r.outstandingPeak.maximum(now, options.MaxLag))
 }
 
-// capacity returns how many credits may be out when new ones are granted, and how many
-// may stay out before some are taken back.
-func (r *replicaState) capacity(now time.Time, options *Options) (grant, keep int) {
-	if !r.reportBacks(now, options) {
+// capacity returns up to how many outstanding credits new ones are granted, and above how many
+// credits are revoked.
+func (r *replicaState) capacity(now time.Time, options *Options) (grantLimit, keepLimit int) {
+	if !r.reportUsable(now, options) {
 		return 0, 0
 	}
-	grant, keep = r.capacityOpen(now, options)
+	grantLimit, keepLimit = r.policyCapacity(now, options)
 	if r.closed {
-		grant = 0
+		grantLimit = 0
 	}
-	return grant, keep
+	return grantLimit, keepLimit
 }
 
-// capacityOpen is capacity by the policy, for a replica that takes new work.
-func (r *replicaState) capacityOpen(now time.Time, options *Options) (grant, keep int) {
+// policyCapacity returns the capacity under the configured policy, as if the replica were not
+// closed.
+func (r *replicaState) policyCapacity(now time.Time, options *Options) (grantLimit, keepLimit int) {
 	switch options.Policy {
 	case routing.PolicyOnlineOnly:
 		return 0, 0
 	case routing.PolicyFIFO:
 		free := r.report.MaxRunning - (r.report.Running - r.report.RunningBatch) -
-			(r.report.Waiting - r.report.WaitingBatch) - r.foreign(now, options)
-		return max(0, free), r.out
+			(r.report.Waiting - r.report.WaitingBatch) - r.unaccountedBatch(now, options)
+		return max(0, free), r.outstanding
 	case routing.PolicyStaticSplit:
 		if !routing.ReservedForBatch(r.id, options.StaticBatchPercent) {
 			return 0, 0
 		}
-		return max(0, r.report.MaxRunning-r.foreign(now, options)), r.out
+		return max(0, r.report.MaxRunning-r.unaccountedBatch(now, options)), r.outstanding
 	}
-	return r.idle(now, options)
+	return r.idleCapacity(now, options)
 }
 
-// idle is the capacity under the product's own policy.
-func (r *replicaState) idle(now time.Time, options *Options) (grant, keep int) {
+// idleCapacity returns the capacity under PolicySloelift. It keeps headroom for online requests,
+// including the return of a recent burst, and limits batch further on replicas that serve
+// online requests.
+func (r *replicaState) idleCapacity(now time.Time, options *Options) (grantLimit, keepLimit int) {
 	online := r.online(options)
 	slots := r.report.MaxRunning
-	free := slots - online - r.foreign(now, options)
-	burst := min(max(0, r.peaks.value(now, options.BurstWindow)-online), percent(slots, options.BurstPercent))
+	free := slots - online - r.unaccountedBatch(now, options)
+	burst := min(max(0, r.onlinePeak.maximum(now, options.BurstWindow)-online), percent(slots, options.BurstPercent))
 	grantHeadroom := max(1, percent(slots, options.GrantHeadroomPercent), burst)
 	keepHeadroom := percent(slots, options.RevokeHeadroomPercent)
-	grant = min(free-grantHeadroom, r.batchLimit)
-	keep = min(free-keepHeadroom, r.batchLimit)
+	grantLimit = min(free-grantHeadroom, r.batchLimit)
+	keepLimit = min(free-keepHeadroom, r.batchLimit)
 	if online > 0 {
-		grant = min(grant, max(1, percent(slots, options.SharedPercent)))
-		keep = min(keep, max(1, percent(slots, options.KeepSharedPercent)))
+		grantLimit = min(grantLimit, max(1, percent(slots, options.SharedPercent)))
+		keepLimit = min(keepLimit, max(1, percent(slots, options.KeepSharedPercent)))
 	}
-	return max(0, grant), max(0, keep)
+	return max(0, grantLimit), max(0, keepLimit)
 }
 
-func percent(of, share int) int { return of * share / 100 }
+func percent(total, percentage int) int { return total * percentage / 100 }
 
-// windowMaximum is the greatest value of a changing number within a window of time.
-type windowMaximum struct{ notes []windowNote }
+// slidingMaximum tracks the maximum of a changing number over a sliding time window. The values
+// of its entries decrease.
+type slidingMaximum struct{ entries []maximumEntry }
 
-// windowNote is a value and the time until which the number is known to have had at
-// least that value.
-type windowNote struct {
+// maximumEntry records that the number was at least value until the given time.
+type maximumEntry struct {
 	until time.Time
 	value int
 }
 
-// note says that the number is value at the given time, which never falls.
-func (w *windowMaximum) note(at time.Time, value int) {
-	last := len(w.notes) - 1
-	if last >= 0 && w.notes[last].value > value {
-		w.notes[last].until = at
+// record sets the number to value. Successive times must not decrease.
+func (w *slidingMaximum) record(at time.Time, value int) {
+	last := len(w.entries) - 1
+	if last >= 0 && w.entries[last].value > value {
+		w.entries[last].until = at
 	}
-	for last >= 0 && w.notes[last].value <= value {
+	for last >= 0 && w.entries[last].value <= value {
 		last--
 	}
-	w.notes = w.notes[:last+1]
-	w.notes = append(w.notes, windowNote{until: at, value: value})
+	w.entries = w.entries[:last+1]
+	w.entries = append(w.entries, maximumEntry{until: at, value: value})
 }
 
-// value returns the maximum over the window before now; the value noted last still holds.
-func (w *windowMaximum) value(now time.Time, window time.Duration) int {
-	for len(w.notes) > 1 && now.Sub(w.notes[0].until) > window {
-		w.notes = w.notes[1:]
+// maximum returns the maximum over the window that ends now. The last recorded value counts
+// even if it is older than the window.
+func (w *slidingMaximum) maximum(now time.Time, window time.Duration) int {
+	for len(w.entries) > 1 && now.Sub(w.entries[0].until) > window {
+		w.entries = w.entries[1:]
 	}
-	if len(w.notes) == 0 {
+	if len(w.entries) == 0 {
 		return 0
 	}
-	return w.notes[0].value
+	return w.entries[0].value
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -13,39 +13,42 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Slots tells how many more online requests a service can take.
-type Slots interface {
-	// OnlineSlots returns the free slots of usable replicas, where each takes at most
-	// perReplica, the number of usable replicas, and this node's own requests on them.
+// SlotCounter counts the slots of a service for online requests.
+type SlotCounter interface {
+	// OnlineSlots returns the free slots of the usable replicas of a service, each of which
+	// takes at most perReplica requests; the number of usable replicas; and the number of
+	// this node's own requests on them.
 	OnlineSlots(service string, perReplica int) (free, usable, own int)
 }
 
-// RequestLimiter is the Limiter of one node. Decisions are made under its mutex, on the
-// caller's goroutine, because they are on the path of every request.
+// RequestLimiter is the Limiter of one node. It decides on the caller's goroutine under its
+// mutex, since every online request passes through it.
 type RequestLimiter struct {
-	slots   Slots
+	slots   SlotCounter
 	refused *prometheus.CounterVec
 	queued  prometheus.Gauge
 
-	// mutex guards all below.
-	mutex    sync.Mutex
-	arrivals uint64
-	tenants  map[string]*tenantLimit
-	services map[string]*limitedService
+	// mutex guards the fields below.
+	mutex       sync.Mutex
+	lastArrival uint64
+	tenants     map[string]*tenantState
+	services    map[string]*serviceState
 }
 
-type tenantLimit struct {
+// tenantState holds the usage of one tenant. bucket is nil if the tenant has no rate limit.
+type tenantState struct {
 	bucket   *rate.Limiter
 	inFlight int
 }
 
-type limitedService struct {
+// serviceState holds the queue of one service and its latest configuration.
+type serviceState struct {
 	declared *config.Service
 	queue    *serviceQueue
 }
 
-// NewRequestLimiter returns a Limiter that asks slots for free capacity.
-func NewRequestLimiter(slots Slots, registerer prometheus.Registerer) *RequestLimiter {
+// NewRequestLimiter returns a RequestLimiter that takes the free capacity from slots.
+func NewRequestLimiter(slots SlotCounter, registerer prometheus.Registerer) *RequestLimiter {
 	limiter := &RequestLimiter{
 		slots: slots,
 		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -54,24 +57,24 @@
 		queued: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sloelift_admission_queued", Help: "Online requests waiting on this node.",
 		}),
-		tenants:  make(map[string]*tenantLimit),
-		services: make(map[string]*limitedService),
+		tenants:  make(map[string]*tenantState),
+		services: make(map[string]*serviceState),
 	}
 	registerer.MustRegister(limiter.refused, limiter.queued)
 	return limiter
 }
 
-// Admit waits its turn in the service's bounded queue.
+// Admit implements Limiter.
 func (l *RequestLimiter) Admit(ctx context.Context, request OnlineRequest) (release func(), err error) {
-	waiting, refused := l.arrive(ctx, &request)
-	if refused != nil {
-		l.refused.WithLabelValues(string(refused.Reason)).Inc()
-		return nil, refused
+	waiting, rejection := l.enqueue(ctx, &request)
+	if rejection != nil {
+		l.refused.WithLabelValues(string(rejection.Reason)).Inc()
+		return nil, rejection
 	}
 	select {
 	case err = <-waiting.decided:
 	case <-ctx.Done():
-		err = l.giveUp(ctx, &request, waiting)
+		err = l.cancelWaiting(ctx, &request, waiting)
 	}
 	if err != nil {
 		l.refused.WithLabelValues(string(outcome.As(err).Reason)).Inc()
@@ -81,40 +84,41 @@
 	return sync.OnceFunc(func() { l.release(&request, time.Since(admittedAt)) }), nil
 }
 
-// arrive checks the tenant's limits and puts the request in the queue.
-func (l *RequestLimiter) arrive(ctx context.Context, request *OnlineRequest) (*waitingRequest, *outcome.Error) {
+// enqueue checks the limits of the tenant and the service and adds the request to the queue. It
+// admits waiting requests, possibly this one, into free slots.
+func (l *RequestLimiter) enqueue(ctx context.Context, request *OnlineRequest) (*waitingRequest, *outcome.Error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	tenant := l.tenant(request.Tenant)
-	if refused := tenant.check(request.Tenant); refused != nil {
-		return nil, refused
+	tenant := l.tenantFor(request.Tenant)
+	if rejection := tenant.checkLimits(request.Tenant); rejection != nil {
+		return nil, rejection
 	}
-	service := l.service(request.Service)
+	service := l.serviceFor(request.Service)
 	queue := service.queue
-	free, usable := l.free(service)
+	free, usable := l.availableSlots(service)
 	if usable == 0 {
 		return nil, refusal(outcome.ReasonUnavailable, "no replica of the service is usable", time.Second)
 	}
-	l.arrivals++
+	l.lastArrival++
 	waiting := &waitingRequest{
 		tenant: request.Tenant.Name, weight: max(1, request.Tenant.Weight), rank: rankOf(request),
-		arrival: l.arrivals, decided: make(chan error, 1),
+		arrival: l.lastArrival, decided: make(chan error, 1),
 	}
 	if free <= len(queue.waiting) {
-		if refused := l.makeRoom(ctx, service, waiting); refused != nil {
-			return nil, refused
+		if rejection := l.reserveQueuePlace(ctx, service, waiting); rejection != nil {
+			return nil, rejection
 		}
 	}
 	tenant.inFlight++
 	queue.waiting = append(queue.waiting, waiting)
 	l.queued.Inc()
-	l.drain(service, free)
+	l.admitWaiting(service, free)
 	return waiting, nil
 }
 
-// makeRoom refuses the request, or another one of lower rank, where the queue is full,
-// and a request that would wait past its deadline.
-func (l *RequestLimiter) makeRoom(ctx context.Context, service *limitedService, waiting *waitingRequest) *outcome.Error {
+// reserveQueuePlace refuses a request that would wait past its deadline. If the queue is full,
+// it displaces a request of lower rank, or refuses this one if there is none.
+func (l *RequestLimiter) reserveQueuePlace(ctx context.Context, service *serviceState, waiting *waitingRequest) *outcome.Error {
 	queue := service.queue
 	wait := queue.expectedWait(waiting.rank)
 	if deadline, ok := ctx.Deadline(); ok && wait > 0 && time.Until(deadline) < wait {
@@ -123,62 +127,65 @@
 	if len(queue.waiting) < service.declared.QueueLimit {
 		return nil
 	}
-	worst := queue.last()
-	if worst < 0 || queue.waiting[worst].rank >= waiting.rank {
+	index := queue.displaceable()
+	if index < 0 || queue.waiting[index].rank >= waiting.rank {
 		return refusal(outcome.ReasonOverloaded, "the queue of the service is full", wait)
 	}
-	displaced := queue.take(worst)
+	displaced := queue.removeAt(index)
 	l.queued.Dec()
 	l.tenants[displaced.tenant].inFlight--
 	displaced.decided <- refusal(outcome.ReasonOverloaded, "displaced by a request of higher priority", wait)
 	return nil
 }
 
-// drain admits waiting requests into free slots.
-func (l *RequestLimiter) drain(service *limitedService, free int) {
+// admitWaiting admits waiting requests into free slots.
+func (l *RequestLimiter) admitWaiting(service *serviceState, free int) {
 	for ; free > 0 && len(service.queue.waiting) > 0; free-- {
-		next := service.queue.take(service.queue.next())
+		next := service.queue.removeAt(service.queue.next())
 		l.queued.Dec()
 		service.queue.admitted(next.tenant)
 		next.decided <- nil
 	}
 }
 
-// free returns the free slots less the requests admitted here that have not reached a replica yet.
-func (l *RequestLimiter) free(service *limitedService) (free, usable int) {
+// availableSlots returns the free slots minus the requests that were admitted here and have not
+// been sent to a replica yet, and the number of usable replicas.
+func (l *RequestLimiter) availableSlots(service *serviceState) (free, usable int) {
 	slots, usable, own := l.slots.OnlineSlots(service.declared.Name, service.declared.MaxConcurrentPerReplica)
 	return slots - max(0, service.queue.inFlight-own), usable
 }
 
-func (l *RequestLimiter) release(request *OnlineRequest, held time.Duration) {
+func (l *RequestLimiter) release(request *OnlineRequest, serviceTime time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	service := l.service(request.Service)
-	service.queue.released(request.Tenant.Name, held)
+	service := l.serviceFor(request.Service)
+	service.queue.released(request.Tenant.Name, serviceTime)
 	l.tenants[request.Tenant.Name].inFlight--
-	l.drainWaiting(service)
+	l.refreshService(service)
 }
 
-func (l *RequestLimiter) drainWaiting(service *limitedService) {
+// refreshService admits waiting requests of a service into its free slots.
+func (l *RequestLimiter) refreshService(service *serviceState) {
 	if len(service.queue.waiting) > 0 {
-		free, _ := l.free(service)
-		l.drain(service, free)
+		free, _ := l.availableSlots(service)
+		l.admitWaiting(service, free)
 	}
 }
 
-// Refresh admits waiting requests after a change of the fleet.
+// Refresh admits waiting requests of all services. It is called when the fleet changes.
 func (l *RequestLimiter) Refresh() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, service := range l.services {
-		l.drainWaiting(service)
+		l.refreshService(service)
 	}
 }
 
-// giveUp takes a request out whose context ended. It may have been admitted just then.
-func (l *RequestLimiter) giveUp(ctx context.Context, request *OnlineRequest, waiting *waitingRequest) error {
+// cancelWaiting removes a request whose context has ended from the queue and returns the
+// refusal. If the request was decided in the meantime, it returns that decision.
+func (l *RequestLimiter) cancelWaiting(ctx context.Context, request *OnlineRequest, waiting *waitingRequest) error {
 	l.mutex.Lock()
-	service := l.service(request.Service)
+	service := l.serviceFor(request.Service)
 	if !service.queue.remove(waiting) {
 		l.mutex.Unlock()
 		return <-waiting.decided
@@ -193,43 +200,45 @@
 	return outcome.Wrap(ctx.Err(), outcome.NotRun, outcome.ReasonCallerCancelled, "the caller left the queue")
 }
 
-func (l *RequestLimiter) service(declared *config.Service) *limitedService {
-	known := l.services[declared.Name]
-	if known == nil {
-		known = &limitedService{queue: newServiceQueue()}
-		l.services[declared.Name] = known
+func (l *RequestLimiter) serviceFor(service *config.Service) *serviceState {
+	state := l.services[service.Name]
+	if state == nil {
+		state = &serviceState{queue: newServiceQueue()}
+		l.services[service.Name] = state
 	}
-	known.declared = declared
-	return known
+	state.declared = service
+	return state
 }
 
-// tenant returns the tenant's limits as declared now. A tenant without a rate has no bucket.
-func (l *RequestLimiter) tenant(declared *config.Tenant) *tenantLimit {
-	known := l.tenants[declared.Name]
-	if known == nil {
-		known = &tenantLimit{}
-		l.tenants[declared.Name] = known
+// tenantFor returns the state of a tenant, with the bucket adjusted to its current
+// configuration.
+func (l *RequestLimiter) tenantFor(tenant *config.Tenant) *tenantState {
+	state := l.tenants[tenant.Name]
+	if state == nil {
+		state = &tenantState{}
+		l.tenants[tenant.Name] = state
 	}
-	if declared.RequestsPerSecond <= 0 {
-		known.bucket = nil
-		return known
+	if tenant.RequestsPerSecond <= 0 {
+		state.bucket = nil
+		return state
 	}
-	limit, burst := rate.Limit(declared.RequestsPerSecond), max(1, declared.Burst)
-	if known.bucket == nil {
-		known.bucket = rate.NewLimiter(limit, burst)
+	limit, burst := rate.Limit(tenant.RequestsPerSecond), max(1, tenant.Burst)
+	if state.bucket == nil {
+		state.bucket = rate.NewLimiter(limit, burst)
 	}
-	if known.bucket.Limit() != limit {
-		known.bucket.SetLimit(limit)
+	if state.bucket.Limit() != limit {
+		state.bucket.SetLimit(limit)
 	}
-	if known.bucket.Burst() != burst {
-		known.bucket.SetBurst(burst)
+	if state.bucket.Burst() != burst {
+		state.bucket.SetBurst(burst)
 	}
-	return known
+	return state
 }
 
-// check refuses a request over the tenant's concurrency or rate.
-func (t *tenantLimit) check(declared *config.Tenant) *outcome.Error {
-	if declared.MaxConcurrent > 0 && t.inFlight >= declared.MaxConcurrent {
+// checkLimits refuses a request that exceeds the tenant's concurrency or rate. Otherwise it takes
+// a token from the bucket.
+func (t *tenantState) checkLimits(tenant *config.Tenant) *outcome.Error {
+	if tenant.MaxConcurrent > 0 && t.inFlight >= tenant.MaxConcurrent {
 		return refusal(outcome.ReasonRateLimited, "the tenant has too many requests in flight", time.Second)
 	}
 	if t.bucket == nil {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// fixedSlots has a number of slots, all used by this node's own requests.
+// fixedSlots is a SlotCounter with a fixed number of slots, of which own are in use by this node.
 type fixedSlots struct{ total, own, usable int }
 
 func (f *fixedSlots) OnlineSlots(string, int) (free, usable, own int) {
@@ -43,7 +43,8 @@
 	return OnlineRequest{Tenant: tenant, Service: h.service, Priority: &config.Priority{Rank: rank, Online: true}}
 }
 
-// start admits in the background, in synctest's virtual time, and waits until it is settled.
+// start calls Admit in the background, on the virtual time of synctest, and waits until the call
+// has returned or is blocked in the queue.
 func (h *limiterHarness) start(ctx context.Context, name string, tenant *config.Tenant, rank int) <-chan error {
 	result := make(chan error, 1)
 	go func() {
@@ -58,7 +59,7 @@
 	return result
 }
 
-// release ends the request that was admitted first.
+// release ends the running request that was admitted first.
 func (h *limiterHarness) release() {
 	release := h.releases[0]
 	h.releases = h.releases[1:]
@@ -70,7 +71,7 @@
 	t.Helper()
 	refused := outcome.As(err)
 	if err == nil || refused.Outcome != outcome.NotRun || refused.Reason != reason || refused.RetryAfter <= 0 {
-		t.Fatalf("got %v (retry after %s), want not_run/%s with a time", err, refused.RetryAfter, reason)
+		t.Fatalf("got %v (retry after %s), want not_run/%s with RetryAfter", err, refused.RetryAfter, reason)
 	}
 }
 
@@ -93,7 +94,7 @@
 			h.release()
 		}
 		got := h.admitted[3:]
-		// heavy has 2 in flight when a slot is free; double gets two slots for each of heavy's.
+		// heavy has 2 in flight when a slot becomes free; double gets two slots for each one of heavy.
 		want := []string{"urgent", "double0", "double1", "heavy0", "double2", "heavy1", "heavy2"}
 		if !slices.Equal(got, want) {
 			t.Fatalf("admitted %v, want %v", got, want)
@@ -130,7 +131,7 @@
 		h := newLimiterHarness(t, 1, 10)
 		tenant := &config.Tenant{Name: "office"}
 		h.start(t.Context(), "first", tenant, 10)
-		time.Sleep(4 * time.Second) // requests are known to take 4 s
+		time.Sleep(4 * time.Second) // sets the mean service time to 4 s
 		h.release()
 		h.start(t.Context(), "second", tenant, 10)
 		soon, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -147,7 +148,7 @@
 		gone := h.start(left, "gone", tenant, 10)
 		leave()
 		if err := <-gone; outcome.Of(err) != outcome.NotRun || !errors.Is(err, context.Canceled) {
-			t.Fatalf("a caller that left got %v", err)
+			t.Fatalf("a cancelled caller got %v, want not_run and context.Canceled", err)
 		}
 		h.release()
 		if queue := h.limiter.services["chat"].queue; queue.inFlight != 0 || len(queue.waiting) != 0 {
@@ -169,7 +170,7 @@
 		expectRefusal(t, err, outcome.ReasonRateLimited)
 		time.Sleep(outcome.As(err).RetryAfter)
 		if err := <-h.start(t.Context(), "when told", limited, 10); err != nil {
-			t.Fatalf("refused again after the time it was told: %v", err)
+			t.Fatalf("refused again after RetryAfter: %v", err)
 		}
 		narrow := &config.Tenant{Name: "narrow", MaxConcurrent: 1}
 		h.releases = nil
--- a/internal/admission/online_signals.go
+++ b/internal/admission/online_signals.go
@@ -6,25 +6,26 @@
 	admissionpb "github.com/sloelift/sloelift/api/proto/admission"
 )
 
-// onlineStarted notes that an online request goes to a replica. Those of a short while
-// are gathered and the home nodes told. It is called by traffic and doesn't wait.
+// onlineStarted counts an online request that is sent to a replica. Starts are batched for
+// SignalFlush and then sent to the home nodes. It is called for each online request and does
+// not block.
 func (s *CreditService) onlineStarted(replica string) {
 	if s.options.DisableOnlineSignals {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.signals[replica]++
-	if len(s.signals) == 1 && s.signals[replica] == 1 {
-		s.flush = time.AfterFunc(s.options.SignalFlush, s.flushSignals)
+	s.unsentStarts[replica]++
+	if len(s.unsentStarts) == 1 && s.unsentStarts[replica] == 1 {
+		s.flushTimer = time.AfterFunc(s.options.SignalFlush, s.flushOnlineStarts)
 	}
 }
 
-// flushSignals sends what was gathered.
-func (s *CreditService) flushSignals() {
+// flushOnlineStarts sends the counted starts to the home nodes of their replicas.
+func (s *CreditService) flushOnlineStarts() {
 	s.mutex.Lock()
-	signals := s.signals
-	s.signals = make(map[string]int)
+	signals := s.unsentStarts
+	s.unsentStarts = make(map[string]int)
 	s.mutex.Unlock()
 	directory := s.fleet.Directory()
 	byHome := make(map[string]*admissionpb.OnlineStarted)
@@ -42,6 +43,6 @@
 		message.Counts = append(message.Counts, &admissionpb.ReplicaCount{Replica: id, Count: uint32(count)})
 	}
 	for home, message := range byHome {
-		s.sendTo(home, methodOnlineStarted, message, onlineHeard{started: message}, s.push)
+		s.sendTo(home, methodOnlineStarted, message, onlineStartsReceived{started: message}, s.enqueue)
 	}
 }
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -6,59 +6,63 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// Options are the rates and bounds of admission.
+// Options are the intervals and limits of credits.
 type Options struct {
-	// Policy is the product's own or a baseline of an experiment.
+	// Policy is PolicySloelift, or a baseline for experiments.
 	Policy routing.Policy
-	// StaticBatchPercent is the share of replicas kept for batch by PolicyStaticSplit.
+	// StaticBatchPercent is the percentage of replicas that PolicyStaticSplit reserves for batch.
 	StaticBatchPercent int
-	// TimeToLive is how long a credit runs unless it is renewed.
+	// TimeToLive is how long a credit is valid after its grant or last renewal.
 	TimeToLive time.Duration
 	// RenewInterval is the time between two renewals of a credit in use.
 	RenewInterval time.Duration
-	// ExpirySlack is how much longer the home node counts a credit as out.
+	// ExpirySlack is how much longer the home node counts an expired credit as outstanding.
 	ExpirySlack time.Duration
-	// ReportMaxAge is the age from which a load report no longer backs any credit.
+	// ReportMaxAge is the age above which a load report is stale: the replica gets no credits,
+	// and its credits are revoked.
 	ReportMaxAge time.Duration
-	// MaxLag bounds how old a report is taken to be when it is heard.
+	// MaxLag bounds the assumed age of a load report on receipt.
 	MaxLag time.Duration
-	// GrantHeadroomPercent of a replica's slots, at least one, stay free of new credits;
-	// credits are taken back when fewer than RevokeHeadroomPercent are free.
+	// GrantHeadroomPercent of a replica's slots, and at least one slot, are kept free of new
+	// credits. Credits are revoked when less than RevokeHeadroomPercent of the slots is free.
 	GrantHeadroomPercent  int
 	RevokeHeadroomPercent int
-	// SharedPercent of a replica's slots, at least one, is what batch gets of a replica that
-	// serves online requests at the time; KeepSharedPercent is what it keeps when they come.
+	// SharedPercent of a replica's slots, and at least one slot, may get new credits while the
+	// replica serves online requests; credits above KeepSharedPercent are then revoked.
 	SharedPercent     int
 	KeepSharedPercent int
-	// StartSteps is the number of engine steps between two new credits on one replica, so that
-	// prompts are not computed all at once and later items find the shared beginning cached.
+	// StartSteps is the minimum number of engine steps between two new credits on one replica.
+	// It spreads out prefill, and lets later items find a shared prefix in the cache.
 	StartSteps int
-	// BurstWindow is how long the highest number of online requests is remembered; as many
-	// slots are kept for its return, up to BurstPercent of a replica's slots.
+	// BurstWindow is the time over which the peak of online requests is tracked. Slots are kept
+	// free for a return to that peak, up to BurstPercent of a replica's slots.
 	BurstWindow  time.Duration
 	BurstPercent int
-	// MaxReuse is how long one credit passes from item to item on the node that holds it.
+	// MaxReuse is the time after its grant during which a requester may reuse a credit for
+	// further items.
 	MaxReuse time.Duration
-	// DemandRefresh is the time after which waiting items are announced again; an
-	// announcement that is not refreshed lapses after twice that time.
+	// DemandRefresh is the interval at which waiting items are announced again; a home node
+	// discards an announcement after twice that time.
 	DemandRefresh time.Duration
-	// DemandHomes bounds the home nodes that one announcement goes to.
+	// DemandHomes is the maximum number of home nodes that an announcement is sent to.
 	DemandHomes int
 	// DeclinePause is how long a replica is not offered to a node that declined it.
 	DeclinePause time.Duration
-	// PrefixLookahead bounds how many waiting items are compared for a cached prefix.
+	// PrefixLookahead is the maximum number of waiting items that are compared for a cached
+	// prefix when a credit is assigned.
 	PrefixLookahead int
-	// FairnessSlack is by how many credits owners may differ for the sake of a cached prefix.
+	// FairnessSlack is the difference in outstanding credits up to which tenants count as
+	// equal, so that a cached prefix decides between them.
 	FairnessSlack int
-	// PrefixMemory is how long a home node takes a prefix for cached after a grant.
+	// PrefixMemory is how long a home node assumes a prefix to be cached after a grant.
 	PrefixMemory time.Duration
-	// SignalFlush is how long online starts are gathered before they are sent to home nodes.
+	// SignalFlush is how long online starts are batched before they are sent to home nodes.
 	SignalFlush time.Duration
-	// DisableOnlineSignals leaves bursts to be seen in load reports only.
+	// DisableOnlineSignals makes home nodes rely on load reports alone to see online bursts.
 	DisableOnlineSignals bool
 }
 
-// DefaultOptions returns the options of a node in service.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		Policy:                routing.PolicySloelift,
@@ -86,5 +90,5 @@
 	}
 }
 
-// EqualPriority says whether engines get batch and online requests with the same priority.
+// EqualPriority reports whether engines get batch and online requests with the same priority.
 func (o Options) EqualPriority() bool { return o.Policy == routing.PolicyFIFO }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,8 +6,8 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// waitingRequest is one online request in a serviceQueue. decided gets nil when the
-// request is admitted and the refusal otherwise; it has room for one value.
+// waitingRequest is an online request in a serviceQueue. decided gets nil if the request is
+// admitted and the refusal otherwise; it is buffered for one value.
 type waitingRequest struct {
 	tenant  string
 	weight  int
@@ -16,68 +16,70 @@
 	decided chan error
 }
 
-// serviceQueue orders the waiting online requests of one service on one node. The
-// limiter's mutex guards it.
+// serviceQueue holds the waiting online requests of one service on one node. The mutex of the
+// RequestLimiter guards it.
 type serviceQueue struct {
-	waiting  []*waitingRequest
+	waiting []*waitingRequest
+	// inFlight counts requests that were admitted and not released yet.
 	inFlight int
-	// byTenant counts requests in flight, for fair shares.
-	byTenant map[string]int
-	// meanHold is the smoothed time from admission to release.
-	meanHold time.Duration
+	// inFlightByTenant counts requests in flight, for fair sharing.
+	inFlightByTenant map[string]int
+	// meanServiceTime is the exponentially smoothed time from admission to release.
+	meanServiceTime time.Duration
 }
 
-func newServiceQueue() *serviceQueue { return &serviceQueue{byTenant: make(map[string]int)} }
+func newServiceQueue() *serviceQueue { return &serviceQueue{inFlightByTenant: make(map[string]int)} }
 
-// next returns the index of the request to admit next: the highest rank, then the
-// tenant with the least in flight for its weight, then the first that came; -1 if none waits.
+// next returns the index of the request to admit next, or -1 if none waits: the highest rank,
+// then the tenant with the fewest requests in flight per weight, then the earliest arrival.
 func (q *serviceQueue) next() int {
 	best := -1
 	for index := range q.waiting {
-		if best < 0 || q.before(q.waiting[index], q.waiting[best]) {
+		if best < 0 || q.precedes(q.waiting[index], q.waiting[best]) {
 			best = index
 		}
 	}
 	return best
 }
 
-func (q *serviceQueue) before(a, b *waitingRequest) bool {
+// precedes reports whether request a is admitted before request b.
+func (q *serviceQueue) precedes(a, b *waitingRequest) bool {
 	if a.rank != b.rank {
 		return a.rank > b.rank
 	}
 	// inFlight(a)/weight(a) < inFlight(b)/weight(b), without division.
-	shareA, shareB := q.byTenant[a.tenant]*b.weight, q.byTenant[b.tenant]*a.weight
+	shareA, shareB := q.inFlightByTenant[a.tenant]*b.weight, q.inFlightByTenant[b.tenant]*a.weight
 	if shareA != shareB {
 		return shareA < shareB
 	}
 	return a.arrival < b.arrival
 }
 
-// last returns the index of the request that a higher rank may displace: the lowest
-// rank, then the last that came.
-func (q *serviceQueue) last() int {
+// displaceable returns the index of the request that one of higher rank may displace, or -1 if
+// none waits: the lowest rank, then the latest arrival.
+func (q *serviceQueue) displaceable() int {
 	worst := -1
-	for index, one := range q.waiting {
-		if worst < 0 || one.rank < q.waiting[worst].rank ||
-			one.rank == q.waiting[worst].rank && one.arrival > q.waiting[worst].arrival {
+	for index, candidate := range q.waiting {
+		if worst < 0 || candidate.rank < q.waiting[worst].rank ||
+			candidate.rank == q.waiting[worst].rank && candidate.arrival > q.waiting[worst].arrival {
 			worst = index
 		}
 	}
 	return worst
 }
 
-// take removes and returns the request at index.
-func (q *serviceQueue) take(index int) *waitingRequest {
-	one := q.waiting[index]
+// removeAt removes and returns the request at index.
+func (q *serviceQueue) removeAt(index int) *waitingRequest {
+	removed := q.waiting[index]
 	q.waiting = append(q.waiting[:index], q.waiting[index+1:]...)
-	return one
+	return removed
 }
 
-// remove drops a request; it returns false if it no longer waits.
+// remove removes a request and reports whether it was still waiting.
 func (q *serviceQueue) remove(request *waitingRequest) bool {
-	for index, one := range q.waiting {
-		if one == request {
-			q.take(index)
+	for index, candidate := range q.waiting {
+		if candidate == request {
+			q.removeAt(index)
 			return true
 		}
 	}
@@ -86,44 +88,45 @@
 
 func (q *serviceQueue) admitted(tenant string) {
 	q.inFlight++
-	q.byTenant[tenant]++
+	q.inFlightByTenant[tenant]++
 }
 
-func (q *serviceQueue) released(tenant string, held time.Duration) {
+func (q *serviceQueue) released(tenant string, serviceTime time.Duration) {
 	q.inFlight--
-	if q.byTenant[tenant]--; q.byTenant[tenant] == 0 {
-		delete(q.byTenant, tenant)
+	if q.inFlightByTenant[tenant]--; q.inFlightByTenant[tenant] == 0 {
+		delete(q.inFlightByTenant, tenant)
 	}
 	const smoothing = 8
-	if q.meanHold == 0 {
-		q.meanHold = held
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = serviceTime
 	} else {
-		q.meanHold += (held - q.meanHold) / smoothing
+		q.meanServiceTime += (serviceTime - q.meanServiceTime) / smoothing
 	}
 }
 
-// expectedWait is how long a request of the given rank would wait, going by how fast
-// requests end; 0 where that isn't known.
+// expectedWait estimates how long a request of the given rank would wait, from the rate at which
+// requests end. It is 0 if that is unknown.
 func (q *serviceQueue) expectedWait(rank int) time.Duration {
 	ahead := 1
-	for _, one := range q.waiting {
-		if one.rank >= rank {
+	for _, candidate := range q.waiting {
+		if candidate.rank >= rank {
 			ahead++
 		}
 	}
 	if q.inFlight == 0 {
 		return 0
 	}
-	return time.Duration(ahead) * q.meanHold / time.Duration(q.inFlight)
+	return time.Duration(ahead) * q.meanServiceTime / time.Duration(q.inFlight)
 }
 
-// Bounds of the time that a refused caller is told to wait.
+// Bounds of the RetryAfter of a refusal.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// refusal is the answer to a request that no engine saw.
+// refusal returns the error for a request that reached no engine. wait is clamped to the bounds
+// of RetryAfter.
 func refusal(reason outcome.Reason, message string, wait time.Duration) *outcome.Error {
 	return outcome.New(outcome.NotRun, reason, message).After(min(max(wait, minRetryAfter), maxRetryAfter))
 }
--- a/internal/admission/simulation_engine_test.go
+++ b/internal/admission/simulation_engine_test.go
@@ -12,20 +12,22 @@
 
 // simulatedRun is one request on a simulatedEngine.
 type simulatedRun struct {
-	batch       bool
-	blocks      []uint64
-	prefillLeft int
-	tokensLeft  int
-	decoded     bool
-	cached      int
-	// tokens gets the time of each token and is closed at the end.
+	batch  bool
+	blocks []uint64
+	// prefillLeft and tokensLeft count the prompt and output tokens still to be computed.
+	prefillLeft  int
+	tokensLeft   int
+	decoding     bool
+	cachedBlocks int
+	// tokens receives the time of each output token and is closed after the last.
 	tokens chan time.Time
 }
 
-// simulatedEngine batches continuously, online first, with a prefix cache.
+// simulatedEngine models an engine with continuous batching, priority for online requests, and
+// a prefix cache.
 type simulatedEngine struct {
 	id string
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	wake     chan struct{}
 	running  []*simulatedRun
@@ -46,7 +48,7 @@
 	}
 }
 
-// cancel takes a run out and returns how many tokens it still lacked.
+// cancel removes a run and returns the number of output tokens that it had not produced.
 func (e *simulatedEngine) cancel(run *simulatedRun) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -57,7 +59,7 @@
 
 func (e *simulatedEngine) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		step := e.plan()
+		step := e.planStep()
 		if step == 0 {
 			select {
 			case <-e.wake:
@@ -66,22 +68,24 @@
 			continue
 		}
 		time.Sleep(step)
-		e.complete(time.Now())
+		e.completeStep(time.Now())
 	}
 }
 
-func (e *simulatedEngine) plan() time.Duration {
+// planStep starts waiting runs in free slots, distributes prefill to the running ones, and returns
+// the duration of the next step, 0 if nothing runs.
+func (e *simulatedEngine) planStep() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	online := func(a, b *simulatedRun) int { return cmp.Compare(kindOrder(a), kindOrder(b)) }
+	online := func(a, b *simulatedRun) int { return cmp.Compare(batchCount(a), batchCount(b)) }
 	slices.SortStableFunc(e.waiting, online)
 	for len(e.running) < simulatedSlots && len(e.waiting) > 0 {
 		run := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		for run.cached < len(run.blocks) && e.cache[run.blocks[run.cached]] {
-			run.cached++
+		for run.cachedBlocks < len(run.blocks) && e.cache[run.blocks[run.cachedBlocks]] {
+			run.cachedBlocks++
 		}
-		run.prefillLeft -= run.cached * blockTokens
+		run.prefillLeft -= run.cachedBlocks * blockTokens
 		e.running = append(e.running, run)
 	}
 	slices.SortStableFunc(e.running, online)
@@ -93,7 +97,7 @@
 		used := min(run.prefillLeft, budget)
 		budget -= used
 		run.prefillLeft -= used
-		if run.decoded = run.prefillLeft == 0; run.decoded {
+		if run.decoding = run.prefillLeft == 0; run.decoding {
 			decoding++
 		}
 	}
@@ -101,18 +105,20 @@
 	return e.lastStep
 }
 
-func kindOrder(run *simulatedRun) int {
+// batchCount is 1 for a batch run and 0 for an online one; it also sorts online runs first.
+func batchCount(run *simulatedRun) int {
 	if run.batch {
 		return 1
 	}
 	return 0
 }
 
-func (e *simulatedEngine) complete(now time.Time) {
+// completeStep emits a token for each decoding run and removes the finished ones.
+func (e *simulatedEngine) completeStep(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.running = slices.DeleteFunc(e.running, func(run *simulatedRun) bool {
-		if !run.decoded {
+		if !run.decoding {
 			return false
 		}
 		for _, block := range run.blocks {
@@ -128,8 +134,8 @@
 	})
 }
 
-// sample takes a load report; report gives one of simulatedLag ago.
-func (e *simulatedEngine) sample(ctx context.Context) {
+// sampleReports takes a load report every 20 ms until ctx ends.
+func (e *simulatedEngine) sampleReports(ctx context.Context) {
 	for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 		e.mutex.Lock()
 		report := engine.LoadReport{
@@ -138,10 +144,10 @@
 		}
 		for _, run := range e.running {
 			report.QueuedPrefill += run.prefillLeft
-			report.RunningBatch += kindOrder(run)
+			report.RunningBatch += batchCount(run)
 		}
 		for _, run := range e.waiting {
-			report.WaitingBatch += kindOrder(run)
+			report.WaitingBatch += batchCount(run)
 		}
 		e.reports = append(e.reports, report)
 		e.mutex.Unlock()
@@ -152,6 +158,7 @@
 	}
 }
 
+// report returns the newest load report that is at least simulatedLag old, or the first one.
 func (e *simulatedEngine) report() engine.LoadReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/admission/simulation_terms_test.go
+++ b/internal/admission/simulation_terms_test.go
@@ -7,8 +7,8 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// simulationSwitches turn terms of routing and of credits off, or choose another value.
-var simulationSwitches = []struct {
+// simulationVariants each disable or change one term of routing or of credits.
+var simulationVariants = []struct {
 	name   string
 	change func(*routing.Options, *Options)
 }{
@@ -26,33 +26,34 @@
 	{"keep 40%", func(_ *routing.Options, o *Options) { o.KeepSharedPercent = 40 }},
 }
 
-// TestTermsInSimulation prints the worth of each term, as medians over the seeds, with
-// -v -simulation.terms; without, it checks that batch completes with each switch.
+// TestTermsInSimulation logs the effect of each term, as medians over the seeds, with
+// -v -simulation.terms. Without that flag it only checks, for two variants and one seed, that
+// batch items complete.
 func TestTermsInSimulation(t *testing.T) {
-	seeds, switches := uint64(*simulationSeeds), simulationSwitches
+	seeds, variants := uint64(*simulationSeeds), simulationVariants
 	if !*simulationTerms {
-		seeds, switches = 1, switches[1:3]
+		seeds, variants = 1, variants[1:3]
 	}
-	var alone []*simulationResult
+	var baselines []*simulationResult
 	for seed := range seeds {
-		alone = append(alone, simulate(t, routing.PolicyOnlineOnly, seed+1, nil))
+		baselines = append(baselines, simulate(t, routing.PolicyOnlineOnly, seed+1, nil))
 	}
-	for _, one := range switches {
+	for _, variant := range variants {
 		var first, between, online, batch, done, revoked []float64
 		for seed := range seeds {
-			result := simulate(t, routing.PolicySloelift, seed+1, one.change)
-			firstHarm, betweenHarm := result.harm(alone[seed])
-			first, between = append(first, firstHarm), append(between, betweenHarm)
+			result := simulate(t, routing.PolicySloelift, seed+1, variant.change)
+			firstRatio, betweenRatio := result.latencyRatios(baselines[seed])
+			first, between = append(first, firstRatio), append(between, betweenRatio)
 			online = append(online, float64(result.onlineCached)/float64(max(1, result.onlineBlocks)))
-			batch = append(batch, result.batchShare())
-			done = append(done, result.itemsDone.Seconds())
+			batch = append(batch, result.batchCachedShare())
+			done = append(done, result.lastItemDone.Seconds())
 			revoked = append(revoked, float64(result.revoked))
 			if result.items == 0 {
-				t.Errorf("%s: no batch item completed", one.name)
+				t.Errorf("%s: no batch item completed", variant.name)
 			}
 		}
-		t.Logf("%-18s first %.3f between %.3f online cached %.3f batch cached %.3f heap done %.2f s revoked %.0f",
-			one.name, median(first), median(between), median(online), median(batch), median(done), median(revoked))
+		t.Logf("%-18s first %.3f between %.3f online cached %.3f batch cached %.3f last item %.2f s revoked %.0f",
+			variant.name, median(first), median(between), median(online), median(batch), median(done), median(revoked))
 	}
 }
 
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -24,7 +24,7 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// Numbers of the simulated fleet: twelve engines in three zones, two nodes in each.
+// Parameters of the simulated fleet: twelve engines in three zones, with two nodes in each zone.
 const (
 	simulatedReplicas = 12
 	simulatedZones    = 3
@@ -37,27 +37,28 @@
 	blockTokens       = engine.PrefixBlockBytes / 4
 )
 
-// simulation runs real directories, routers and credits before simulated engines.
+// simulation runs the real directories, routers and credit services with simulated engines.
 type simulation struct {
 	cluster
 	policy routing.Policy
-	// itemsPerJob is 40 as today, or more to fill the fleet.
+	// itemsPerJob is the number of items in a batch job: 40 as in current jobs, or more to fill
+	// the fleet.
 	itemsPerJob int
 	engines     map[string]*simulatedEngine
 	result      simulationResult
 }
 
 type simulationResult struct {
-	mutex        sync.Mutex
-	firstToken   []time.Duration
-	betweenToken []time.Duration
-	onlineCached int
-	onlineBlocks int
-	batchCached  int
-	batchBlocks  int
-	items        int
-	itemsDone    time.Duration
-	revoked      int
+	mutex         sync.Mutex
+	firstToken    []time.Duration
+	betweenTokens []time.Duration
+	onlineCached  int
+	onlineBlocks  int
+	batchCached   int
+	batchBlocks   int
+	items         int
+	lastItemDone  time.Duration
+	revoked       int
 }
 
 func percentile(values []time.Duration, share float64) time.Duration {
@@ -71,8 +72,8 @@
 func (r *simulationResult) String() string {
 	return fmt.Sprintf("first token p50 %s p99 %s, between p99 %s, online cached %.3f, batch cached %.3f, items %d in %s, revoked %d",
 		percentile(r.firstToken, 0.5).Round(10*time.Microsecond), percentile(r.firstToken, 0.99).Round(10*time.Microsecond),
-		percentile(r.betweenToken, 0.99).Round(10*time.Microsecond), float64(r.onlineCached)/float64(max(1, r.onlineBlocks)),
-		float64(r.batchCached)/float64(max(1, r.batchBlocks)), r.items, r.itemsDone.Round(time.Millisecond), r.revoked)
+		percentile(r.betweenTokens, 0.99).Round(10*time.Microsecond), float64(r.onlineCached)/float64(max(1, r.onlineBlocks)),
+		float64(r.batchCached)/float64(max(1, r.batchBlocks)), r.items, r.lastItemDone.Round(time.Millisecond), r.revoked)
 }
 
 func (s *simulation) List(context.Context) (platform.MachineListing, error) {
@@ -115,27 +116,29 @@
 
 func (s *simulation) newNode(member membership.Member, routingOptions routing.Options, options Options) *clusterNode {
 	registry := prometheus.NewRegistry()
-	end, err := memory.NewTransport(s.network, member.PeerAddress, registry)
+	nodeTransport, err := memory.NewTransport(s.network, member.PeerAddress, registry)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	own := settings.Settings{Node: string(member.ID), Zone: member.Zone, PeerAddress: member.PeerAddress}
-	node := &clusterNode{cluster: &s.cluster, id: string(member.ID), transport: end}
-	node.fleet = fleet.NewService(fleet.DefaultOptions(), own, s, &s.cluster, s, end, zerolog.Nop())
-	node.fleet.Register(end)
+	nodeSettings := settings.Settings{Node: string(member.ID), Zone: member.Zone, PeerAddress: member.PeerAddress}
+	node := &clusterNode{cluster: &s.cluster, id: string(member.ID), transport: nodeTransport}
+	node.fleet = fleet.NewService(fleet.DefaultOptions(), nodeSettings, s, &s.cluster, s, nodeTransport, zerolog.Nop())
+	node.fleet.Register(nodeTransport)
 	node.router = routing.New(routingOptions, node.fleet, "", member.Zone, registry)
-	node.credits = NewCreditService(options, own, node.fleet, node.router, &s.cluster, clusterConfig{*simulationBatch}, end, registry, zerolog.Nop())
-	node.credits.Register(end)
+	node.credits = NewCreditService(options, nodeSettings, node.fleet, node.router, &s.cluster,
+		clusterConfig{*simulationBatch}, nodeTransport, registry, zerolog.Nop())
+	node.credits.Register(nodeTransport)
 	node.router.ObserveOnline(node.credits.onlineStarted)
 	return node
 }
 
-// run plays seconds of arrivals: online at a base rate with bursts, and heaps of batch jobs.
+// run simulates arrivals for the given duration: online requests at a base rate with bursts, and
+// groups of batch jobs.
 func (s *simulation) run(seed uint64, duration time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
-	for _, one := range s.engines {
-		go one.loop(ctx)
-		go one.sample(ctx)
+	for _, simulated := range s.engines {
+		go simulated.loop(ctx)
+		go simulated.sampleReports(ctx)
 	}
 	time.Sleep(time.Millisecond)
 	for _, node := range s.nodes {
@@ -145,16 +148,16 @@
 	}
 	time.Sleep(time.Second)
 	var work sync.WaitGroup
-	work.Go(func() { s.online(seed, duration, &work) })
+	work.Go(func() { s.sendOnlineRequests(seed, duration, &work) })
 	if s.policy != routing.PolicyOnlineOnly {
-		work.Go(func() { s.heaps(seed, duration, &work) })
+		work.Go(func() { s.submitBatchJobs(seed, duration, &work) })
 	}
 	work.Wait()
 	cancel()
 	s.stop()
 }
 
-func (s *simulation) online(seed uint64, duration time.Duration, work *sync.WaitGroup) {
+func (s *simulation) sendOnlineRequests(seed uint64, duration time.Duration, work *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for start := time.Now(); time.Since(start) < duration; {
 		rate := 30.0
@@ -165,23 +168,23 @@
 		prefix := uint64(min(random.IntN(24), random.IntN(24)))
 		run := &simulatedRun{prefillLeft: 300, tokensLeft: 24 + random.IntN(25), blocks: sharedBlocks(1000+prefix, 16, random.Uint64(), 2)}
 		node := s.nodes[random.IntN(len(s.nodes))]
-		work.Go(func() { s.serve(node, run) })
+		work.Go(func() { s.serveOnline(node, run) })
 	}
 }
 
-// sharedBlocks returns the block hashes of a prompt with a shared beginning.
-func sharedBlocks(prefix uint64, shared int, own uint64, more int) []uint64 {
+// sharedBlocks returns the block hashes of a prompt: a shared prefix, then blocks of its own.
+func sharedBlocks(prefix uint64, shared int, ownFirst uint64, ownCount int) []uint64 {
 	var blocks []uint64
 	for index := range shared {
 		blocks = append(blocks, prefix<<8+uint64(index))
 	}
-	for index := range more {
-		blocks = append(blocks, own+uint64(index))
+	for index := range ownCount {
+		blocks = append(blocks, ownFirst+uint64(index))
 	}
 	return blocks
 }
 
-func (s *simulation) serve(node *clusterNode, run *simulatedRun) {
+func (s *simulation) serveOnline(node *clusterNode, run *simulatedRun) {
 	started := time.Now()
 	decision, done, err := node.router.Pick(routing.Request{Service: "chat", PrefixBlocks: run.blocks})
 	if err != nil {
@@ -196,16 +199,16 @@
 	}
 	s.engines[decision.Endpoint.Replica].start(run)
 	var times []time.Time
-	for at := range run.tokens {
-		times = append(times, at)
+	for tokenAt := range run.tokens {
+		times = append(times, tokenAt)
 	}
 	s.result.mutex.Lock()
 	defer s.result.mutex.Unlock()
 	s.result.firstToken = append(s.result.firstToken, times[0].Sub(started))
 	for index := 1; index < len(times); index++ {
-		s.result.betweenToken = append(s.result.betweenToken, times[index].Sub(times[index-1]))
+		s.result.betweenTokens = append(s.result.betweenTokens, times[index].Sub(times[index-1]))
 	}
-	s.result.onlineCached += run.cached
+	s.result.onlineCached += run.cachedBlocks
 	s.result.onlineBlocks += len(run.blocks)
 }
 
@@ -214,7 +217,7 @@
 	return member.Zone
 }
 
-func (s *simulation) heaps(seed uint64, duration time.Duration, work *sync.WaitGroup) {
+func (s *simulation) submitBatchJobs(seed uint64, duration time.Duration, work *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	time.Sleep(time.Second)
 	job := uint64(0)
@@ -222,9 +225,9 @@
 		for range 6 {
 			job++
 			node := s.nodes[random.IntN(len(s.nodes))]
-			heap := time.Now()
-			deadline := heap.Add(4 * time.Hour)
-			waiting := make(chan struct{}, 64) // as many items as a node lets wait
+			submittedAt := time.Now()
+			deadline := submittedAt.Add(4 * time.Hour)
+			waiting := make(chan struct{}, 64) // the number of items that a node lets wait
 			items := s.itemsPerJob
 			prefix := job
 			work.Go(func() {
@@ -233,11 +236,11 @@
 					waiting <- struct{}{}
 					tokens, own := 48+rand.IntN(49), rand.Uint64()
 					work.Go(func() {
-						s.item(node, prefix, own, tokens, deadline)
+						s.runBatchItem(node, prefix, own, tokens, deadline)
 						<-waiting
 						s.result.mutex.Lock()
 						s.result.items++
-						s.result.itemsDone = max(s.result.itemsDone, time.Since(heap))
+						s.result.lastItemDone = max(s.result.lastItemDone, time.Since(submittedAt))
 						s.result.mutex.Unlock()
 					})
 				}
@@ -246,8 +249,9 @@
 	}
 }
 
-// item runs one batch item to its end, again and again where its credit is revoked.
-func (s *simulation) item(node *clusterNode, prefix, own uint64, tokens int, deadline time.Time) {
+// runBatchItem runs one batch item to its end. After each revocation it acquires a new credit for
+// the remaining tokens.
+func (s *simulation) runBatchItem(node *clusterNode, prefix, own uint64, tokens int, deadline time.Time) {
 	for tokens > 0 {
 		run := &simulatedRun{batch: true, prefillLeft: 512, tokensLeft: tokens, blocks: sharedBlocks(1<<20+prefix, 16, own, 16)}
 		request := BatchRequest{Tenant: "office", Rank: 100, Deadline: deadline}
@@ -257,19 +261,20 @@
 			s.t.Error(err)
 			return
 		}
-		on := s.engines[credit.Decision.Endpoint.Replica]
-		on.start(run)
-		tokens = s.follow(on, run, credit)
+		replica := s.engines[credit.Decision.Endpoint.Replica]
+		replica.start(run)
+		tokens = s.awaitItem(replica, run, credit)
 		credit.Release()
 		s.result.mutex.Lock()
-		s.result.batchCached += run.cached
+		s.result.batchCached += run.cachedBlocks
 		s.result.batchBlocks += len(run.blocks)
 		s.result.mutex.Unlock()
 	}
 }
 
-// follow returns the tokens that are still missing.
-func (s *simulation) follow(on *simulatedEngine, run *simulatedRun, credit *Credit) int {
+// awaitItem waits until the run ends or its credit is revoked, and returns the number of output
+// tokens still missing.
+func (s *simulation) awaitItem(replica *simulatedEngine, run *simulatedRun, credit *Credit) int {
 	for {
 		select {
 		case _, more := <-run.tokens:
@@ -280,7 +285,7 @@
 			s.result.mutex.Lock()
 			s.result.revoked++
 			s.result.mutex.Unlock()
-			return on.cancel(run)
+			return replica.cancel(run)
 		}
 	}
 }
@@ -295,7 +300,7 @@
 
 var simulationSeeds = flag.Int("simulation.seeds", 1, "seeds of the policy simulation")
 
-// simulate plays one policy in virtual time.
+// simulate runs the simulation for one policy in virtual time.
 func simulate(t *testing.T, policy routing.Policy, seed uint64, change func(*routing.Options, *Options)) *simulationResult {
 	var result *simulationResult
 	synctest.Test(t, func(t *testing.T) {
@@ -310,38 +315,40 @@
 	return result
 }
 
-// TestPoliciesInSimulation compares policies on the same arrivals on virtual time, free of
-// the noise of the machine. Run with -v for the figures. The bounds leave room for the
-// order in which goroutines run, which differs from run to run.
+// TestPoliciesInSimulation compares policies on the same arrivals. Virtual time keeps the load of
+// the machine out of the results; -v prints them. The order in which goroutines run still
+// differs between runs, and the bounds allow for that.
 func TestPoliciesInSimulation(t *testing.T) {
 	for seed := range uint64(*simulationSeeds) {
-		alone := simulate(t, routing.PolicyOnlineOnly, seed+1, nil)
-		t.Logf("seed %d online-only %s", seed+1, alone)
+		baseline := simulate(t, routing.PolicyOnlineOnly, seed+1, nil)
+		t.Logf("seed %d online-only %s", seed+1, baseline)
 		credits := simulate(t, routing.PolicySloelift, seed+1, nil)
-		first, between := credits.harm(alone)
-		t.Logf("seed %d sloelift %s harm first %.3f between %.3f", seed+1, credits, first, between)
+		first, between := credits.latencyRatios(baseline)
+		t.Logf("seed %d sloelift %s p99 ratios: first token %.3f, between tokens %.3f", seed+1, credits, first, between)
 		fifo := simulate(t, routing.PolicyFIFO, seed+1, nil)
-		fifoFirst, fifoBetween := fifo.harm(alone)
-		t.Logf("seed %d fifo %s harm first %.3f between %.3f", seed+1, fifo, fifoFirst, fifoBetween)
+		fifoFirst, fifoBetween := fifo.latencyRatios(baseline)
+		t.Logf("seed %d fifo %s p99 ratios: first token %.3f, between tokens %.3f", seed+1, fifo, fifoFirst, fifoBetween)
 		if first > 1.3 || between > 1.15 {
-			t.Errorf("harm to the online tail: first token %.3f, between tokens %.3f", first, between)
+			t.Errorf("online p99 relative to online-only: first token %.3f, between tokens %.3f", first, between)
 		}
 		if credits.items != fifo.items || credits.items == 0 {
 			t.Errorf("%d batch items completed, fifo %d", credits.items, fifo.items)
 		}
-		if credits.batchShare() < fifo.batchShare() {
-			t.Errorf("batch found %.3f of its prompts cached, fifo %.3f", credits.batchShare(), fifo.batchShare())
+		if credits.batchCachedShare() < fifo.batchCachedShare() {
+			t.Errorf("cached share of batch prompts %.3f, fifo %.3f", credits.batchCachedShare(), fifo.batchCachedShare())
 		}
 	}
 }
 
-func (r *simulationResult) batchShare() float64 {
+// batchCachedShare returns the share of batch prompt blocks that were cached.
+func (r *simulationResult) batchCachedShare() float64 {
 	return float64(r.batchCached) / float64(max(1, r.batchBlocks))
 }
 
-// harm gives the ratios of the online p99 to that without batch.
-func (r *simulationResult) harm(alone *simulationResult) (first, between float64) {
-	first = float64(percentile(r.firstToken, 0.99)) / float64(percentile(alone.firstToken, 0.99))
-	between = float64(percentile(r.betweenToken, 0.99)) / float64(percentile(alone.betweenToken, 0.99))
+// latencyRatios returns the online p99 latencies to and between tokens, relative to a baseline
+// without batch.
+func (r *simulationResult) latencyRatios(baseline *simulationResult) (first, between float64) {
+	first = float64(percentile(r.firstToken, 0.99)) / float64(percentile(baseline.firstToken, 0.99))
+	between = float64(percentile(r.betweenTokens, 0.99)) / float64(percentile(baseline.betweenTokens, 0.99))
 	return first, between
 }
