--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -8,45 +8,45 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that a choice depends on.
 type Request struct {
 	Service string
 	// Zone is the zone of this process.
 	Zone string
-	// PartKey names the deepest prompt part that the request shares with others; empty where it names none.
+	// PartKey identifies the deepest prompt part that the request shares with others; it is empty if there is none.
 	PartKey string
-	// PartTokens are the tokens up to and with that part, Tokens those of the whole prompt.
+	// PartTokens counts the prompt tokens up to and including that part, Tokens those of the whole prompt.
 	PartTokens int
 	Tokens     int
-	// BodyBytes is the size of what is sent to the replica.
+	// BodyBytes is the size of the request body that is sent to the replica.
 	BodyBytes int
-	// Objective is the time within which the answer is to begin; zero where latency does not matter.
+	// Objective is the time within which the response should begin; 0 if latency does not matter.
 	Objective time.Duration
-	// Excluded replicas have had the request.
+	// Excluded holds the replicas that the request was already sent to.
 	Excluded []*replica.Handle
-	// MaxOccupancy, where it is above 0, is the largest share of a replica's slots in use that is allowed.
+	// MaxOccupancy is the occupancy (0 to 1) from which on a replica gets no such request; 0 means no limit.
 	MaxOccupancy float64
-	// ZoneWeight scales what another zone costs; zero stands for 1.
+	// ZoneWeight scales the distance penalty; 0 means 1.
 	ZoneWeight float64
 
-	// Homes are the regions in which a replica may get the request.
+	// Homes holds the regions whose replicas may get the request.
 	Homes region.Set
 
-	// apart holds the replicas that take long prompts.
-	apart map[*replica.Handle]bool
-	// topology knows how far replicas are.
+	// longPromptReplicas holds the replicas that are set apart for long prompts; Pick sets it.
+	longPromptReplicas map[*replica.Handle]bool
+	// topology maps zones to regions; Pick sets it.
 	topology region.Topology
 }
 
-// distanceTo returns how far from this process's zone the replica is.
+// distanceTo returns the distance of the replica from this process's zone.
 func (r *Request) distanceTo(handle *replica.Handle) region.Distance {
 	return r.topology.Between(r.Zone, handle.Info().Zone)
 }
 
-// Filter drops replicas that cannot take a request.
+// Filter reports whether a replica can take a request.
 type Filter func(request *Request, handle *replica.Handle, now time.Time) bool
 
-// Scorer rates a replica for a request; higher is better, 1 is about the worth of a whole replica's room.
+// Scorer rates a replica for a request; higher is better. 1 is about the difference between an idle and a full replica.
 type Scorer func(request *Request, handle *replica.Handle, now time.Time) float64
 
 // Picker chooses replicas. It is safe for concurrent use.
@@ -60,10 +60,11 @@
 	mix       *promptMix
 }
 
-// scoreNoise spreads the choices of processes that know the same.
+// scoreNoise is the largest random addition to a score. It spreads the choices of processes that see the same load.
 const scoreNoise = 0.04
 
-// NewPicker returns the picker of online requests in zones that lie as topology says. random returns numbers from 0 to 1; nil is the default source.
+// NewPicker returns a Picker for the replicas in directory, with zones mapped to regions by topology. random returns numbers in [0, 1); nil
+// stands for math/rand.
 func NewPicker(directory *replica.Directory, topology region.Topology, random func() float64) *Picker {
 	if random == nil {
 		random = rand.Float64
@@ -71,32 +72,34 @@
 	picker := &Picker{
 		directory: directory,
 		topology:  topology,
-		required:  []Filter{notExcluded, usable, underOccupancy, coldRoom},
-		preferred: []Filter{inReachedZone, notAvoided},
-		scorers:   []Scorer{occupancyScore, zoneScore, partScore, failureScore, prefillScore, readingScore, coldScore, paceScore, slowdownScore},
-		random:    random,
-		mix:       newPromptMix(),
+		required:  []Filter{notExcluded, usable, underOccupancy, hasColdCapacity},
+		preferred: []Filter{inReachableZone, notAvoided},
+		scorers: []Scorer{
+			occupancyScore, zoneScore, partScore, failureScore, longPromptScore, queuedPrefillScore, coldScore, paceScore, slowdownScore,
+		},
+		random: random,
+		mix:    newPromptMix(),
 	}
-	picker.required = append(picker.required, picker.inHomes)
+	picker.required = append(picker.required, picker.inAllowedRegions)
 	return picker
 }
 
-// Pick returns the best replica for request; nil where none can take it.
+// Pick returns the best replica for request, or nil if none can take it. A preferred filter applies only if some replica passes it.
 func (p *Picker) Pick(request *Request, now time.Time) *replica.Handle {
 	p.mix.observe(request)
 	request.topology = p.topology
-	request.apart = p.setApart(request)
-	all := p.directory.View().Of(request.Service)
-	able := filter(request, all, p.required, now)
+	request.longPromptReplicas = p.selectLongPromptReplicas(request)
+	replicas := p.directory.View().Of(request.Service)
+	eligible := filter(request, replicas, p.required, now)
 	for index := range p.preferred {
-		if preferred := filter(request, able, p.preferred[index:index+1], now); len(preferred) > 0 {
-			able = preferred
+		if preferred := filter(request, eligible, p.preferred[index:index+1], now); len(preferred) > 0 {
+			eligible = preferred
 		}
 	}
-	sample := newSample(request, able)
+	sample := newSample(request, eligible)
 	var best *replica.Handle
 	var bestScore float64
-	for _, handle := range able {
+	for _, handle := range eligible {
 		score := scoreNoise*p.random() - sample.penalty(request, handle, p.random)
 		for _, scorer := range p.scorers {
 			score += scorer(request, handle, now)
@@ -105,18 +108,19 @@
 			best, bestScore = handle, score
 		}
 	}
-	wantCold(request, all, best, now)
+	markColdWanted(request, replicas, best, now)
 	return best
 }
 
+// filter returns the replicas that pass all filters.
 func filter(request *Request, handles []*replica.Handle, filters []Filter, now time.Time) []*replica.Handle {
 	kept := make([]*replica.Handle, 0, len(handles))
 	for _, handle := range handles {
-		passes := true
+		keep := true
 		for _, check := range filters {
-			passes = passes && check(request, handle, now)
+			keep = keep && check(request, handle, now)
 		}
-		if passes {
+		if keep {
 			kept = append(kept, handle)
 		}
 	}
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -7,30 +7,34 @@
 )
 
 const (
-	// coldPenalty is what it costs that a replica is cold, in parts of a replica's room: about that of another zone, so that replicas of the
-	// other zones take what the replicas of a zone that returns cannot take yet.
+	// coldPenalty is the penalty of a cold replica. It is about that of another zone, so that other zones take the requests that a returning
+	// zone cannot take yet.
 	coldPenalty = 0.3
-	// rampTime is the time after a replica turned warm in which the penalty fades: nodes that know the same would else all choose the empty
-	// replica that has just turned warm.
-	rampTime = 2 * time.Second
-	// pacePenalty is the cost of each request by which a replica gets more than it got lately, somewhat more than a place of a replica with
-	// 8 slots; with maxPacePenalty a whole burst rather goes to another zone than to one replica.
+	// warmRampTime is the time over which coldPenalty decreases to 0 after a replica turned warm. Without it, all nodes that see the same
+	// load would pick the empty replica at once.
+	warmRampTime = 2 * time.Second
+	// pacePenalty is the penalty for each request by which this process exceeds its recent rate to a replica. It is somewhat more than one
+	// slot of a replica with 8 slots. maxPacePenalty bounds it; a whole burst goes to another zone rather than to one replica.
 	pacePenalty    = 0.15
 	maxPacePenalty = maxRemotePenalty
-	// shortAbove is the share of a replica's slots in use above which cold replicas are wanted beside it: its requests slow each other down.
-	shortAbove = 0.5
+	// warmShortageOccupancy is the occupancy of the picked replica above which cold replicas are wanted as well, since requests on a fuller
+	// replica slow each other down.
+	warmShortageOccupancy = 0.5
 )
 
-// coldRoom drops cold replicas to which this process may send nothing now.
-func coldRoom(_ *Request, handle *replica.Handle, now time.Time) bool { return handle.ColdRoom(now) }
+// hasColdCapacity drops cold replicas to which this process may not send a request now.
+func hasColdCapacity(_ *Request, handle *replica.Handle, now time.Time) bool {
+	return handle.ColdRoom(now)
+}
 
-// wantCold has cold replicas counted as wanted where the warm ones are short: best, the choice, is none or rather full, or half of the
-// replicas of the own zone are cold. They are not wanted at other times, since a pass, without which none gets a request, costs calls to the
-// key-value service.
-func wantCold(request *Request, all []*replica.Handle, best *replica.Handle, now time.Time) {
+// markColdWanted marks cold replicas as wanted when warm capacity is short: no replica was picked (best is nil), best is above
+// warmShortageOccupancy, or at least as many replicas of the own zone are cold as warm. If a replica was picked, only cold replicas of the
+// own zone count. Otherwise they are not marked: a cold replica gets requests only with a pass, and passes cost calls to the key-value
+// service.
+func markColdWanted(request *Request, replicas []*replica.Handle, best *replica.Handle, now time.Time) {
 	var cold []*replica.Handle
 	warm := 0
-	for _, handle := range all {
+	for _, handle := range replicas {
 		if !handle.Usable() || (best != nil && handle.Info().Zone != request.Zone) {
 			continue
 		}
@@ -40,7 +44,7 @@
 			warm++
 		}
 	}
-	if best != nil && len(cold) < warm && occupancy(best, now) <= shortAbove {
+	if best != nil && len(cold) < warm && occupancy(best, now) <= warmShortageOccupancy {
 		return
 	}
 	for _, handle := range cold {
@@ -48,17 +52,17 @@
 	}
 }
 
-// coldScore prefers replicas that have been warm for a while.
+// coldScore penalizes cold replicas, and those that turned warm less than warmRampTime ago.
 func coldScore(_ *Request, handle *replica.Handle, now time.Time) float64 {
-	warmFor, ever := handle.WarmFor(now)
-	if !ever || warmFor >= rampTime {
+	warmFor, wasCold := handle.WarmFor(now)
+	if !wasCold || warmFor >= warmRampTime {
 		return 0
 	}
-	return -coldPenalty * (1 - warmFor.Seconds()/rampTime.Seconds())
+	return -coldPenalty * (1 - warmFor.Seconds()/warmRampTime.Seconds())
 }
 
-// paceScore prefers replicas that get no more from this process than they got lately: one may have turned cold without an entry or an answer
-// that says so. Only services that declare how many requests their cold replicas can take are paced.
+// paceScore penalizes replicas to which this process sends more than it did recently, because a replica may have turned cold without an
+// entry or a response that reports it. It applies only to services that declare how many requests their cold replicas can take.
 func paceScore(_ *Request, handle *replica.Handle, now time.Time) float64 {
 	if !handle.ColdBounded() {
 		return 0
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -46,7 +46,7 @@
 			v.Find("near").NoteLoad(replica.Load{Running: 1, Slots: 10}, now)
 		}, "far"},
 		{"one that turned warm a while ago is not", func(v *replica.View) {
-			cold(v.Find("near"), -rampTime)
+			cold(v.Find("near"), -warmRampTime)
 			v.Find("near").NoteLoad(replica.Load{Running: 1, Slots: 10}, now)
 		}, "near"},
 	} {
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestPaceSparesNormalService: where callers come as usual, in bursts of twice their average, the pace changes hardly any choice.
+// TestPaceSparesNormalService checks that under normal traffic, with bursts of twice the base rate, paceScore penalizes at most a quarter
+// of the requests.
 func TestPaceSparesNormalService(t *testing.T) {
 	t.Parallel()
 	seed := rand.Uint64()
@@ -75,7 +76,7 @@
 	for _, perSecond := range []float64{0.2, 1, 4} {
 		handle := replica.NewHandle(replica.Info{ID: "r", Slots: 8})
 		handle.SetColdBounded(true)
-		requests, marked := 0, 0
+		requests, penalized := 0, 0
 		now := time.Now()
 		end := now.Add(500 * time.Second)
 		for now.Before(end) {
@@ -87,17 +88,17 @@
 			handle.NoteSent(now)
 			requests++
 			if paceScore(nil, handle, now) <= -pacePenalty {
-				marked++
+				penalized++
 			}
 		}
-		t.Logf("%g a second: %d of %d requests are ahead of the pace by one or more", perSecond, marked, requests)
-		if marked > requests/4 {
-			t.Errorf("%g a second: %d of %d requests are ahead of the pace", perSecond, marked, requests)
+		t.Logf("%g requests/s: %d of %d requests exceed the pace by one or more", perSecond, penalized, requests)
+		if penalized > requests/4 {
+			t.Errorf("%g requests/s: %d of %d requests exceed the pace, want a quarter at most", perSecond, penalized, requests)
 		}
 	}
 }
 
-// TestPaceSpreadsABurst: a replica that bore nothing and is the emptiest does not get a whole burst.
+// TestPaceSpreadsABurst checks that a burst is not sent entirely to the emptiest replica, to which nothing was sent recently.
 func TestPaceSpreadsABurst(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -115,11 +116,11 @@
 		got[handle.Info().ID]++
 	}
 	if got["near"] > 7 || got["far"] == 0 {
-		t.Errorf("a burst went to %v", got)
+		t.Errorf("burst was distributed as %v, want at most 7 on near and some on far", got)
 	}
 }
 
-// TestColdReplicasAreWantedWhereWarmOnesAreShort: a part of what they bear is not asked for while others have room.
+// TestColdReplicasAreWantedWhereWarmOnesAreShort checks that cold replicas are marked as wanted only while warm ones are short.
 func TestColdReplicasAreWantedWhereWarmOnesAreShort(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -152,7 +153,7 @@
 				}
 			}
 			if !slices.Equal(wanted, test.want) {
-				t.Errorf("wanted are %v, want %v", wanted, test.want)
+				t.Errorf("marked as wanted: %v, want %v", wanted, test.want)
 			}
 		})
 	}
--- a/internal/balance/distance_test.go
+++ b/internal/balance/distance_test.go
@@ -8,17 +8,19 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// threeDistances is one replica of 8 slots in the own zone, one in another zone of its region, and one in another region.
+// threeDistances returns a directory with three replicas of 8 slots: in zone n1, in another zone of its region, and in another region.
 func threeDistances() (*replica.Directory, region.Topology) {
 	directory := replica.NewDirectory()
 	directory.Replace([]replica.Info{
-		{ID: "here", Service: "s", Zone: "n1", Slots: 8}, {ID: "near", Service: "s", Zone: "n2", Slots: 8}, {ID: "far", Service: "s", Zone: "s1", Slots: 8},
+		{ID: "here", Service: "s", Zone: "n1", Slots: 8},
+		{ID: "near", Service: "s", Zone: "n2", Slots: 8},
+		{ID: "far", Service: "s", Zone: "s1", Slots: 8},
 	})
 	return directory, region.NewTopology(map[string]string{"n1": "north", "n2": "north", "s1": "south"})
 }
 
-// TestDistanceInThreeSteps: a replica is taken the nearer one first, as long as it has about as much room; one that would have the
-// request wait is passed over also for another region.
+// TestDistanceInThreeSteps checks that the nearest of about equally loaded replicas is picked, and that a replica on which the request
+// would wait loses even to one in another region.
 func TestDistanceInThreeSteps(t *testing.T) {
 	const objective = 300 * time.Millisecond
 	for _, test := range []struct {
@@ -72,7 +74,7 @@
 	}
 }
 
-// TestSampleOfEachDistance: of each distance a few replicas are in the sample, however many there are farther away.
+// TestSampleOfEachDistance checks that the sample contains a few replicas of each distance, regardless of how many are farther away.
 func TestSampleOfEachDistance(t *testing.T) {
 	directory := replica.NewDirectory()
 	var infos []replica.Info
@@ -92,7 +94,7 @@
 	drawn := newSample(request, directory.View().Of("s"))
 	for distance, want := range map[region.Distance]float64{region.SameZone: 1.5, region.SameRegion: 0.5, region.OtherRegion: 3.0 / 32} {
 		if got := drawn[distance]; got != want {
-			t.Errorf("of distance %d a part of %f, want %f", distance, got, want)
+			t.Errorf("sampling probability at distance %d is %f, want %f", distance, got, want)
 		}
 	}
 }
--- a/internal/balance/filters.go
+++ b/internal/balance/filters.go
@@ -7,26 +7,28 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// notExcluded drops replicas that have had the request.
+// notExcluded drops replicas that the request was already sent to.
 func notExcluded(request *Request, handle *replica.Handle, _ time.Time) bool {
 	return !slices.Contains(request.Excluded, handle)
 }
 
-// usable drops replicas that drain or are gone.
+// usable drops replicas that are draining or removed.
 func usable(_ *Request, handle *replica.Handle, _ time.Time) bool { return handle.Usable() }
 
-// notAvoided drops replicas that failed or refused a moment ago.
+// notAvoided drops replicas that failed or refused a request recently.
 func notAvoided(_ *Request, handle *replica.Handle, now time.Time) bool { return !handle.Avoided(now) }
 
-// inReachedZone drops replicas of zones that are cut off from this process.
-func inReachedZone(_ *Request, handle *replica.Handle, _ time.Time) bool { return !handle.ZoneCutOff() }
+// inReachableZone drops replicas in zones that this process cannot reach.
+func inReachableZone(_ *Request, handle *replica.Handle, _ time.Time) bool {
+	return !handle.ZoneCutOff()
+}
 
-// underOccupancy drops replicas that are fuller than the request allows.
+// underOccupancy drops replicas whose occupancy is not below the request's MaxOccupancy.
 func underOccupancy(request *Request, handle *replica.Handle, now time.Time) bool {
 	return request.MaxOccupancy <= 0 || occupancy(handle, now) < request.MaxOccupancy
 }
 
-// occupancy is the share of the replica's slots in use or waited for.
+// occupancy returns the running and waiting requests of a replica per slot; it exceeds 1 if requests wait.
 func occupancy(handle *replica.Handle, now time.Time) float64 {
 	return handle.Occupancy(now) / float64(max(1, handle.Info().Slots))
 }
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -7,19 +7,19 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// inHomes drops replicas outside the regions in which the request may be served. A zone of an unknown region is in no home.
-func (p *Picker) inHomes(request *Request, handle *replica.Handle, _ time.Time) bool {
+// inAllowedRegions drops replicas outside the regions in request.Homes. If these are limited, a zone of unknown region is in none of them.
+func (p *Picker) inAllowedRegions(request *Request, handle *replica.Handle, _ time.Time) bool {
 	return p.Allowed(request.Homes, handle)
 }
 
-// Allowed says that the replica lies in one of homes.
+// Allowed reports whether the replica is in one of the regions in homes.
 func (p *Picker) Allowed(homes region.Set, handle *replica.Handle) bool {
-	// Most requests are confined to none: they need no look at the zones.
+	// Most requests are not limited to regions and need no lookup of the zone.
 	return !homes.Limited() || homes.Allows(p.topology.RegionOf(handle.Info().Zone))
 }
 
-// Room says what the replicas of service within homes can take: served, that one of them takes requests at all; free, that one of them that
-// does not fail has a slot free.
+// Room reports on the replicas of a service in the regions in homes: served is true if one of them accepts new requests, free if one of
+// them that has not failed recently also has a free slot.
 func (p *Picker) Room(service string, homes region.Set, now time.Time) (served, free bool) {
 	for _, handle := range p.directory.View().Of(service) {
 		if !handle.Usable() || !p.Allowed(homes, handle) {
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-func regionsUnderTest() (*replica.Directory, region.Topology) {
+func testRegions() (*replica.Directory, region.Topology) {
 	directory := replica.NewDirectory()
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	directory.Replace([]replica.Info{
@@ -40,7 +40,7 @@
 		{"no region in common", none, nil, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			directory, topology := regionsUnderTest()
+			directory, topology := testRegions()
 			request := Request{Service: "s", Zone: "north-1", Homes: test.homes}
 			for _, id := range test.exclude {
 				request.Excluded = append(request.Excluded, directory.View().Find(id))
@@ -70,7 +70,7 @@
 		{"a region without replicas", region.NewSet("west"), "", false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			directory, topology := regionsUnderTest()
+			directory, topology := testRegions()
 			if test.full != "" {
 				directory.View().Find(test.full).NoteLoad(replica.Load{Running: 10, Slots: 10}, now)
 			}
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// sampleSize is the number of replicas of its own zone, of the rest of its region, and of all other regions, among which a node with
-	// callers mostly chooses. Nodes know the same, some tens of ms old, and do not see what the others send meanwhile: if each took the
-	// emptiest of all, all would take the same one. A few random choices suffice (Mitzenmacher, "How useful is old information?", 2000).
+	// sampleSize is the expected number of replicas in the sample of an online request, for each of: its own zone, the rest of its region,
+	// all other regions. All nodes see the same load, some tens of ms old, but not what the others send meanwhile; if each picked the
+	// emptiest of all replicas, all would pick the same one. Picking from a few random replicas avoids that (Mitzenmacher, "How useful is
+	// old information?", 2000).
 	sampleSize = 3
-	// outsidePenalty is what a replica outside the sample costs, in parts of its room.
-	outsidePenalty = 0.6
+	// outsideSamplePenalty is the penalty of a replica outside the sample.
+	outsideSamplePenalty = 0.6
 )
 
-// sample draws, for one request, the replicas among which it mostly chooses: of each distance it holds the part that is in it.
+// sample holds, for each distance, the probability that a replica is in the random sample of a request. The request mostly goes to a
+// replica in its sample.
 type sample [region.OtherRegion + 1]float64
 
-// newSample returns the sample of a request among handles. Batch items are sent by few nodes, which see most of what is sent: their
-// sample holds all.
+// newSample returns the sample of a request among handles. For batch items (MaxOccupancy is set) it includes all replicas: few nodes send
+// them, and these see most of what is sent.
 func newSample(request *Request, handles []*replica.Handle) sample {
 	if request.MaxOccupancy > 0 {
 		return sample{1, 1, 1}
@@ -34,11 +36,11 @@
 	return shares
 }
 
-// penalty draws whether a replica is in the sample and returns what it costs if it is not.
+// penalty decides at random whether a replica is in the sample and returns outsideSamplePenalty if it is not.
 func (s sample) penalty(request *Request, handle *replica.Handle, random func() float64) float64 {
 	share := s[request.distanceTo(handle)]
 	if share >= 1 || random() < share {
 		return 0
 	}
-	return outsidePenalty
+	return outsideSamplePenalty
 }
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -8,7 +8,8 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// TestChoicesOfManyNodesDoNotMeet: nodes that know the same do not all take the emptiest replica.
+// TestChoicesOfManyNodesDoNotMeet checks that nodes that see the same load do not all pick the emptiest replica, and that a batch item
+// does.
 func TestChoicesOfManyNodesDoNotMeet(t *testing.T) {
 	const replicas, choices = 30, 3000
 	directory := replica.NewDirectory()
@@ -24,16 +25,16 @@
 	emptiest := directory.View().Find("a")
 	emptiest.SetOthers(replica.Use{Requests: 2}, now)
 	picker := NewPicker(directory, region.Topology{}, nil)
-	met := 0
+	emptiestPicks := 0
 	for range choices {
 		if picker.Pick(&Request{Service: "s", Zone: "z"}, now) == emptiest {
-			met++
+			emptiestPicks++
 		}
 	}
-	if share := float64(met) / choices; share > 2.0*sampleSize/replicas {
-		t.Errorf("%.2f of all choices fell on the emptiest replica, want about %.2f", share, float64(sampleSize)/replicas)
+	if share := float64(emptiestPicks) / choices; share > 2.0*sampleSize/replicas {
+		t.Errorf("the emptiest replica got %.2f of all picks, want about %.2f", share, float64(sampleSize)/replicas)
 	}
 	if handle := picker.Pick(&Request{Service: "s", Zone: "z", MaxOccupancy: 0.9}, now); handle != emptiest {
-		t.Error("an item did not go to the emptiest replica")
+		t.Error("a batch item did not go to the emptiest replica")
 	}
 }
