--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,3 +1,4 @@
-// Package routing decides which replica serves a request: typed filters remove
-// replicas, scorers weigh the rest, a picker takes one. Each is one file.
+// Package routing chooses the replica that serves a request: filters remove
+// replicas that cannot serve it, scorers estimate the delay on the others, and
+// a picker chooses among the cheapest. Each of them is in a file of its own.
 package routing
--- a/internal/routing/filter_draining.go
+++ b/internal/routing/filter_draining.go
@@ -2,5 +2,5 @@
 
 import "github.com/sloelift/sloelift/internal/fleet"
 
-// notDraining drops replicas whose models are being changed.
+// notDraining drops replicas that are draining for a change of their models.
 func notDraining(_ *Request, replica *fleet.Replica) bool { return !replica.Draining() }
--- a/internal/routing/filter_model.go
+++ b/internal/routing/filter_model.go
@@ -7,11 +7,12 @@
 	"github.com/sloelift/sloelift/internal/fleet"
 )
 
-// stateReady is the State of an engine.Loaded that serves.
+// stateReady is the engine.Loaded.State of a model that can serve requests.
 const stateReady = "ready"
 
-// modelPresent drops replicas that report other models only. A replica without a
-// report is kept for online: it may well serve. For batch it is dropped.
+// modelPresent drops replicas whose load report does not match the requested model and adapter. A
+// replica without a load report is kept for online requests, since it may be able to serve them,
+// and dropped for batch.
 func modelPresent(request *Request, replica *fleet.Replica) bool {
 	if !replica.HasLoad {
 		return !request.Batch
@@ -19,8 +20,8 @@
 	return Serves(&replica.Load, request.Model, request.Adapter)
 }
 
-// Serves says whether a report names the model and adapter as ready. An empty
-// model or a report that names no models at all matches.
+// Serves reports whether a load report lists the model and adapter as ready. An empty model or
+// adapter, or a report without any models, matches.
 func Serves(report *engine.LoadReport, model, adapter string) bool {
 	if len(report.Models) == 0 || model == "" {
 		return true
--- a/internal/routing/filter_reserved.go
+++ b/internal/routing/filter_reserved.go
@@ -6,13 +6,14 @@
 	"github.com/sloelift/sloelift/internal/fleet"
 )
 
-// ReservedForBatch says whether PolicyStaticSplit keeps a replica for batch only.
+// ReservedForBatch reports whether PolicyStaticSplit reserves a replica for batch. It does so for
+// about the given percentage of replicas, chosen by a hash of the id.
 func ReservedForBatch(replica string, percent int) bool {
 	return int(xxhash.Sum64String("static-split\x00"+replica)%100) < percent
 }
 
-// splitByKind sends batch to the reserved replicas and online to the others.
-func splitByKind(percent int) filter {
+// matchingSplit drops unreserved replicas for batch requests and reserved ones for online requests.
+func matchingSplit(percent int) filter {
 	return func(request *Request, replica *fleet.Replica) bool {
 		return ReservedForBatch(replica.ID, percent) == request.Batch
 	}
--- a/internal/routing/fx.go
+++ b/internal/routing/fx.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// Module provides *Service and Router. Options may be supplied.
+// Module provides *Service and Router. It uses DefaultOptions unless *Options is supplied.
 var Module = fx.Module("routing", fx.Provide(
 	provide,
 	func(service *Service) Router { return service },
@@ -38,7 +38,7 @@
 	var unsubscribe func()
 	in.Lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			unsubscribe = in.Fleet.Subscribe(service.own.keepOnly)
+			unsubscribe = in.Fleet.Subscribe(service.own.dropUnlisted)
 			return nil
 		},
 		OnStop: func(context.Context) error { unsubscribe(); return nil },
--- a/internal/routing/options.go
+++ b/internal/routing/options.go
@@ -2,81 +2,86 @@
 
 import "time"
 
-// Policy names how batch shares the fleet with online; experiments compare them.
+// Policy determines how batch shares the fleet with online requests.
 type Policy string
 
-// Policies. PolicySloelift is the product's own; the others are baselines.
+// Policies. PolicySloelift is used in production; the others are baselines for experiments.
 const (
-	// PolicySloelift runs batch on credits and takes them back for online bursts.
+	// PolicySloelift runs batch items on credits, which are revoked when online requests need
+	// the slots.
 	PolicySloelift Policy = "sloelift"
-	// PolicyOnlineOnly runs no batch at all.
+	// PolicyOnlineOnly runs no batch items.
 	PolicyOnlineOnly Policy = "online-only"
-	// PolicyFIFO lets batch take any free slot, with equal priority and no yield.
+	// PolicyFIFO lets batch items use any free slot, with the same priority as online requests
+	// and without revocation.
 	PolicyFIFO Policy = "fifo"
-	// PolicyStaticSplit keeps a fixed share of the replicas for batch only.
+	// PolicyStaticSplit reserves a fixed share of the replicas for batch.
 	PolicyStaticSplit Policy = "static-split"
 )
 
-// PickerKind names a picker.
+// PickerKind selects the picker.
 type PickerKind string
 
 // Pickers.
 const (
-	// PickerTop takes the cheapest replica, at random among those nearly as cheap.
+	// PickerTop picks among the replicas within Costs.Tie of the lowest cost, by prefix
+	// affinity or at random.
 	PickerTop PickerKind = "top"
-	// PickerPowerOfTwo takes the cheaper one of two at random.
+	// PickerPowerOfTwo picks the cheaper one of two random replicas.
 	PickerPowerOfTwo PickerKind = "power-of-two"
 )
 
-// Options switch the terms of routing, so that experiments can measure the worth of each.
+// Options configure routing. The switches allow experiments to measure the effect of each term.
 type Options struct {
 	Policy Policy
 	Picker PickerKind
-	// DisablePrefix, DisableLoad and DisableDistance drop a scorer; DisableOwnRequests
-	// drops own requests since the last report; DisableCacheEvents leaves the prefix index
-	// uncorrected; DisableConfidence takes old entries of it for certain.
+	// DisablePrefix, DisableLoad and DisableDistance remove a scorer. DisableOwnRequests
+	// ignores the node's own requests that a load report does not include yet.
+	// DisableCacheEvents leaves the prefix index uncorrected, and DisableConfidence does not
+	// discount its old entries.
 	DisablePrefix      bool
 	DisableLoad        bool
 	DisableDistance    bool
 	DisableOwnRequests bool
 	DisableCacheEvents bool
 	DisableConfidence  bool
-	// DisableAffinity picks at random among equals, whatever the beginning of the prompt.
+	// DisableAffinity makes PickerTop ignore the prompt prefix and pick at random.
 	DisableAffinity bool
-	// StaticBatchPercent is the share of replicas kept for batch by PolicyStaticSplit.
+	// StaticBatchPercent is the percentage of replicas that PolicyStaticSplit reserves for batch.
 	StaticBatchPercent int
 	Costs              Costs
 }
 
-// Costs turn what is known about a replica into an expected delay of the first token.
+// Costs are the parameters of the scorers, which estimate the delay of the first token.
 type Costs struct {
 	// PrefillBlock is the time to compute one prefix block that is not cached.
 	PrefillBlock time.Duration
 	// PrefillToken is the time to compute one queued prompt token.
 	PrefillToken time.Duration
-	// Step is the engine's step time where it reports none.
+	// Step is the assumed step time of an engine that reports none.
 	Step time.Duration
-	// BusySteps is how many steps a full batch adds, in proportion to how full it is.
+	// BusySteps is the delay, in steps, that a full replica adds; it is scaled by the share of
+	// slots in use.
 	BusySteps float64
-	// WaitingSteps is how many steps one waiting request adds.
+	// WaitingSteps is the delay, in steps, that each waiting request adds.
 	WaitingSteps float64
-	// OwnWeight is the number of requests that one own request since the report stands for,
-	// because other gateways choose by the same report.
+	// OwnWeight is the number of requests that each of the node's own requests since the last
+	// report counts for, since other gateways choose by the same report.
 	OwnWeight float64
-	// BatchShare weighs a batch request in comparison with an online one.
+	// BatchShare is the weight of a running batch request relative to an online one.
 	BatchShare float64
-	// OtherZone and OtherRegion are the cost of distance.
+	// OtherZone and OtherRegion are the costs of a replica in another zone or region.
 	OtherZone   time.Duration
 	OtherRegion time.Duration
 	// NoReport is the cost of a replica without a load report.
 	NoReport time.Duration
-	// Tie is the difference below which two costs count as equal.
+	// Tie is the difference up to which costs count as equal.
 	Tie time.Duration
-	// MaxLag bounds how old a load report is taken to be when it is heard.
+	// MaxLag bounds the assumed age of a load report on receipt.
 	MaxLag time.Duration
 }
 
-// DefaultOptions returns the options of a node in service.
+// DefaultOptions returns the options used in production.
 func DefaultOptions() Options {
 	return Options{
 		Policy:             PolicySloelift,
--- a/internal/routing/own_requests.go
+++ b/internal/routing/own_requests.go
@@ -7,19 +7,19 @@
 	"github.com/sloelift/sloelift/internal/fleet"
 )
 
-// maxOwnChanges bounds what is kept of one replica between two reports.
-const maxOwnChanges = 4096
+// maxRecentChanges bounds the changes that are kept for one replica between two load reports.
+const maxRecentChanges = 4096
 
-// ownRequests counts this node's requests on one replica, so that those which the
-// last report doesn't count yet can be added to it.
+// ownRequests tracks this node's requests on one replica, so that those that the last load
+// report does not include yet can be added to it.
 type ownRequests struct {
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// online and batch are the requests in flight.
+	// online and batch count the requests in flight.
 	online int
 	batch  int
-	// changes are starts (+1) and ends (-1) of online requests, oldest first.
-	changes []ownChange
+	// recentChanges are starts (+1) and ends (-1) of online requests, oldest first.
+	recentChanges []ownChange
 }
 
 type ownChange struct {
@@ -27,7 +27,8 @@
 	delta int
 }
 
-func (o *ownRequests) change(at time.Time, delta int, batch bool) {
+// record adds delta to the requests in flight: 1 for a start, -1 for an end.
+func (o *ownRequests) record(at time.Time, delta int, batch bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if batch {
@@ -35,15 +36,16 @@
 		return
 	}
 	o.online += delta
-	if len(o.changes) >= maxOwnChanges {
-		o.changes = append(o.changes[:0], o.changes[maxOwnChanges/2:]...)
+	if len(o.recentChanges) >= maxRecentChanges {
+		o.recentChanges = append(o.recentChanges[:0], o.recentChanges[maxRecentChanges/2:]...)
 	}
-	o.changes = append(o.changes, ownChange{at: at, delta: delta})
+	o.recentChanges = append(o.recentChanges, ownChange{at: at, delta: delta})
 }
 
-// since returns the net number of own online requests started after the report was measured.
-// Where there is no report it is the number in flight.
-func (o *ownRequests) since(replica *fleet.Replica, maxLag time.Duration) int {
+// unreported returns the number of online requests that started minus the number that ended since
+// the last load report was measured; it may be negative. Without a report it returns the number
+// in flight.
+func (o *ownRequests) unreported(replica *fleet.Replica, maxLag time.Duration) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if !replica.HasLoad {
@@ -51,68 +53,68 @@
 	}
 	measured := MeasuredAt(replica.Load.MeasuredAt, replica.HeardAt, maxLag)
 	first := 0
-	for first < len(o.changes) && o.changes[first].at.Before(measured) {
+	for first < len(o.recentChanges) && o.recentChanges[first].at.Before(measured) {
 		first++
 	}
 	if first > 0 {
-		o.changes = append(o.changes[:0], o.changes[first:]...)
+		o.recentChanges = append(o.recentChanges[:0], o.recentChanges[first:]...)
 	}
 	net := 0
-	for _, change := range o.changes {
+	for _, change := range o.recentChanges {
 		net += change.delta
 	}
 	return net
 }
 
-// inFlight returns the own online requests on the replica.
+// inFlight returns the number of this node's online requests on the replica.
 func (o *ownRequests) inFlight() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.online
 }
 
-// MeasuredAt returns on this node's clock when a report was measured: the engine's clock
-// is believed only as far as it makes a lag between 0 and maxLag.
+// MeasuredAt returns when a load report was measured, on this node's clock. The engine's clock
+// may be wrong, so the lag that it implies is clamped to between 0 and maxLag.
 func MeasuredAt(engineTime, heardAt time.Time, maxLag time.Duration) time.Time {
 	lag := heardAt.Sub(engineTime)
 	return heardAt.Add(-min(max(lag, 0), maxLag))
 }
 
-// ownTable finds the ownRequests of replicas.
-type ownTable struct {
+// ownRequestsTable holds the ownRequests of all replicas by id.
+type ownRequestsTable struct {
 	// mutex guards byReplica.
 	mutex     sync.RWMutex
 	byReplica map[string]*ownRequests
 }
 
-func (t *ownTable) find(replica string) *ownRequests {
+func (t *ownRequestsTable) find(replica string) *ownRequests {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 	return t.byReplica[replica]
 }
 
-func (t *ownTable) findOrMake(replica string) *ownRequests {
-	if known := t.find(replica); known != nil {
-		return known
+func (t *ownRequestsTable) findOrCreate(replica string) *ownRequests {
+	if requests := t.find(replica); requests != nil {
+		return requests
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.byReplica[replica]
-	if known == nil {
-		known = &ownRequests{}
-		t.byReplica[replica] = known
+	requests := t.byReplica[replica]
+	if requests == nil {
+		requests = &ownRequests{}
+		t.byReplica[replica] = requests
 	}
-	return known
+	return requests
 }
 
-// keepOnly drops idle replicas that are no longer listed.
-func (t *ownTable) keepOnly(directory *fleet.Directory) {
+// dropUnlisted removes replicas that are not in the directory and have no requests in flight.
+func (t *ownRequestsTable) dropUnlisted(directory *fleet.Directory) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for id, known := range t.byReplica {
-		known.mutex.Lock()
-		idle := known.online == 0 && known.batch == 0
-		known.mutex.Unlock()
+	for id, requests := range t.byReplica {
+		requests.mutex.Lock()
+		idle := requests.online == 0 && requests.batch == 0
+		requests.mutex.Unlock()
 		if idle && directory.Find(id) == nil {
 			delete(t.byReplica, id)
 		}
--- a/internal/routing/picker_power_of_two.go
+++ b/internal/routing/picker_power_of_two.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// pickPowerOfTwo takes the cheaper one of two candidates at random.
+// pickPowerOfTwo picks the cheaper one of two random candidates.
 func pickPowerOfTwo(_ *Request, candidates []candidate) *candidate {
 	if len(candidates) == 1 {
 		return &candidates[0]
--- a/internal/routing/picker_top.go
+++ b/internal/routing/picker_top.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// picker takes one of at least one candidates with their costs.
+// picker picks one of the scored candidates, of which there is at least one.
 type picker func(request *Request, candidates []candidate) *candidate
 
-// pickTop takes the cheapest candidate. Among those within tie of it, it takes the one that
-// all nodes prefer for the beginning of the prompt, or one at random for a prompt without one.
+// pickTop returns a picker that chooses among the candidates within tie of the lowest cost: the
+// one with the highest Affinity to the prompt prefix, which is the same on all nodes, or a
+// random one if the prompt has no prefix or affinity is off.
 func pickTop(tie time.Duration, affinity bool) picker {
 	return func(request *Request, candidates []candidate) *candidate {
-		least := candidates[0].cost
+		lowest := candidates[0].cost
 		for index := range candidates {
-			least = min(least, candidates[index].cost)
+			lowest = min(lowest, candidates[index].cost)
 		}
 		prefix := request.PrefixID()
 		var chosen *candidate
-		var highest uint64
+		var highestOrder uint64
 		for index := range candidates {
-			if candidates[index].cost > least+tie {
+			if candidates[index].cost > lowest+tie {
 				continue
 			}
 			order := rand.Uint64()
 			if affinity && prefix != 0 {
 				order = Affinity(prefix, candidates[index].replica.ID)
 			}
-			if chosen == nil || order > highest {
-				chosen, highest = &candidates[index], order
+			if chosen == nil || order > highestOrder {
+				chosen, highestOrder = &candidates[index], order
 			}
 		}
 		return chosen
--- a/internal/routing/prefix_index.go
+++ b/internal/routing/prefix_index.go
@@ -11,52 +11,57 @@
 // Bounds of the prefix index.
 const (
 	maxIndexBlocks = 1 << 17
-	// halfLife is the age at which the confidence in an entry has halved;
-	// confirmedHalfLife holds for entries that a cache event confirmed.
-	halfLife          = 60 * time.Second
-	confirmedHalfLife = 300 * time.Second
-	// gapFactor scales the confidence in entries made before cache events were lost.
+	// unconfirmedHalfLife is the age at which the confidence in an entry has halved;
+	// confirmedHalfLife applies to entries that a cache event confirmed.
+	unconfirmedHalfLife = 60 * time.Second
+	confirmedHalfLife   = 300 * time.Second
+	// gapFactor scales the confidence in entries that predate a loss of cache events.
 	gapFactor = 0.8
 )
 
-// holding says that a replica held a block when it was last heard of.
-type holding struct {
+// holder records that a replica held a block at the time updatedAt. confirmed is set if a cache
+// event reported it.
+type holder struct {
 	replica   string
-	at        time.Time
+	updatedAt time.Time
 	confirmed bool
 }
 
-// prefixIndex remembers which replicas are thought to hold which prefix blocks: from own
-// dispatches, corrected by cache events. It keeps two generations of blocks; the
-// older one is dropped when the newer one is full.
+// prefixIndex tracks which replicas are expected to have which prefix blocks cached. It is filled
+// from this node's own dispatches and corrected by cache events. It keeps two generations of
+// blocks; when the newer one is full, the older one is dropped.
 type prefixIndex struct {
-	confidence bool
-	// mutex guards all below.
-	mutex   sync.Mutex
-	recent  map[uint64][]holding
-	older   map[uint64][]holding
-	gaps    map[string]time.Time
-	cleared map[string]time.Time
+	// discounting enables the decay of confidence with age; without it, confidence is 1.
+	discounting bool
+	// mutex guards the fields below.
+	mutex sync.Mutex
+	newer map[uint64][]holder
+	older map[uint64][]holder
+	// gapAt and clearedAt hold, for each replica, when cache events were last lost and when its
+	// cache was last cleared.
+	gapAt     map[string]time.Time
+	clearedAt map[string]time.Time
 }
 
-func newPrefixIndex(confidence bool) *prefixIndex {
+func newPrefixIndex(discounting bool) *prefixIndex {
 	return &prefixIndex{
-		confidence: confidence,
-		recent:     make(map[uint64][]holding),
-		older:      make(map[uint64][]holding),
-		gaps:       make(map[string]time.Time),
-		cleared:    make(map[string]time.Time),
+		discounting: discounting,
+		newer:       make(map[uint64][]holder),
+		older:       make(map[uint64][]holder),
+		gapAt:       make(map[string]time.Time),
+		clearedAt:   make(map[string]time.Time),
 	}
 }
 
-// overlap is what a replica is thought to hold of a prompt.
+// overlap is the number of leading blocks of a prompt that a replica is expected to hold, and the
+// confidence (0 to 1) in that.
 type overlap struct {
 	blocks     int
 	confidence float64
 }
 
-// match returns the overlap of each replica that holds at least the first block.
-func (x *prefixIndex) match(now time.Time, blocks []uint64) map[string]overlap {
+// matchAll returns the overlap of each replica that holds at least the first block.
+func (x *prefixIndex) matchAll(now time.Time, blocks []uint64) map[string]overlap {
 	if len(blocks) == 0 {
 		return nil
 	}
@@ -65,14 +70,14 @@
 	var matched map[string]overlap
 	for depth, block := range blocks {
 		found := false
-		for _, held := range x.holdings(block) {
-			before := matched[held.replica]
-			if before.blocks != depth || x.wasCleared(held) {
+		for _, held := range x.holders(block) {
+			previous := matched[held.replica]
+			if previous.blocks != depth || x.wasCleared(held) {
 				continue
 			}
-			confidence := x.confidenceIn(now, held)
+			confidence := x.confidenceOf(now, held)
 			if depth > 0 {
-				confidence = min(confidence, before.confidence)
+				confidence = min(confidence, previous.confidence)
 			}
 			if matched == nil {
 				matched = make(map[string]overlap)
@@ -87,97 +92,97 @@
 	return matched
 }
 
-// matchOn returns the overlap of one replica.
-func (x *prefixIndex) matchOn(now time.Time, replica string, blocks []uint64) overlap {
+// matchReplica returns the overlap of one replica.
+func (x *prefixIndex) matchReplica(now time.Time, replica string, blocks []uint64) overlap {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	result := overlap{confidence: 1}
 	for _, block := range blocks {
-		held, found := holdingOf(x.holdings(block), replica)
+		held, found := findHolder(x.holders(block), replica)
 		if !found || x.wasCleared(held) {
 			break
 		}
 		result.blocks++
-		result.confidence = min(result.confidence, x.confidenceIn(now, held))
+		result.confidence = min(result.confidence, x.confidenceOf(now, held))
 	}
 	return result
 }
 
-func holdingOf(holdings []holding, replica string) (holding, bool) {
-	for _, held := range holdings {
+func findHolder(holders []holder, replica string) (holder, bool) {
+	for _, held := range holders {
 		if held.replica == replica {
 			return held, true
 		}
 	}
-	return holding{}, false
+	return holder{}, false
 }
 
-func (x *prefixIndex) holdings(block uint64) []holding {
-	if found, ok := x.recent[block]; ok {
+func (x *prefixIndex) holders(block uint64) []holder {
+	if found, ok := x.newer[block]; ok {
 		return found
 	}
 	return x.older[block]
 }
 
-func (x *prefixIndex) wasCleared(held holding) bool {
-	at, ok := x.cleared[held.replica]
-	return ok && !held.at.After(at)
+func (x *prefixIndex) wasCleared(held holder) bool {
+	at, ok := x.clearedAt[held.replica]
+	return ok && !held.updatedAt.After(at)
 }
 
-func (x *prefixIndex) confidenceIn(now time.Time, held holding) float64 {
-	if !x.confidence {
+func (x *prefixIndex) confidenceOf(now time.Time, held holder) float64 {
+	if !x.discounting {
 		return 1
 	}
-	half := halfLife
+	halfLife := unconfirmedHalfLife
 	if held.confirmed {
-		half = confirmedHalfLife
+		halfLife = confirmedHalfLife
 	}
-	confidence := min(1, math.Exp2(-float64(now.Sub(held.at))/float64(half)))
-	if gap, ok := x.gaps[held.replica]; ok && !held.at.After(gap) {
+	confidence := min(1, math.Exp2(-float64(now.Sub(held.updatedAt))/float64(halfLife)))
+	if gap, ok := x.gapAt[held.replica]; ok && !held.updatedAt.After(gap) {
 		confidence *= gapFactor
 	}
 	return confidence
 }
 
-// record notes that a replica holds blocks from now on.
+// record adds a replica as holder of the blocks as of now.
 func (x *prefixIndex) record(now time.Time, replica string, blocks []uint64, confirmed bool) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for _, block := range blocks {
-		x.put(block, holding{replica: replica, at: now, confirmed: confirmed})
+		x.add(block, holder{replica: replica, updatedAt: now, confirmed: confirmed})
 	}
 }
 
-func (x *prefixIndex) put(block uint64, held holding) {
-	holdings, ok := x.recent[block]
-	if !ok {
-		if len(x.recent) >= maxIndexBlocks/2 {
-			x.older, x.recent = x.recent, make(map[uint64][]holding)
+func (x *prefixIndex) add(block uint64, held holder) {
+	holders, inNewer := x.newer[block]
+	if !inNewer {
+		if len(x.newer) >= maxIndexBlocks/2 {
+			x.older, x.newer = x.newer, make(map[uint64][]holder)
 		}
-		holdings = x.older[block]
+		holders = x.older[block]
 		delete(x.older, block)
 	}
-	for index := range holdings {
-		if holdings[index].replica == held.replica {
-			held.confirmed = held.confirmed || holdings[index].confirmed
-			holdings[index] = held
-			x.recent[block] = holdings
+	for index := range holders {
+		if holders[index].replica == held.replica {
+			held.confirmed = held.confirmed || holders[index].confirmed
+			holders[index] = held
+			x.newer[block] = holders
 			return
 		}
 	}
-	x.recent[block] = append(holdings, held)
+	x.newer[block] = append(holders, held)
 }
 
-// correct applies what cache events tell. An own dispatch that is younger than the events'
-// lag may look evicted although it is not; that costs one hit at most.
+// correct applies cache events. Events lag behind, so a block of a later own dispatch may be
+// removed although it is cached. That costs at most one cache hit.
 func (x *prefixIndex) correct(now time.Time, change fleet.CacheChange) {
 	if change.Cleared || change.Gap {
 		x.mutex.Lock()
 		if change.Cleared {
-			x.cleared[change.Replica] = now
+			x.clearedAt[change.Replica] = now
 		}
 		if change.Gap {
-			x.gaps[change.Replica] = now
+			x.gapAt[change.Replica] = now
 		}
 		x.mutex.Unlock()
 	}
@@ -189,8 +194,8 @@
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for _, block := range blocks {
-		for _, generation := range []map[uint64][]holding{x.recent, x.older} {
-			generation[block] = without(generation[block], replica)
+		for _, generation := range []map[uint64][]holder{x.newer, x.older} {
+			generation[block] = removeHolder(generation[block], replica)
 			if len(generation[block]) == 0 {
 				delete(generation, block)
 			}
@@ -198,11 +203,11 @@
 	}
 }
 
-func without(holdings []holding, replica string) []holding {
-	for index := range holdings {
-		if holdings[index].replica == replica {
-			return append(holdings[:index:index], holdings[index+1:]...)
+func removeHolder(holders []holder, replica string) []holder {
+	for index := range holders {
+		if holders[index].replica == replica {
+			return append(holders[:index:index], holders[index+1:]...)
 		}
 	}
-	return holdings
+	return holders
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -10,18 +10,18 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// retryWhenNone is when a caller may come back where no replica can serve it.
-const retryWhenNone = time.Second
+// noReplicaRetryAfter is the RetryAfter of a request that no replica can serve.
+const noReplicaRetryAfter = time.Second
 
-// Service is the Router of one node. It takes no lock that is held for long: the
-// directory is an immutable snapshot.
+// Service is the Router of one node. It holds no lock for long, since the directory is an
+// immutable snapshot.
 type Service struct {
 	options Options
 	source  fleet.Source
 	filters []filter
 	scorers []scorer
 	pick    picker
-	own     ownTable
+	own     ownRequestsTable
 	prefix  *prefixIndex
 	picks   *prometheus.CounterVec
 
@@ -30,12 +30,12 @@
 	observers []func(replica string)
 }
 
-// New returns a Router for a node of the given region and zone.
+// New returns a Service for a node in the given region and zone.
 func New(options Options, source fleet.Source, region, zone string, registerer prometheus.Registerer) *Service {
 	service := &Service{
 		options: options, source: source,
 		filters: []filter{notLeaving, notFailed, notDraining, notExcluded, modelPresent},
-		own:     ownTable{byReplica: make(map[string]*ownRequests)},
+		own:     ownRequestsTable{byReplica: make(map[string]*ownRequests)},
 		prefix:  newPrefixIndex(!options.DisableConfidence),
 		picks: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sloelift_routing_picks_total", Help: "Replicas picked, by kind of request and result.",
@@ -43,7 +43,7 @@
 	}
 	registerer.MustRegister(service.picks)
 	if options.Policy == PolicyStaticSplit {
-		service.filters = append(service.filters, splitByKind(options.StaticBatchPercent))
+		service.filters = append(service.filters, matchingSplit(options.StaticBatchPercent))
 	}
 	if !options.DisableLoad {
 		service.scorers = append(service.scorers, loadCost(options.Costs))
@@ -61,15 +61,15 @@
 	return service
 }
 
-// ObserveOnline calls notify with the replica of each online request that is picked, on
-// the caller's goroutine, for the life of the Router. notify must not block.
+// ObserveOnline registers notify, which is called with the replica of each online request that
+// starts, on the goroutine that starts it. It cannot be unregistered. notify must not block.
 func (s *Service) ObserveOnline(notify func(replica string)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.observers = append(s.observers, notify)
 }
 
-// Pick chooses a replica and counts the request there until done is called.
+// Pick implements Router.
 func (s *Service) Pick(request Request) (decision Decision, done func(), err error) {
 	now := time.Now()
 	directory := s.source.Directory()
@@ -77,7 +77,7 @@
 	if len(candidates) == 0 {
 		s.count(request.Batch, "none")
 		return Decision{}, nil, outcome.New(outcome.NotRun, outcome.ReasonUnavailable,
-			"no replica of service "+request.Service+" can serve the request").After(retryWhenNone)
+			"no replica of service "+request.Service+" can serve the request").After(noReplicaRetryAfter)
 	}
 	chosen := s.pick(&request, candidates)
 	s.count(request.Batch, "picked")
@@ -96,18 +96,19 @@
 	s.picks.WithLabelValues(kind, result).Inc()
 }
 
-// Started counts a request on a replica that was chosen otherwise, until done is called.
+// Started counts a request as running on a replica until done is called. Callers use it for a
+// replica that Pick did not choose.
 func (s *Service) Started(replica string, request Request) (done func()) {
 	now := time.Now()
-	own := s.own.findOrMake(replica)
-	own.change(now, 1, request.Batch)
+	own := s.own.findOrCreate(replica)
+	own.record(now, 1, request.Batch)
 	if !s.options.DisablePrefix {
 		s.prefix.record(now, replica, request.PrefixBlocks, false)
 	}
 	if !request.Batch {
 		s.notifyOnline(replica)
 	}
-	return sync.OnceFunc(func() { own.change(time.Now(), -1, request.Batch) })
+	return sync.OnceFunc(func() { own.record(time.Now(), -1, request.Batch) })
 }
 
 func (s *Service) notifyOnline(replica string) {
@@ -119,17 +120,18 @@
 	}
 }
 
-// candidates filters and scores the replicas of the request's service.
+// candidates returns the replicas of the request's service that pass the filters, with their
+// costs.
 func (s *Service) candidates(now time.Time, directory *fleet.Directory, request *Request) []candidate {
 	indexes := directory.ByService[request.Service]
 	candidates := make([]candidate, 0, len(indexes))
 	var overlaps map[string]overlap
 	if !s.options.DisablePrefix {
-		overlaps = s.prefix.match(now, request.PrefixBlocks)
+		overlaps = s.prefix.matchAll(now, request.PrefixBlocks)
 	}
 	for _, index := range indexes {
 		replica := &directory.Replicas[index]
-		if !s.passes(request, replica) {
+		if !s.passesFilters(request, replica) {
 			continue
 		}
 		held := overlaps[replica.ID]
@@ -141,46 +143,46 @@
 	return candidates
 }
 
-func (s *Service) score(request *Request, one *candidate) {
-	if own := s.own.find(one.replica.ID); own != nil && !s.options.DisableOwnRequests {
-		one.own = own.since(one.replica, s.options.Costs.MaxLag)
+func (s *Service) score(request *Request, scored *candidate) {
+	if own := s.own.find(scored.replica.ID); own != nil && !s.options.DisableOwnRequests {
+		scored.unreported = own.unreported(scored.replica, s.options.Costs.MaxLag)
 	}
 	for _, scorer := range s.scorers {
-		one.cost += scorer(request, one)
+		scored.cost += scorer(request, scored)
 	}
 }
 
-func (s *Service) passes(request *Request, replica *fleet.Replica) bool {
-	for _, keep := range s.filters {
-		if !keep(request, replica) {
+func (s *Service) passesFilters(request *Request, replica *fleet.Replica) bool {
+	for _, accepts := range s.filters {
+		if !accepts(request, replica) {
 			return false
 		}
 	}
 	return true
 }
 
-// Overlap returns how many leading blocks of a prompt a replica is thought to hold,
-// weighed by confidence.
+// Overlap returns the number of leading blocks of a prompt that a replica is expected to have
+// cached, multiplied by the confidence in that.
 func (s *Service) Overlap(replica string, blocks []uint64) float64 {
 	if s.options.DisablePrefix {
 		return 0
 	}
-	held := s.prefix.matchOn(time.Now(), replica, blocks)
+	held := s.prefix.matchReplica(time.Now(), replica, blocks)
 	return float64(held.blocks) * held.confidence
 }
 
-// OnlineSlots returns how many more online requests the usable replicas of a service
-// can take now, where each takes at most perReplica, the number of such replicas, and
-// the requests of this node that run on them.
+// OnlineSlots returns the number of online requests that the usable replicas of a service can
+// take now, if each takes at most perReplica at a time; the number of usable replicas; and the
+// number of this node's own online requests on them.
 func (s *Service) OnlineSlots(service string, perReplica int) (free, usable, own int) {
 	directory := s.source.Directory()
 	request := Request{Service: service}
 	for _, index := range directory.ByService[service] {
 		replica := &directory.Replicas[index]
-		if !s.passes(&request, replica) {
+		if !s.passesFilters(&request, replica) {
 			continue
 		}
-		online, ownOnline := s.onlineOn(replica)
+		online, ownOnline := s.onlineRequests(replica)
 		usable++
 		own += ownOnline
 		free += max(0, perReplica-online)
@@ -188,15 +190,16 @@
 	return free, usable, own
 }
 
-// onlineOn returns the online requests thought to be on a replica and this node's part of them.
-func (s *Service) onlineOn(replica *fleet.Replica) (online, own int) {
-	since := 0
-	if known := s.own.find(replica.ID); known != nil {
-		since, own = known.since(replica, s.options.Costs.MaxLag), known.inFlight()
+// onlineRequests returns the estimated number of online requests on a replica, and how many of
+// them are this node's own.
+func (s *Service) onlineRequests(replica *fleet.Replica) (online, own int) {
+	unreported := 0
+	if requests := s.own.find(replica.ID); requests != nil {
+		unreported, own = requests.unreported(replica, s.options.Costs.MaxLag), requests.inFlight()
 	}
 	if !replica.HasLoad {
 		return own, own
 	}
 	report := &replica.Load
-	return max(own, report.Running-report.RunningBatch+report.Waiting-report.WaitingBatch+since), own
+	return max(own, report.Running-report.RunningBatch+report.Waiting-report.WaitingBatch+unreported), own
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -17,18 +17,19 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// fixedFleet is a fleet.Source with one directory.
+// fixedFleet is a fleet.Source whose directory never changes.
 type fixedFleet struct{ directory *fleet.Directory }
 
 func (f *fixedFleet) Directory() *fleet.Directory { return f.directory }
 
 func (f *fixedFleet) Subscribe(func(*fleet.Directory)) (unsubscribe func()) { return func() {} }
 
-// TestRouting runs the tables in testdata: "replica" adds one, "pick" tells which
-// replicas are candidates, with their costs, and which may be chosen.
+// TestRouting runs the scripts in testdata. "fleet" sets the replicas, "options" the options,
+// "start" adds a request to a replica, and "pick" prints the candidates with their costs and the
+// replicas that were chosen in 200 picks.
 func TestRouting(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		synctest.Test(t, func(t *testing.T) { // on virtual time, so that confidence doesn't fall
+		synctest.Test(t, func(t *testing.T) { // virtual time keeps the confidence constant
 			table := &routingTable{options: DefaultOptions()}
 			datadriven.RunTest(t, path, table.run)
 		})
@@ -168,8 +169,9 @@
 			var replicas []fleet.Replica
 			for index := range count {
 				replicas = append(replicas, fleet.Replica{
-					ID: fmt.Sprintf("replica-%04d", index), Service: "chat", Zone: fmt.Sprintf("z%d", index%7), HasLoad: true,
-					HeardAt: time.Now(), Load: engine.LoadReport{MaxRunning: 16, Running: index % 16, StepMicros: 4000, MeasuredAt: time.Now()},
+					ID: fmt.Sprintf("replica-%04d", index), Service: "chat", Zone: fmt.Sprintf("z%d", index%7),
+					HasLoad: true, HeardAt: time.Now(),
+					Load: engine.LoadReport{MaxRunning: 16, Running: index % 16, StepMicros: 4000, MeasuredAt: time.Now()},
 				})
 			}
 			router := New(DefaultOptions(), &fixedFleet{directory: fleet.NewDirectory(1, replicas)}, "r", "z1", prometheus.NewRegistry())
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -8,15 +8,15 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// Request is what routing looks at.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	ID      string
 	Service string
 	Model   string
 	Adapter string
-	// PrefixBlocks are engine.PrefixBlocks of the prompt.
+	// PrefixBlocks holds the block hashes of the prompt, from engine.PrefixBlocks.
 	PrefixBlocks []uint64
-	// PromptBytes and MaxTokens estimate the work.
+	// PromptBytes and MaxTokens are an estimate of the work.
 	PromptBytes int
 	MaxTokens   int
 	Batch       bool
@@ -24,10 +24,10 @@
 	Exclude map[string]bool
 }
 
-// affinityBlocks is how many leading blocks tell one prompt beginning from another.
+// affinityBlocks is the number of leading blocks that identify a prompt prefix.
 const affinityBlocks = 8
 
-// PrefixID names the beginning of the prompt; requests that share it should go to the same
+// PrefixID identifies the prefix of the prompt; requests with the same one should go to the same
 // replicas. It is 0 for a prompt shorter than one block.
 func (r *Request) PrefixID() uint64 {
 	if len(r.PrefixBlocks) == 0 {
@@ -36,12 +36,13 @@
 	return r.PrefixBlocks[min(affinityBlocks, len(r.PrefixBlocks))-1]
 }
 
-// Affinity orders replicas for a prompt beginning, alike on all nodes: higher is preferred.
+// Affinity returns the rendezvous weight of a replica for a prompt prefix, the same on all nodes;
+// higher is preferred.
 func Affinity(prefix uint64, replica string) uint64 {
 	return xxhash.Sum64String(replica + string(binary.LittleEndian.AppendUint64(nil, prefix)))
 }
 
-// Decision is the replica chosen.
+// Decision is the chosen replica.
 type Decision struct {
 	Endpoint engine.Endpoint
 	Zone     string
--- a/internal/routing/scorer_distance.go
+++ b/internal/routing/scorer_distance.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// distanceCost is the way to the replica and back.
+// distanceCost returns a scorer for the network round trip to the replica.
 func distanceCost(costs Costs, region, zone string) scorer {
 	return func(_ *Request, c *candidate) time.Duration {
 		switch {
--- a/internal/routing/scorer_load.go
+++ b/internal/routing/scorer_load.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// loadCost is the delay that the work already on a replica adds: requests ahead in its queue and
-// queued prompt tokens come first, and a fuller batch has slower steps. Online
-// requests overtake batch in the engine, so batch counts only by BatchShare.
+// loadCost returns a scorer for the delay from the work already on a replica: waiting requests
+// and queued prompt tokens are processed first, and steps are slower the more requests run.
+// Engines prefer online requests, so running batch requests count by BatchShare only and waiting
+// ones do not count.
 func loadCost(costs Costs) scorer {
 	return func(_ *Request, c *candidate) time.Duration {
 		if !c.replica.HasLoad {
-			return costs.NoReport + time.Duration(float64(c.own)*float64(costs.Step)*costs.BusySteps)
+			return costs.NoReport + time.Duration(float64(c.unreported)*float64(costs.Step)*costs.BusySteps)
 		}
 		report := &c.replica.Load
 		step := time.Duration(report.StepMicros) * time.Microsecond
 		if step <= 0 {
 			step = costs.Step
 		}
-		own := int(float64(c.own) * costs.OwnWeight)
+		own := int(float64(c.unreported) * costs.OwnWeight)
 		online := max(0, report.Running-report.RunningBatch+own)
 		running := float64(online) + costs.BatchShare*float64(report.RunningBatch)
 		limit := max(1, report.MaxRunning)
--- a/internal/routing/scorer_prefix.go
+++ b/internal/routing/scorer_prefix.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// prefixCost is the time to compute the blocks of the prompt that are not cached there.
+// prefixCost returns a scorer for the time to compute the prompt blocks that are not cached on the
+// replica.
 func prefixCost(costs Costs) scorer {
 	return func(request *Request, c *candidate) time.Duration {
 		cached := float64(c.expectedBlocks) * c.confidence
