--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -200,6 +200,7 @@
 	return outcome.Wrap(ctx.Err(), outcome.NotRun, outcome.ReasonCallerCancelled, "the caller left the queue")
 }
 
+// serviceFor returns the state of a service, with its current configuration.
 func (l *RequestLimiter) serviceFor(service *config.Service) *serviceState {
 	state := l.services[service.Name]
 	if state == nil {
