--- a/internal/admission/credit_grant.go
+++ b/internal/admission/credit_grant.go
@@ -132,7 +132,7 @@
 		if _, paused := h.declinedUntil[requesterReplica{candidate.requester, replica.id}]; paused {
 			continue
 		}
-		if !routing.Serves(&replica.report, candidate.group.GetModel(), candidate.group.GetAdapter()) {
+		if !routing.ReportsReady(&replica.report, candidate.group.GetModel(), candidate.group.GetAdapter()) {
 			continue
 		}
 		if best == nil || h.precedes(now, candidate, best, replica) {
--- a/internal/admission/credit_messages.go
+++ b/internal/admission/credit_messages.go
@@ -55,13 +55,17 @@
 		})
 }
 
-func (s *CreditService) handleGrant(ctx context.Context, _ netip.AddrPort, request *admissionpb.GrantRequest) (*admissionpb.GrantResponse, error) {
+func (s *CreditService) handleGrant(
+	ctx context.Context, _ netip.AddrPort, request *admissionpb.GrantRequest,
+) (*admissionpb.GrantResponse, error) {
 	reply := make(chan *admissionpb.GrantResponse, 1)
 	s.enqueue(grantsReceived{request: request, reply: reply})
 	return awaitReply(ctx, s, reply)
 }
 
-func (s *CreditService) handleRenew(ctx context.Context, _ netip.AddrPort, request *admissionpb.RenewRequest) (*admissionpb.RenewResponse, error) {
+func (s *CreditService) handleRenew(
+	ctx context.Context, _ netip.AddrPort, request *admissionpb.RenewRequest,
+) (*admissionpb.RenewResponse, error) {
 	reply := make(chan *admissionpb.RenewResponse, 1)
 	s.enqueue(renewReceived{request: request, reply: reply})
 	return awaitReply(ctx, s, reply)
--- a/internal/admission/simulation_engine_test.go
+++ b/internal/admission/simulation_engine_test.go
@@ -77,8 +77,8 @@
 func (e *simulatedEngine) planStep() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	online := func(a, b *simulatedRun) int { return cmp.Compare(batchCount(a), batchCount(b)) }
-	slices.SortStableFunc(e.waiting, online)
+	onlineFirst := func(a, b *simulatedRun) int { return cmp.Compare(batchCount(a), batchCount(b)) }
+	slices.SortStableFunc(e.waiting, onlineFirst)
 	for len(e.running) < simulatedSlots && len(e.waiting) > 0 {
 		run := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -88,7 +88,7 @@
 		run.prefillLeft -= run.cachedBlocks * blockTokens
 		e.running = append(e.running, run)
 	}
-	slices.SortStableFunc(e.running, online)
+	slices.SortStableFunc(e.running, onlineFirst)
 	if len(e.running) == 0 {
 		return 0
 	}
--- a/internal/routing/filter_model.go
+++ b/internal/routing/filter_model.go
@@ -17,12 +17,12 @@
 	if !replica.HasLoad {
 		return !request.Batch
 	}
-	return Serves(&replica.Load, request.Model, request.Adapter)
+	return ReportsReady(&replica.Load, request.Model, request.Adapter)
 }
 
-// Serves reports whether a load report lists the model and adapter as ready. An empty model or
+// ReportsReady reports whether a load report lists the model and adapter as ready. An empty model or
 // adapter, or a report without any models, matches.
-func Serves(report *engine.LoadReport, model, adapter string) bool {
+func ReportsReady(report *engine.LoadReport, model, adapter string) bool {
 	if len(report.Models) == 0 || model == "" {
 		return true
 	}
--- a/internal/routing/own_requests.go
+++ b/internal/routing/own_requests.go
@@ -75,9 +75,9 @@
 
 // MeasuredAt returns when a load report was measured, on this node's clock. The engine's clock
 // may be wrong, so the lag that it implies is clamped to between 0 and maxLag.
-func MeasuredAt(engineTime, heardAt time.Time, maxLag time.Duration) time.Time {
-	lag := heardAt.Sub(engineTime)
-	return heardAt.Add(-min(max(lag, 0), maxLag))
+func MeasuredAt(engineTime, receivedAt time.Time, maxLag time.Duration) time.Time {
+	lag := receivedAt.Sub(engineTime)
+	return receivedAt.Add(-min(max(lag, 0), maxLag))
 }
 
 // ownRequestsTable holds the ownRequests of all replicas by id.
