--- a/internal/membership/between_zones_test.go
+++ b/internal/membership/between_zones_test.go
@@ -10,7 +10,8 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// TestTrafficBetweenZonesDoesNotGrow: what the members of one calm zone send to other zones in a second does not grow with their number.
+// The bytes that the members of one zone without suspicions send to other zones per second do not
+// grow with the number of members.
 func TestTrafficBetweenZonesDoesNotGrow(t *testing.T) {
 	const (
 		span  = 10 * time.Second
@@ -21,17 +22,18 @@
 		sent[members] = bytesBetweenZones(members, span)
 		t.Logf("%d members: %d bytes a second from one zone to the others", members, sent[members]/int(span/time.Second))
 	}
-	// All members of a small zone do in each period what is bounded by probesBetweenZones members of a large one.
+	// All members of a small zone send in each period; in a large one crossZoneProbers members do.
 	const inSmallZone = small / joinZones
 	for members, bytes := range sent {
-		if bytes*inSmallZone > probesBetweenZones*sent[small] {
-			t.Errorf("%d members: %d bytes, %d with %d members", members, bytes, sent[small], small)
+		if bytes*inSmallZone > crossZoneProbers*sent[small] {
+			t.Errorf("%d members: %d bytes sent to other zones, compared with %d bytes for %d members", members, bytes, sent[small], small)
 		}
 	}
 }
 
-// bytesBetweenZones plays the members of one zone, which all know all, and counts what they send to other zones, where nobody needs to answer
-// differently than by what is equal.
+// bytesBetweenZones simulates the members of one zone, which all know all members, and returns the
+// bytes that they send to other zones during span. Every ping is acknowledged; other messages are
+// not answered, as the receivers hold the same state.
 func bytesBetweenZones(members int, span time.Duration) (bytes int) {
 	began := time.Unix(1_000_000, 0)
 	var records []*membershippb.Record
@@ -41,7 +43,10 @@
 	for number := 0; number < members; number += joinZones {
 		node := newProtocol(joinMember(number), nil, DefaultTiming(), uint64(number))
 		sender := &membershippb.Sender{Id: string(joinMember((number + 1) % members).ID), Incarnation: 1}
-		node.step(began, messageEvent{from: joinMember((number + 1) % members).PeerAddress, message: &membershippb.Records{Sender: sender, Records: records}})
+		node.step(began, messageEvent{
+			from:    joinMember((number + 1) % members).PeerAddress,
+			message: &membershippb.Records{Sender: sender, Records: records},
+		})
 		for now := began; now.Before(began.Add(span)); now = now.Add(DefaultTiming().Tick) {
 			for _, output := range node.step(now, tickEvent{}) {
 				typed, is := output.(sendAction)
@@ -63,11 +68,11 @@
 	return bytes
 }
 
-// atAddress returns the member at an address.
+// atAddress returns the member with the given peer address, or nil.
 func (p *protocol) atAddress(address netip.AddrPort) *record {
-	for _, held := range p.sorted {
-		if held.PeerAddress == address {
-			return held
+	for _, member := range p.sorted {
+		if member.PeerAddress == address {
+			return member
 		}
 	}
 	return nil
--- a/internal/membership/change_log.go
+++ b/internal/membership/change_log.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// changeLogPeriod is the time over which logged changes are bounded, mostChangesLogged the bound.
-	changeLogPeriod   = time.Second
-	mostChangesLogged = 20
+	// At most maxChangesLogged member changes are logged in each changeLogPeriod.
+	changeLogPeriod  = time.Second
+	maxChangesLogged = 20
 )
 
-// changeLog logs a line for each change of a member, and one for all changes beyond mostChangesLogged in a period: where all nodes of a large fleet
-// start at once, each would else write a line about each other one. It belongs to the control goroutine.
+// changeLog logs one line for each change of a member, and one summary line for all changes beyond
+// maxChangesLogged in a period. Without the bound, when all nodes of a large fleet start at once,
+// each would log a line about every other one. It is used by the control goroutine only.
 type changeLog struct {
 	logger zerolog.Logger
-	// began is when the present period began, logged the lines in it, left the changes that got none, by kind.
-	began  time.Time
-	logged int
-	left   map[changeKind]int
+	// periodStart is the start of the current period, logged the number of lines written in it, and
+	// suppressed the number of changes without a line, by kind.
+	periodStart time.Time
+	logged      int
+	suppressed  map[changeKind]int
 }
 
 func newChangeLog(logger zerolog.Logger) *changeLog {
-	return &changeLog{logger: logger, left: map[changeKind]int{}}
+	return &changeLog{logger: logger, suppressed: map[changeKind]int{}}
 }
 
-// take logs a change, or counts it.
-func (l *changeLog) take(change changeAction, now time.Time) {
+// add logs a change, or counts it as suppressed.
+func (l *changeLog) add(change changeAction, now time.Time) {
 	l.tick(now)
-	if l.logged >= mostChangesLogged {
-		l.left[change.kind]++
+	if l.logged >= maxChangesLogged {
+		l.suppressed[change.kind]++
 		return
 	}
 	l.logged++
@@ -45,24 +47,24 @@
 		Msg("member_changed")
 }
 
-// tick ends a period that is over.
+// tick starts a new period once the current one is over.
 func (l *changeLog) tick(now time.Time) {
-	if now.Sub(l.began) < changeLogPeriod {
+	if now.Sub(l.periodStart) < changeLogPeriod {
 		return
 	}
 	l.flush()
-	l.began, l.logged = now, 0
+	l.periodStart, l.logged = now, 0
 }
 
-// flush logs how many changes got no line.
+// flush logs the number of suppressed changes, by kind.
 func (l *changeLog) flush() {
-	if len(l.left) == 0 {
+	if len(l.suppressed) == 0 {
 		return
 	}
 	line := l.logger.Info()
-	for kind, count := range l.left {
+	for kind, count := range l.suppressed {
 		line = line.Int(string(kind), count)
 	}
 	line.Msg("further_members_changed")
-	clear(l.left)
+	clear(l.suppressed)
 }
--- a/internal/membership/change_log_test.go
+++ b/internal/membership/change_log_test.go
@@ -10,15 +10,16 @@
 	"github.com/rs/zerolog"
 )
 
-// TestChangeLogIsBounded: however many members change at once, few lines are written, and each change is in one of them.
+// However many members change at once, at most maxChangesLogged+1 lines are written, and they
+// account for every change.
 func TestChangeLogIsBounded(t *testing.T) {
-	for _, members := range []int{mostChangesLogged, 1000, 2000} {
+	for _, members := range []int{maxChangesLogged, 1000, 2000} {
 		var written bytes.Buffer
 		log := newChangeLog(zerolog.New(&written))
 		now := time.Unix(1000, 0)
 		for number := range members {
 			for _, kind := range []changeKind{changeJoined, changeSuspect} {
-				log.take(changeAction{id: NodeID(fmt.Sprint("n", number)), kind: kind}, now)
+				log.add(changeAction{id: NodeID(fmt.Sprint("n", number)), kind: kind}, now)
 			}
 		}
 		log.tick(now.Add(changeLogPeriod - time.Millisecond))
@@ -41,23 +42,23 @@
 				}
 			}
 		}
-		if most := mostChangesLogged + 1; lines > most || counted != 2*members {
-			t.Errorf("%d members: %d lines, want %d at most; %d changes in them, want %d", members, lines, most, counted, 2*members)
+		if most := maxChangesLogged + 1; lines > most || counted != 2*members {
+			t.Errorf("%d members: %d lines, want at most %d; they account for %d changes, want %d", members, lines, most, counted, 2*members)
 		}
 	}
 }
 
-// TestCalmChangesAreLoggedOneByOne, in each period anew.
+// Changes within the rate limit are logged individually, in each period again.
 func TestCalmChangesAreLoggedOneByOne(t *testing.T) {
 	var written bytes.Buffer
 	log := newChangeLog(zerolog.New(&written))
 	const periods = 3
-	for number := range periods * mostChangesLogged {
-		now := time.Unix(1000, 0).Add(time.Duration(number) * changeLogPeriod / mostChangesLogged)
-		log.take(changeAction{id: "n", kind: changeDead}, now)
+	for number := range periods * maxChangesLogged {
+		now := time.Unix(1000, 0).Add(time.Duration(number) * changeLogPeriod / maxChangesLogged)
+		log.add(changeAction{id: "n", kind: changeDead}, now)
 	}
 	log.flush()
-	if lines := bytes.Count(written.Bytes(), []byte("member_changed\"")); lines != periods*mostChangesLogged {
-		t.Errorf("%d lines for %d changes", lines, periods*mostChangesLogged)
+	if lines := bytes.Count(written.Bytes(), []byte("member_changed\"")); lines != periods*maxChangesLogged {
+		t.Errorf("%d member_changed lines for %d changes", lines, periods*maxChangesLogged)
 	}
 }
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -17,8 +17,8 @@
 
 const testPort = 7000
 
-// cluster is a set of services on virtual time. Node i is in zone i % zones, zone z in
-// region z % regions.
+// cluster runs services on virtual time. Node i is in zone i % zones, and zone z is in region z %
+// regions.
 type cluster struct {
 	t        *testing.T
 	network  *memory.Network
@@ -27,15 +27,15 @@
 	nodes    []*clusterNode
 	byAddr   map[netip.AddrPort]*clusterNode
 	machines platform.MachineList
-	// joinFirst is that of nodes that are started from now on.
+	// joinFirst is the JoinFirst of nodes started from now on.
 	joinFirst time.Duration
 
-	// mutex guards the faults, which the network reads for each frame.
+	// mutex guards the fault settings, which the network reads for each frame.
 	mutex    sync.Mutex
 	loss     float64
-	slow     time.Duration // added to every delay
+	slow     time.Duration // added to each delay
 	cut      func(from, to *clusterNode) bool
-	silenced map[*clusterNode]bool // whose machine is gone: nothing in or out
+	silenced map[*clusterNode]bool // nodes whose machine is lost: all their traffic is dropped
 }
 
 type clusterNode struct {
@@ -99,7 +99,7 @@
 	c.slow = slow
 }
 
-// setCut cuts the pairs that cut names; nil heals the network.
+// setCut cuts the connections for which cut returns true; nil heals the network.
 func (c *cluster) setCut(cut func(from, to *clusterNode) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -121,7 +121,7 @@
 	return c.silenced[node]
 }
 
-// start starts a node, or starts it again, as a new incarnation.
+// start starts a node, or restarts it under a new incarnation.
 func (c *cluster) start(node *clusterNode) {
 	c.t.Helper()
 	registry := prometheus.NewRegistry()
@@ -148,14 +148,14 @@
 	node.service.Start()
 }
 
-// kill ends a node as the loss of its machine would.
+// kill simulates the loss of a node's machine.
 func (c *cluster) kill(node *clusterNode) {
 	c.setSilenced(node, true)
 	node.service.Kill()
 	node.transport.Stop()
 }
 
-// restart stops a node as planned and starts it again after a while.
+// restart stops a node as planned and starts it again after downFor.
 func (c *cluster) restart(node *clusterNode, downFor time.Duration) {
 	if err := node.service.Leave(c.t.Context()); err != nil {
 		c.t.Fatal(err)
@@ -175,7 +175,7 @@
 	synctest.Wait()
 }
 
-// stateOf is what observer holds of subject.
+// stateOf returns the state of subject in observer's view; Dead if it is not in it.
 func stateOf(observer, subject *clusterNode) State {
 	member, present := observer.service.View().Find(subject.member.ID)
 	if !present {
@@ -184,8 +184,8 @@
 	return member.State
 }
 
-// await checks each 50 ms of virtual time and returns how long it took until condition
-// held for all nodes; it fails after limit.
+// await checks condition every 50 ms of virtual time and returns how long it took to hold on all
+// nodes that are not silenced; it fails the test after limit.
 func (c *cluster) await(limit time.Duration, what string, condition func(observer *clusterNode) bool) time.Duration {
 	c.t.Helper()
 	began := time.Now()
@@ -201,13 +201,13 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > limit {
-			c.t.Fatalf("%s: not so on %s after %s", what, waiting, limit)
+			c.t.Fatalf("%s: does not hold on %s after %s", what, waiting, limit)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// seesAll says whether observer holds every node alive.
+// seesAll reports whether observer holds every node alive.
 func (c *cluster) seesAll(observer *clusterNode) bool {
 	for _, node := range c.nodes {
 		if stateOf(observer, node) != Alive {
@@ -222,7 +222,8 @@
 	return c.await(limit, "all alive", c.seesAll)
 }
 
-// awaitDeadInZone returns how long it took until all members of the victim's zone hold it dead; it fails after zoneLimit.
+// awaitDeadInZone returns how long it took until all members of the victim's zone held it dead; it
+// fails the test after zoneLimit.
 func (c *cluster) awaitDeadInZone(victim *clusterNode) time.Duration {
 	c.t.Helper()
 	return c.await(zoneLimit, "dead in its zone", func(observer *clusterNode) bool {
@@ -230,7 +231,8 @@
 	})
 }
 
-// watchDeaths counts from now on each time that a node declares another one dead.
+// watchDeaths starts recording each view that holds a node dead, and returns a function that
+// returns the records.
 func (c *cluster) watchDeaths() func() []string {
 	var views []func() []string
 	for _, node := range c.nodes {
--- a/internal/membership/contacts_test.go
+++ b/internal/membership/contacts_test.go
@@ -9,7 +9,8 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// TestCalmNodeTalksToFew: a node of a large calm fleet keeps connections to some tens of others, not to all.
+// Without suspicions a node of a large fleet sends messages to some tens of other members only, so
+// that its connections do not grow with the fleet.
 func TestCalmNodeTalksToFew(t *testing.T) {
 	const nodes, zones = 300, 5
 	memberAt := func(number int) Member {
@@ -49,9 +50,9 @@
 		}
 	}
 	if most := ringSuccessors + zoneContacts + (zones-1)*remoteContacts; len(addressed) > most {
-		t.Errorf("%d members addressed in two calm minutes, want %d at most", len(addressed), most)
+		t.Errorf("messages sent to %d members in two minutes without suspicions, want at most %d", len(addressed), most)
 	}
 	if len(addressed) < zoneContacts+remoteContacts {
-		t.Errorf("%d members addressed: this node probes hardly anybody", len(addressed))
+		t.Errorf("messages sent to %d members only in two minutes, want at least zoneContacts+remoteContacts", len(addressed))
 	}
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -8,9 +8,8 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// startDigests compares members with another node's where it is time to: with a random
-// live one, now and then with one that is held dead or not known, and with seeds and
-// listed machines as long as nobody is known.
+// startDigests sends the digests that are due: to a random live contact, less often to an address
+// that is held dead or unknown, and, while no other member is known, to seeds and listed machines.
 func (p *protocol) startDigests() {
 	if p.lookup().others == 0 {
 		p.join()
@@ -25,13 +24,14 @@
 	}
 	if !p.now.Before(p.nextHeal) {
 		p.nextHeal = p.nextTime(p.nextHeal, p.timing.HealPeriod)
-		if lost := p.lostAddresses(); len(lost) > 0 {
-			p.sendDigest(lost[p.random.IntN(len(lost))])
+		if candidates := p.candidateAddresses(); len(candidates) > 0 {
+			p.sendDigest(candidates[p.random.IntN(len(candidates))])
 		}
 	}
 }
 
-// join asks contacts, less and less often while none answers.
+// join sends digests to seeds and listed machines, with jittered exponential backoff while none
+// answers.
 func (p *protocol) join() {
 	if p.now.Before(p.nextJoin) {
 		return
@@ -39,7 +39,7 @@
 	jitter := time.Duration(p.random.Int64N(int64(p.joinPeriod)))
 	p.nextJoin = p.now.Add(p.joinPeriod/2 + jitter)
 	p.joinPeriod = min(2*p.joinPeriod, p.timing.MaxJoinPeriod)
-	contacts := p.lostAddresses()
+	contacts := p.candidateAddresses()
 	for count, position := range p.random.Perm(len(contacts)) {
 		if count == joinContacts {
 			return
@@ -48,7 +48,8 @@
 	}
 }
 
-// addContact adds a node to the seeds, and has a node that knows nobody ask it at the next tick.
+// addContact adds an address to the seeds. A node that knows no other member asks it at the next
+// tick.
 func (p *protocol) addContact(address netip.AddrPort) {
 	if len(p.seeds) >= maxSeeds || slices.Contains(p.seeds, address) {
 		return
@@ -57,12 +58,13 @@
 	p.nextJoin = p.now
 }
 
-// digestTarget is a random contact in a random zone, so that no zone drifts off. The members of a large zone compare with other zones so often
-// in all as those of a small one, for what one of them learns passes on within the zone.
+// digestTarget returns a random contact in a random zone, so that no zone diverges from the others.
+// The members of a large zone together exchange no more digests with other zones than those of a
+// small one, since what one member learns spreads within its zone.
 func (p *protocol) digestTarget() *record {
 	index := p.lookup()
 	zone := index.zones[p.random.IntN(len(index.zones))]
-	if !p.takesTurn(comparesBetweenZones) {
+	if !p.selectedThisPeriod(crossZoneComparers) {
 		zone = p.self.zone
 	}
 	for _, target := range p.sample(index.contacts[zone], 1, nil) {
@@ -71,26 +73,29 @@
 	return nil
 }
 
-// takesTurn says that this member does in this period what so many members of its zone do in each; in a small zone all do it.
-func (p *protocol) takesTurn(ofZone int) bool {
+// selectedThisPeriod reports whether this member takes part in an exchange with other zones in the
+// current period. On average limit members of its zone do; in a zone of at most limit members all
+// do.
+func (p *protocol) selectedThisPeriod(limit int) bool {
 	members := len(p.lookup().byZone[p.self.zone])
-	return members <= ofZone || p.random.IntN(members) < ofZone
+	return members <= limit || p.random.IntN(members) < limit
 }
 
-// lostAddresses are where a node might be that this one does not hold alive: seeds,
-// listed machines and members held dead that did not say that they stop.
-func (p *protocol) lostAddresses() []netip.AddrPort {
-	taken := map[netip.AddrPort]bool{p.self.PeerAddress: true}
+// candidateAddresses returns the addresses of nodes that may be running but are not held alive
+// here: seeds, listed machines and dead members that did not announce their stop. The result is
+// sorted.
+func (p *protocol) candidateAddresses() []netip.AddrPort {
+	seen := map[netip.AddrPort]bool{p.self.PeerAddress: true}
 	for _, members := range p.lookup().byZone {
 		for _, member := range members {
-			taken[member.PeerAddress] = true
+			seen[member.PeerAddress] = true
 		}
 	}
-	var lost []netip.AddrPort
+	var candidates []netip.AddrPort
 	add := func(address netip.AddrPort) {
-		if address.IsValid() && !taken[address] {
-			taken[address] = true
-			lost = append(lost, address)
+		if address.IsValid() && !seen[address] {
+			seen[address] = true
+			candidates = append(candidates, address)
 		}
 	}
 	for _, address := range p.seeds {
@@ -99,13 +104,13 @@
 	for _, address := range p.listed {
 		add(address)
 	}
-	for _, held := range p.records {
-		if held.State == Dead && !held.left {
-			add(held.PeerAddress)
+	for _, member := range p.records {
+		if member.State == Dead && !member.left {
+			add(member.PeerAddress)
 		}
 	}
-	sortAddresses(lost)
-	return lost
+	sortAddresses(candidates)
+	return candidates
 }
 
 func (p *protocol) sendDigest(to netip.AddrPort) {
@@ -132,7 +137,7 @@
 		}
 		run.Members++
 	}
-	if len(digest.Revisions) > mostRevisionRuns {
+	if len(digest.Revisions) > maxRevisionRuns {
 		digest.Revisions = nil
 	}
 	return digest
@@ -143,8 +148,8 @@
 }
 
 func (p *protocol) receiveDigest(from netip.AddrPort, message *membershippb.Digest) {
-	p.hear(from, message.GetSender())
-	if p.sendsToOwnZone(from, message) {
+	p.noteSender(from, message.GetSender())
+	if p.redirectToOwnZone(from, message) {
 		return
 	}
 	index := p.lookup()
@@ -156,7 +161,7 @@
 		compared[zone] = true
 		members := index.byZone[zone]
 		if digestOf(zone, members).GetHash() == theirs.GetHash() {
-			if p.compareRevisions(members, theirs.GetRevisions()) {
+			if p.mergeRevisions(members, theirs.GetRevisions()) {
 				answerRevisions = true
 			}
 			continue
@@ -180,9 +185,9 @@
 	p.sendRecords(from, unknownThere)
 }
 
-// compareRevisions takes the revisions of members that both sides hold alike. It returns
-// true where this node knows a higher one.
-func (p *protocol) compareRevisions(members []*record, runs []*membershippb.RevisionRun) (knowsHigher bool) {
+// mergeRevisions merges the revisions of members that both sides hold in the same state.
+// knowsHigher reports whether this node holds a higher revision of any of them.
+func (p *protocol) mergeRevisions(members []*record, runs []*membershippb.RevisionRun) (knowsHigher bool) {
 	position := 0
 	for _, run := range runs {
 		for count := uint32(0); count < run.GetMembers() && position < len(members); count++ {
@@ -205,10 +210,10 @@
 	return summary
 }
 
-// receiveSummary sends what the other side lacks or holds otherwise, and asks for the
-// same in return.
+// receiveSummary sends the records that the sender lacks or holds in another state, and requests
+// the records that differ here.
 func (p *protocol) receiveSummary(from netip.AddrPort, message *membershippb.Summary) {
-	p.hear(from, message.GetSender())
+	p.noteSender(from, message.GetSender())
 	dead := p.deadByKey()
 	var differing []*record
 	var wanted []uint32
@@ -233,8 +238,8 @@
 				continue
 			}
 			wanted = append(wanted, key)
-			if held := dead[key]; held != nil {
-				differing = append(differing, held)
+			if member := dead[key]; member != nil {
+				differing = append(differing, member)
 			}
 		}
 	}
@@ -243,9 +248,9 @@
 
 func (p *protocol) deadByKey() map[uint32]*record {
 	dead := make(map[uint32]*record)
-	for _, held := range p.records {
-		if held.State == Dead && held != p.self {
-			dead[held.key()] = held
+	for _, member := range p.records {
+		if member.State == Dead && member != p.self {
+			dead[member.key()] = member
 		}
 	}
 	return dead
@@ -254,7 +259,7 @@
 func (p *protocol) receiveRecords(from netip.AddrPort, message *membershippb.Records) {
 	knewNobody := p.lookup().others == 0
 	p.mergeAll(from, message.GetRecords())
-	p.hear(from, message.GetSender())
+	p.noteSender(from, message.GetSender())
 	if knewNobody {
 		p.compareWithOwnZone()
 	}
@@ -281,14 +286,15 @@
 	p.sendRecordsAndWants(to, records, nil)
 }
 
-// sendRecordsAndWants sends records in messages of bounded size; wants go with the first.
+// sendRecordsAndWants sends records in messages of at most maxRecordsPerMessage; the wanted keys go
+// with the first.
 func (p *protocol) sendRecordsAndWants(to netip.AddrPort, records []*record, wanted []uint32) {
 	for len(records) > 0 || len(wanted) > 0 {
 		message := &membershippb.Records{Sender: p.sender(), Wanted: wanted}
 		wanted = nil
-		count := min(len(records), recordsPerMessage)
-		for _, held := range records[:count] {
-			message.Records = append(message.Records, held.encode(p.now))
+		count := min(len(records), maxRecordsPerMessage)
+		for _, member := range records[:count] {
+			message.Records = append(message.Records, member.encode(p.now))
 		}
 		records = records[count:]
 		p.send(to, methodRecords, message)
--- a/internal/membership/digest_test.go
+++ b/internal/membership/digest_test.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestDigestOfManyRevisionsIsBounded: it does not grow with the members of a zone that know different revisions, and still says whether the
-// members are the same.
+// The size of a zone's digest does not grow with the number of members that know different
+// revisions, and its hash still shows whether the members are the same.
 func TestDigestOfManyRevisionsIsBounded(t *testing.T) {
 	for _, count := range []int{20, 200, 400} {
 		var differing, alike []*record
@@ -20,16 +20,16 @@
 		}
 		one, other := digestOf(1, differing), digestOf(1, alike)
 		if size := proto.Size(one); size > 512 {
-			t.Errorf("%d bytes for %d members that know different revisions", size, count)
+			t.Errorf("digest of %d bytes for %d members with different revisions, want at most 512", size, count)
 		}
 		if one.GetHash() != other.GetHash() {
-			t.Errorf("the digests of the same %d members differ", count)
+			t.Errorf("digest hashes of the same %d members differ", count)
 		}
 		if len(other.GetRevisions()) != 1 {
-			t.Errorf("%d runs for %d members that know the same", len(other.GetRevisions()), count)
+			t.Errorf("%d revision runs for %d members with equal revisions, want 1", len(other.GetRevisions()), count)
 		}
-		if wanted := count <= mostRevisionRuns; (len(one.GetRevisions()) > 0) != wanted {
-			t.Errorf("%d runs for %d members that know different revisions", len(one.GetRevisions()), count)
+		if wanted := count <= maxRevisionRuns; (len(one.GetRevisions()) > 0) != wanted {
+			t.Errorf("%d revision runs for %d members with different revisions", len(one.GetRevisions()), count)
 		}
 	}
 }
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -10,34 +10,34 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// event is an input of the protocol. now is the time at which it is taken.
+// event is an input of the protocol.
 type event interface{ isEvent() }
 
-// tickEvent moves time on.
+// tickEvent advances the protocol's time.
 type tickEvent struct{}
 
-// messageEvent is a message from a peer.
+// messageEvent is a message received from a peer.
 type messageEvent struct {
 	from    netip.AddrPort
 	message proto.Message
 }
 
-// listingEvent is a fresh machine list.
+// listingEvent is a newly read machine list.
 type listingEvent struct{ machines []platform.Machine }
 
 // leaveEvent starts a planned leave.
 type leaveEvent struct{}
 
-// stopEvent ends a node that stops as planned.
+// stopEvent is the planned stop of this node.
 type stopEvent struct{}
 
 // storeEvent sets this node's store incarnation.
 type storeEvent struct{ incarnation string }
 
-// revisionEvent tells of revisions in force here.
+// revisionEvent reports the revisions in force on this node.
 type revisionEvent struct{ revisions Revisions }
 
-// contactEvent names a node to join through.
+// contactEvent adds an address to join through.
 type contactEvent struct{ address netip.AddrPort }
 
 func (tickEvent) isEvent()     {}
@@ -62,17 +62,17 @@
 // publishAction replaces the view that readers see.
 type publishAction struct{ view *View }
 
-// changeAction reports a member's change of state, for the log and the counters.
+// changeAction reports a member's change of state to the log and the metrics.
 type changeAction struct {
 	id          NodeID
 	zone        string
 	incarnation uint64
 	kind        changeKind
-	// silence is how long a member that is now dead was silent.
+	// silence is how long a member declared dead had been silent; 0 for other kinds.
 	silence time.Duration
 }
 
-// changeKind names what happened to a member.
+// changeKind is the kind of a member's change, as it appears in the log and in metrics.
 type changeKind string
 
 const (
--- a/internal/membership/fx.go
+++ b/internal/membership/fx.go
@@ -35,34 +35,34 @@
 	Logger     zerolog.Logger
 }
 
-func newForNode(needed dependencies) (*Service, error) {
+func newForNode(deps dependencies) (*Service, error) {
 	started := uint64(time.Now().UnixMicro())
 	network := struct {
 		transport.Caller
 		transport.Registrar
-	}{needed.Caller, needed.Registrar}
+	}{deps.Caller, deps.Registrar}
 	timing := DefaultTiming()
-	if needed.Timing != nil {
-		timing = *needed.Timing
+	if deps.Timing != nil {
+		timing = *deps.Timing
 	}
 	service, err := New(Options{
 		Self: Member{
-			ID:           NodeID(needed.Settings.Node),
+			ID:           NodeID(deps.Settings.Node),
 			Incarnation:  started,
-			Region:       needed.Settings.Region,
-			Zone:         needed.Settings.Zone,
-			PeerAddress:  needed.Settings.PeerAddress,
-			AdminAddress: needed.Settings.AdminAddress,
-			Store:        needed.Settings.DataFolder != "",
+			Region:       deps.Settings.Region,
+			Zone:         deps.Settings.Zone,
+			PeerAddress:  deps.Settings.PeerAddress,
+			AdminAddress: deps.Settings.AdminAddress,
+			Store:        deps.Settings.DataFolder != "",
 		},
-		Seeds:      needed.Settings.Seeds(),
+		Seeds:      deps.Settings.Seeds(),
 		Timing:     timing,
 		RandomSeed: started,
-	}, network, needed.Machines, needed.Registerer, needed.Logger)
+	}, network, deps.Machines, deps.Registerer, deps.Logger)
 	if err != nil {
 		return nil, err
 	}
-	needed.Lifecycle.Append(fx.Hook{
+	deps.Lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			service.Start()
 			return nil
--- a/internal/membership/growth.go
+++ b/internal/membership/growth.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// Growth notes when a node last learnt of further members: one that starts with many others does so for some seconds, and is not to act by a view
-// of few of them. Its zero value has seen no view. It is safe for concurrent use.
+// Growth tracks when the number of known members last grew. A node that starts together with many
+// others learns of further members for some seconds, and must not act on a view of only a few of
+// them. The zero value has seen no view. It is safe for concurrent use.
 type Growth struct {
-	mutex   sync.Mutex
-	members int
-	grewAt  time.Time
+	mutex      sync.Mutex
+	members    int
+	lastGrowth time.Time
 }
 
-// SettledFor takes in the present view and returns for how long no member has been new.
+// SettledFor records the current view and returns the time since the number of members last reached
+// a new maximum.
 func (g *Growth) SettledFor(view *View, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if len(view.Members) > g.members {
-		g.members, g.grewAt = len(view.Members), now
+		g.members, g.lastGrowth = len(view.Members), now
 	}
-	return now.Sub(g.grewAt)
+	return now.Sub(g.lastGrowth)
 }
 
-// Joining says that a node that has run for since may not know the others yet: for least in any case, and while it still learns of further
-// members for longest at most.
-func (g *Growth) Joining(view *View, now time.Time, since, least, longest time.Duration) bool {
+// Joining reports whether a node that has run for uptime may not know all other members yet: always
+// before minWait, and until maxWait while members were added within the last minWait.
+func (g *Growth) Joining(view *View, now time.Time, uptime, minWait, maxWait time.Duration) bool {
 	settled := g.SettledFor(view, now)
-	return since < least || since < longest && settled < least
+	return uptime < minWait || uptime < maxWait && settled < minWait
 }
--- a/internal/membership/growth_test.go
+++ b/internal/membership/growth_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestJoiningEndsOnceTheMembersAreKnown, and at the latest after its longest time.
+// Joining ends once no further members are learnt of, and at the latest after maxWait.
 func TestJoiningEndsOnceTheMembersAreKnown(t *testing.T) {
 	const least, longest = 600 * time.Millisecond, 3 * time.Second
 	started := time.Unix(1000, 0)
--- a/internal/membership/index.go
+++ b/internal/membership/index.go
@@ -10,38 +10,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// index orders the members that are not dead, this node among them.
+// index holds the members that are not dead, including this node, in the orders in which the
+// protocol uses them.
 type index struct {
 	byZone map[zoneKey][]*record // sorted by id
-	// zones are the keys of byZone, sorted, so that random choices repeat with the seed.
+	// zones are the keys of byZone, sorted so that random choices are reproducible for a given
+	// seed.
 	zones []zoneKey
-	// ring is the own zone in the order of idHash.
+	// ring holds the members of this node's zone in the order of idHash.
 	ring []*record
-	// suspects counts the suspects of each zone.
+	// suspects is the number of suspects in each zone.
 	suspects map[zoneKey]int
 	others   int // members besides this node
-	// contacts are, by zone, the few members that this node probes and compares digests with in calm times. Each node has its own, by
-	// rendezvous, so that all together make a well-connected graph, while a node keeps connections to some tens of others
+	// contacts are, by zone, the few members that this node probes and exchanges digests with while
+	// there are no suspicions. Each node chooses its own by rendezvous hashing. Together the
+	// choices form a well-connected graph, while a node keeps connections to some tens of members
 	// instead of all.
 	contacts map[zoneKey][]*record
 }
 
-// lookup returns the index, rebuilt where a member changed its state.
+// lookup returns the index, rebuilding it if a member has changed.
 func (p *protocol) lookup() *index {
-	if !p.stale {
+	if !p.indexStale {
 		return &p.index
 	}
-	p.stale = false
+	p.indexStale = false
 	built := index{byZone: make(map[zoneKey][]*record), suspects: make(map[zoneKey]int)}
-	for _, held := range p.sorted {
-		if held.State == Dead && held != p.self {
+	for _, member := range p.sorted {
+		if member.State == Dead && member != p.self {
 			continue
 		}
-		built.byZone[held.zone] = append(built.byZone[held.zone], held)
-		if held.State == Suspect {
-			built.suspects[held.zone]++
+		built.byZone[member.zone] = append(built.byZone[member.zone], member)
+		if member.State == Suspect {
+			built.suspects[member.zone]++
 		}
-		if held != p.self {
+		if member != p.self {
 			built.others++
 		}
 	}
@@ -56,7 +59,8 @@
 	return &p.index
 }
 
-// contactsOf returns this node's contacts among the members of a zone: those of the lowest rendezvous rank.
+// contactsOf returns this node's contacts among the members of a zone: those with the lowest
+// rendezvous rank.
 func (p *protocol) contactsOf(zone zoneKey, members []*record) []*record {
 	count := remoteContacts
 	if zone == p.self.zone {
@@ -75,7 +79,7 @@
 	return others[:count]
 }
 
-// contactRank is a member's rendezvous rank for this node.
+// contactRank returns a member's rendezvous rank for this node.
 func (p *protocol) contactRank(member *record) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], p.self.idHash)
@@ -84,28 +88,28 @@
 }
 
 // insert adds a new member.
-func (p *protocol) insert(held *record) {
-	p.records[held.ID] = held
-	place := p.placeOf(held.ID)
-	p.sorted = slices.Insert(p.sorted, place, held)
-	p.urgent = p.urgent || len(p.sorted) >= 2*p.published
+func (p *protocol) insert(member *record) {
+	p.records[member.ID] = member
+	place := p.sortedPosition(member.ID)
+	p.sorted = slices.Insert(p.sorted, place, member)
+	p.publishUrgent = p.publishUrgent || len(p.sorted) >= 2*p.publishedMembers
 }
 
-// remove forgets a member.
+// remove deletes a member that is no longer kept.
 func (p *protocol) remove(id NodeID) {
 	delete(p.records, id)
-	place := p.placeOf(id)
+	place := p.sortedPosition(id)
 	p.sorted = slices.Delete(p.sorted, place, place+1)
 	p.news.remove(id)
 }
 
-func (p *protocol) placeOf(id NodeID) int {
-	place, _ := slices.BinarySearchFunc(p.sorted, id, func(held *record, id NodeID) int { return cmp.Compare(held.ID, id) })
+func (p *protocol) sortedPosition(id NodeID) int {
+	place, _ := slices.BinarySearchFunc(p.sorted, id, func(member *record, id NodeID) int { return cmp.Compare(member.ID, id) })
 	return place
 }
 
-// sample returns up to count random members that accept approves; nil approves all
-// but this node.
+// sample returns up to count random members, other than this node, that accept returns true for. A
+// nil accept admits all.
 func (p *protocol) sample(members []*record, count int, accept func(*record) bool) []*record {
 	var chosen []*record
 	for _, position := range p.random.Perm(len(members)) {
@@ -120,8 +124,8 @@
 	return chosen
 }
 
-// ringSuccessor returns the member so many places after this node on its zone's ring,
-// or nil where the zone has no other.
+// ringSuccessor returns the member the given number of places after this node on its zone's ring,
+// or nil if the zone has no other member.
 func (p *protocol) ringSuccessor(places int) *record {
 	ring := p.lookup().ring
 	if len(ring) < 2 {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// zoneHubs is the number of members of a zone through which the others of the zone join.
+	// zoneHubs is the number of members of a zone through which its other members join.
 	zoneHubs = 2
-	// mostNamed bounds the members that a joining node of another zone is named: the hubs of its zone, and one more in case both are gone.
-	mostNamed = zoneHubs + 1
+	// maxRedirectRecords bounds the members that a joining node is redirected to in its own zone:
+	// the hubs, and one more in case both hubs are down.
+	maxRedirectRecords = zoneHubs + 1
 )
 
-// hubsOf returns the members of a zone through which the others join: those alive with a data folder before others, as they have the wider links,
-// and of these the first on the ring.
+// hubsOf returns the members of a zone through which its other members join: live members with a
+// data folder first, because they have more network bandwidth, and among these the first on the
+// ring.
 func hubsOf(members []*record) []*record {
 	var alive []*record
 	for _, member := range members {
@@ -36,17 +38,18 @@
 	return alive[:min(zoneHubs, len(alive))]
 }
 
-// sendsToOwnZone answers the digest of a node of another zone that knows that zone alone, as one that joins does: it is named members of its zone,
-// which know as much. Else all records would cross zones for each node that starts. It returns false where the digest is to be answered as any
-// other: few records would be sent, or the node is itself one of those through which its zone joins.
-func (p *protocol) sendsToOwnZone(from netip.AddrPort, message *membershippb.Digest) bool {
+// redirectToOwnZone answers the digest of a joining node of another zone, which names its own zone
+// only, with a few members of that zone. They know as much, so that the records of all members do
+// not cross zones for each node that starts. It returns false if the digest is to be answered in
+// full: few records would be sent, or the sender is itself a hub of its zone.
+func (p *protocol) redirectToOwnZone(from netip.AddrPort, message *membershippb.Digest) bool {
 	if len(message.GetZones()) != 1 {
 		return false
 	}
 	zone := zoneKey(message.GetZones()[0].GetZone())
 	index := p.lookup()
 	members := index.byZone[zone]
-	if zone == p.self.zone || index.others-len(members) <= bulkRecords {
+	if zone == p.self.zone || index.others-len(members) <= bulkThreshold {
 		return false
 	}
 	asker := NodeID(message.GetSender().GetId())
@@ -58,11 +61,12 @@
 	other := func(member *record) bool {
 		return member.State == Alive && !isAsker(member) && !slices.Contains(hubs, member)
 	}
-	p.sendRecords(from, append(hubs, p.sample(members, mostNamed-len(hubs), other)...))
+	p.sendRecords(from, append(hubs, p.sample(members, maxRedirectRecords-len(hubs), other)...))
 	return true
 }
 
-// compareWithOwnZone has a node that has just learnt of others compare its members with some of its own zone at once.
+// compareWithOwnZone sends digests to some members of this node's zone, once the first other
+// members are known.
 func (p *protocol) compareWithOwnZone() {
 	for _, contact := range p.sample(p.lookup().byZone[p.self.zone], joinContacts, nil) {
 		p.sendDigest(contact.PeerAddress)
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -11,12 +11,14 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// joinExchange delivers messages between protocols at once, and counts the records that each zone sent to one node.
+// joinExchange delivers messages between protocols without delay, and counts the records that the
+// nodes of each zone send to one node.
 type joinExchange struct {
 	now   time.Time
 	nodes map[netip.AddrPort]*protocol
 	to    netip.AddrPort
-	// sent counts the records that were sent to the node, by the sender's zone, answers those who sent some.
+	// sent is the number of records sent to the node, answers the number of messages with records,
+	// by the sender's zone.
 	sent    map[string]int
 	answers map[string]int
 }
@@ -39,19 +41,21 @@
 
 const (
 	joinZones = 5
-	// joinHubs is how many of each zone's first members have a data folder.
+	// joinHubs is the number of members of each zone that have a data folder.
 	joinHubs = 3
 )
 
 func joinMember(number int) Member {
 	return Member{
-		ID: NodeID(fmt.Sprintf("n%04d", number)), Region: "r", Zone: fmt.Sprintf("z%d", number%joinZones), Incarnation: 1, Store: number < joinHubs*joinZones,
+		ID: NodeID(fmt.Sprintf("n%04d", number)), Region: "r", Zone: fmt.Sprintf("z%d", number%joinZones),
+		Incarnation: 1, Store: number < joinHubs*joinZones,
 		PeerAddress: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number / 200), byte(number%200 + 1)}), testPort),
 	}
 }
 
-// joinFleet returns an exchange in which all members but the last, which joins through one of another zone, run and know each other. Only those
-// are played that can have a part in that.
+// joinFleet returns an exchange in which all members but the last run and know each other. The last
+// one joins through a seed of another zone. Only the nodes that can take part in its join are
+// simulated.
 func joinFleet(members int) (fleet *joinExchange, joiner *protocol) {
 	fleet = &joinExchange{now: time.Unix(1_000_000, 0), nodes: map[netip.AddrPort]*protocol{}, sent: map[string]int{}, answers: map[string]int{}}
 	own := joinMember(members - 1)
@@ -67,7 +71,9 @@
 			continue
 		}
 		node := newProtocol(member, nil, DefaultTiming(), uint64(number))
-		node.step(fleet.now, messageEvent{from: seed.PeerAddress, message: &membershippb.Records{Sender: &membershippb.Sender{Id: "n0000", Incarnation: 1}, Records: records}})
+		node.step(fleet.now, messageEvent{from: seed.PeerAddress, message: &membershippb.Records{
+			Sender: &membershippb.Sender{Id: "n0000", Incarnation: 1}, Records: records,
+		}})
 		fleet.nodes[member.PeerAddress] = node
 	}
 	joiner = newProtocol(own, []netip.AddrPort{seed.PeerAddress}, DefaultTiming(), 7)
@@ -75,26 +81,27 @@
 	return fleet, joiner
 }
 
-// TestJoinGoesThroughTheOwnZone: a node that joins through one of another zone knows all after one tick, and what crossed zones for that does not
-// grow with the number of members.
+// A node that joins through a seed of another zone knows all members after one tick, and the number
+// of records that cross zones for it does not grow with the number of members.
 func TestJoinGoesThroughTheOwnZone(t *testing.T) {
 	for _, members := range []int{100, 1000, 2000} {
 		fleet, joiner := joinFleet(members)
 		fleet.step(joiner, tickEvent{})
 		if known := len(joiner.records); known != members {
-			t.Errorf("%d of %d members are known", known, members)
+			t.Errorf("joining node knows %d of %d members", known, members)
 		}
 		seed, own := joinMember(members-2).Zone, joinMember(members-1).Zone
-		if sent := fleet.sent[seed]; sent == 0 || sent > mostNamed {
-			t.Errorf("%d members: %d records came from another zone, want 1 to %d", members, sent, mostNamed)
+		if sent := fleet.sent[seed]; sent == 0 || sent > maxRedirectRecords {
+			t.Errorf("%d members: %d records sent from another zone, want 1 to %d", members, sent, maxRedirectRecords)
 		}
-		if answered := fleet.answers[own]; answered > joinContacts*(2+members/recordsPerMessage) {
-			t.Errorf("%d members: %d messages of records came from the own zone", members, answered)
+		if answered := fleet.answers[own]; answered > joinContacts*(2+members/maxRecordsPerMessage) {
+			t.Errorf("%d members: %d messages with records sent from the own zone", members, answered)
 		}
 	}
 }
 
-// TestJoinWithoutOwnZone: where none of the joining node's zone is known, and for those through which its zone joins, the other zone sends all.
+// The seed's zone sends all records if no member of the joining node's zone is known, or if the
+// joining node is a hub of its zone.
 func TestJoinWithoutOwnZone(t *testing.T) {
 	const members = 300
 	for name, alone := range map[string]bool{"no member of the zone lives": true, "the first of its zone": false} {
@@ -102,16 +109,16 @@
 			fleet, joiner := joinFleet(members)
 			own := joinMember(members - 1)
 			seed := fleet.nodes[joinMember(members-2).PeerAddress]
-			for _, held := range seed.records {
-				if held.Zone != own.Zone {
+			for _, member := range seed.records {
+				if member.Zone != own.Zone {
 					continue
 				}
-				if delete(fleet.nodes, held.PeerAddress); alone {
-					seed.declareDead(held, changeDead)
+				if delete(fleet.nodes, member.PeerAddress); alone {
+					seed.declareDead(member, changeDead)
 				}
 			}
 			if !alone {
-				// The zone's first by rank starts again.
+				// The first hub of the zone restarts.
 				first := hubsOf(seed.lookup().byZone[keyOfZone(own.Region, own.Zone)])[0]
 				member := first.Member
 				member.Incarnation = 2
@@ -121,13 +128,13 @@
 			fleet.to = joiner.self.PeerAddress
 			fleet.step(joiner, tickEvent{})
 			others := 0
-			for _, held := range joiner.records {
-				if held.Zone != own.Zone {
+			for _, member := range joiner.records {
+				if member.Zone != own.Zone {
 					others++
 				}
 			}
 			if want := members * (joinZones - 1) / joinZones; others != want {
-				t.Errorf("%d members of other zones are known, want %d", others, want)
+				t.Errorf("joining node knows %d members of other zones, want %d", others, want)
 			}
 		})
 	}
--- a/internal/membership/listing.go
+++ b/internal/membership/listing.go
@@ -7,9 +7,9 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// takeListing joins the lagging machine list with own evidence. Listed nodes that are
-// not known become contacts; a listed leave counts from the first sign; an unlisted
-// member that answers stays.
+// takeListing takes in the machine list, which may lag behind what the protocol has observed.
+// Listed nodes that are not known become addresses to contact. A machine that is listed as leaving
+// is published as Leaving at once. A member that the list lacks is kept as long as it answers.
 func (p *protocol) takeListing(machines []platform.Machine) {
 	p.haveListing = true
 	p.listed = make(map[NodeID]netip.AddrPort, len(machines))
@@ -24,7 +24,7 @@
 			p.listedLeaving[id] = true
 		}
 	}
-	p.changed, p.urgent = true, true
+	p.viewChanged, p.publishUrgent = true, true
 }
 
 func sortAddresses(addresses []netip.AddrPort) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// NodeID names a node for as long as its settings live.
+// NodeID identifies a node for as long as its settings exist.
 type NodeID string
 
-// State is what is known of a member.
+// State is the state of a member as this node sees it.
 type State int
 
 // States of a member, in the order in which they override each other within one incarnation.
@@ -20,34 +20,37 @@
 	Dead
 )
 
-// Member is one node as this node knows it.
+// Member is what this node knows of one node.
 type Member struct {
 	ID NodeID
-	// Incarnation rises with each start of the node's process and with each refuted suspicion.
+	// Incarnation increases with each start of the node's process, each refuted suspicion and each
+	// change of its store.
 	Incarnation uint64
 	Region      string
 	Zone        string
-	// PeerAddress is the transport's address, AdminAddress the operators'.
+	// PeerAddress is the address of the node's transport, AdminAddress that of its admin interface.
 	PeerAddress  netip.AddrPort
 	AdminAddress netip.AddrPort
-	// Store says that the node has a data folder and can be a member of ensembles.
+	// Store reports whether the node has a data folder and can be a member of ensembles.
 	Store bool
-	// StoreIncarnation names the disk's content; a lost disk comes back under another one.
+	// StoreIncarnation identifies the content of the node's disk; a disk that was lost returns with
+	// another one.
 	StoreIncarnation string
 	State            State
-	// Revisions of what is in force there, as last heard.
+	// Revisions are the last known revisions in force on the node.
 	Revisions Revisions
 }
 
-// Revisions are those of the key-value service whose changes a node knows. They never fall within an incarnation.
+// Revisions are the revisions of the key-value service up to which a node knows its changes. They
+// never decrease within an incarnation.
 type Revisions struct {
-	// Configuration is the revision of the configuration in force, Replicas that of the newest change to the list of replicas;
-	// a node that follows no such list leaves it 0.
+	// Configuration is the revision of the configuration in force. Replicas is the revision of the
+	// newest change to the list of replicas, or 0 on a node that does not follow the list.
 	Configuration int64
 	Replicas      int64
 }
 
-// Join returns the newer of each of the two.
+// Join returns the higher of each of the two revisions.
 func (r Revisions) Join(other Revisions) Revisions {
 	return Revisions{Configuration: max(r.Configuration, other.Configuration), Replicas: max(r.Replicas, other.Replicas)}
 }
@@ -59,7 +62,7 @@
 	Members []Member
 }
 
-// Viewer gives the present view; it is safe for concurrent use.
+// Viewer provides the current view. It is safe for concurrent use.
 type Viewer interface {
 	View() *View
 	// Subscribe calls notify after each change until the returned function is called.
@@ -67,7 +70,8 @@
 	Subscribe(notify func(*View)) (unsubscribe func())
 }
 
-// Live returns the members that are Alive or Suspect, that is, not known to be gone or going.
+// Live returns the members that are Alive or Suspect, that is, neither known to be leaving nor
+// dead.
 func (v *View) Live() []Member {
 	var live []Member
 	for index := range v.Members {
@@ -78,7 +82,7 @@
 	return live
 }
 
-// OthersAlive says that some other member is Alive.
+// OthersAlive reports whether a member other than this node is Alive.
 func (v *View) OthersAlive() bool {
 	return slices.ContainsFunc(v.Members, func(member Member) bool { return member.ID != v.Self && member.State == Alive })
 }
--- a/internal/membership/membershiptest/viewer.go
+++ b/internal/membership/membershiptest/viewer.go
@@ -1,4 +1,4 @@
-// Package membershiptest has stand-ins for the membership of a cluster, for tests.
+// Package membershiptest provides test doubles for the membership of a cluster.
 package membershiptest
 
 import (
@@ -7,13 +7,14 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// Viewer is one node's view of the members, which the test sets; nobody is notified of a change. It is safe for concurrent use.
+// Viewer is a membership.Viewer whose view is set by the test. Subscribers are never notified. It
+// is safe for concurrent use.
 type Viewer struct {
 	mutex sync.Mutex
 	view  *membership.View
 }
 
-// NewViewer returns a Viewer that shows view; nil where the view is set later.
+// NewViewer returns a Viewer with the given view, which may be nil until Set is called.
 func NewViewer(view *membership.View) *Viewer { return &Viewer{view: view} }
 
 // View implements membership.Viewer.
@@ -26,7 +27,7 @@
 // Subscribe implements membership.Viewer; it never notifies.
 func (*Viewer) Subscribe(func(*membership.View)) (unsubscribe func()) { return func() {} }
 
-// Set replaces the view, which must not be changed afterwards.
+// Set replaces the view, which must not be modified afterwards.
 func (v *Viewer) Set(view *membership.View) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,57 +8,58 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// mergeAll takes news. Members that come in bulk, as to a node that joins, are not
-// passed on: whoever sent them has, and digests find what is missing.
+// mergeAll merges the records of one message. Members that arrive in bulk, as on a joining node,
+// are not queued as news: their sender has passed them on, and digests find what is missing.
 func (p *protocol) mergeAll(from netip.AddrPort, records []*membershippb.Record) {
-	p.bulk = len(records) > bulkRecords
+	p.bulk = len(records) > bulkThreshold
 	defer func() { p.bulk = false }()
 	for _, wire := range records {
 		p.merge(from, wire)
 	}
 }
 
-// merge takes one piece of news.
+// merge merges one record.
 func (p *protocol) merge(from netip.AddrPort, wire *membershippb.Record) {
-	held := p.records[NodeID(wire.GetId())]
-	if held == p.self {
+	member := p.records[NodeID(wire.GetId())]
+	if member == p.self {
 		p.mergeSelf(from, wire)
 		return
 	}
 	switch wire.GetState() {
 	case membershippb.State_STATE_ALIVE, membershippb.State_STATE_LEAVING:
-		p.mergeLive(held, wire)
+		p.mergeLive(member, wire)
 	case membershippb.State_STATE_SUSPECT:
-		if p.concerns(held, wire) {
+		if p.adoptIncarnation(member, wire) {
 			silence := time.Duration(wire.GetSilentMillis()) * time.Millisecond
-			p.suspect(held, p.now.Add(-silence))
-			p.tellSuspect(held)
+			p.suspect(member, p.now.Add(-silence))
+			p.notifySuspect(member)
 		}
 	case membershippb.State_STATE_DEAD:
-		if p.concerns(held, wire) {
-			p.mergeDead(held, wire.GetLeft())
+		if p.adoptIncarnation(member, wire) {
+			p.mergeDead(member, wire.GetLeft())
 		}
 	}
 }
 
-// concerns says whether news of suspicion or death is about the incarnation held, and
-// takes over a newer one.
-func (p *protocol) concerns(held *record, wire *membershippb.Record) bool {
-	if held == nil || wire.GetIncarnation() < held.Incarnation {
+// adoptIncarnation reports whether a record of suspicion or death applies to the incarnation known
+// here. A newer incarnation in the record is adopted first.
+func (p *protocol) adoptIncarnation(member *record, wire *membershippb.Record) bool {
+	if member == nil || wire.GetIncarnation() < member.Incarnation {
 		return false
 	}
-	if wire.GetIncarnation() > held.Incarnation {
-		held.Incarnation = wire.GetIncarnation()
-		p.stale, p.changed = true, true
-		if held.State == Dead {
-			held.State = Suspect
-			p.takeOnSuspicion(held, p.now)
+	if wire.GetIncarnation() > member.Incarnation {
+		member.Incarnation = wire.GetIncarnation()
+		p.indexStale, p.viewChanged = true, true
+		if member.State == Dead {
+			member.State = Suspect
+			p.startSuspicion(member, p.now)
 		}
 	}
-	return held.State != Dead
+	return member.State != Dead
 }
 
-// mergeSelf refutes what others wrongly hold of this node.
+// mergeSelf refutes a record of this node that is wrong: a suspicion or death of its present
+// incarnation, or any record of a newer one.
 func (p *protocol) mergeSelf(from netip.AddrPort, wire *membershippb.Record) {
 	negative := wire.GetState() == membershippb.State_STATE_SUSPECT || wire.GetState() == membershippb.State_STATE_DEAD
 	newer := wire.GetIncarnation() > p.self.Incarnation
@@ -72,161 +73,164 @@
 	p.announceSelf()
 }
 
-func (p *protocol) mergeLive(held *record, wire *membershippb.Record) {
-	member, valid := decodeMember(wire)
+func (p *protocol) mergeLive(member *record, wire *membershippb.Record) {
+	update, valid := decodeMember(wire)
 	if !valid {
 		return
 	}
 	switch {
-	case held == nil:
-		p.addMember(member, changeJoined)
-	case member.Incarnation > held.Incarnation:
-		p.renewMember(held, member)
-	case member.Incarnation == held.Incarnation && member.State == Leaving && !held.leaving:
-		p.markLeaving(held)
+	case member == nil:
+		p.addMember(update, changeJoined)
+	case update.Incarnation > member.Incarnation:
+		p.renewMember(member, update)
+	case update.Incarnation == member.Incarnation && update.State == Leaving && !member.leaving:
+		p.markLeaving(member)
 	}
 }
 
-func (p *protocol) addMember(member Member, kind changeKind) {
-	held := newRecord(member)
-	p.insert(held)
-	p.noteChange(held, kind)
+func (p *protocol) addMember(joined Member, kind changeKind) {
+	member := newRecord(joined)
+	p.insert(member)
+	p.recordChange(member, kind)
 	if p.bulk {
-		p.news.remove(held.ID)
+		p.news.remove(member.ID)
 	}
 }
 
-// renewMember takes over a newer incarnation.
-func (p *protocol) renewMember(held *record, member Member) {
-	before := held.State
-	*held = *newRecord(member)
+// renewMember replaces a member by a newer incarnation of it.
+func (p *protocol) renewMember(member *record, update Member) {
+	before := member.State
+	*member = *newRecord(update)
 	switch {
 	case before == Dead:
-		p.noteChange(held, changeReturned)
+		p.recordChange(member, changeReturned)
 	case before == Suspect:
-		p.noteChange(held, changeRefuted)
-	case member.State == Leaving && before != Leaving:
-		p.noteChange(held, changeLeaving)
+		p.recordChange(member, changeRefuted)
+	case update.State == Leaving && before != Leaving:
+		p.recordChange(member, changeLeaving)
 	default:
-		p.noteChange(held, "")
+		p.recordChange(member, "")
 	}
 }
 
-func (p *protocol) markLeaving(held *record) {
-	held.leaving = true
-	if held.State == Alive {
-		held.State = Leaving
+func (p *protocol) markLeaving(member *record) {
+	member.leaving = true
+	if member.State == Alive {
+		member.State = Leaving
 	}
-	p.noteChange(held, changeLeaving)
+	p.recordChange(member, changeLeaving)
 }
 
-// mergeDead does not take another node's word for a death: the member first gets time
-// to refute it. A member's own word counts at once.
-func (p *protocol) mergeDead(held *record, left bool) {
+// mergeDead does not accept a death that another node reports: the member is suspected and first
+// gets time to refute. A stop that the member itself announced (left) takes effect at once.
+func (p *protocol) mergeDead(member *record, left bool) {
 	if left {
-		held.left = true
-		p.declareDead(held, changeLeft)
+		member.left = true
+		p.declareDead(member, changeLeft)
 		return
 	}
-	latest := p.now.Add(p.timing.ClaimRefuteTime + p.ownSlowness(p.timing.ClaimRefuteTime))
-	if held.State == Suspect {
-		if held.deadline.After(latest) {
-			held.deadline = latest
+	latest := p.now.Add(p.timing.ClaimRefuteTime + p.slownessAllowance(p.timing.ClaimRefuteTime))
+	if member.State == Suspect {
+		if member.deadline.After(latest) {
+			member.deadline = latest
 		}
 		return
 	}
-	p.suspect(held, p.now)
-	held.deadline = latest
-	p.tellSuspect(held)
+	p.suspect(member, p.now)
+	member.deadline = latest
+	p.notifySuspect(member)
 }
 
-// suspect takes on a suspicion against a member that is silent since then. Of several suspicions the one of the longest silence holds: a node whose own
-// probe failed later than that of another would otherwise declare the death later than all others.
-func (p *protocol) suspect(held *record, silentSince time.Time) {
-	if held.State == Suspect {
-		p.advanceDeath(held, silentSince)
+// suspect marks a member as suspect, silent since the given time. Of several suspicions the one
+// with the longest silence applies. Otherwise a node whose own probe failed later than that of
+// another node would declare the death later than all others.
+func (p *protocol) suspect(member *record, silentSince time.Time) {
+	if member.State == Suspect {
+		p.advanceDeadline(member, silentSince)
 		return
 	}
-	if held.State == Dead {
+	if member.State == Dead {
 		return
 	}
-	held.State = Suspect
-	p.takeOnSuspicion(held, silentSince)
-	p.noteChange(held, changeSuspect)
+	member.State = Suspect
+	p.startSuspicion(member, silentSince)
+	p.recordChange(member, changeSuspect)
 }
 
-// advanceDeath has a suspect that is silent for longer than was known declared dead earlier, but leaves it the time to refute.
-func (p *protocol) advanceDeath(held *record, silentSince time.Time) {
-	longer := held.silentSince.Sub(silentSince)
+// advanceDeadline moves a suspect's deadline forward if it has been silent for longer than was
+// known, but leaves it time to refute.
+func (p *protocol) advanceDeadline(member *record, silentSince time.Time) {
+	longer := member.silentSince.Sub(silentSince)
 	if longer <= 0 {
 		return
 	}
-	held.silentSince = silentSince
-	if deadline := p.afterRefutation(held.deadline.Add(-longer)); deadline.Before(held.deadline) {
-		held.deadline = deadline
+	member.silentSince = silentSince
+	if deadline := p.withRefuteTime(member.deadline.Add(-longer)); deadline.Before(member.deadline) {
+		member.deadline = deadline
 	}
 }
 
-// afterRefutation returns deadline, or the time until which a suspect that learns of it now may refute, if that is later.
-func (p *protocol) afterRefutation(deadline time.Time) time.Time {
+// withRefuteTime returns deadline, or the earliest time by which a suspect that learns of the
+// suspicion now can have refuted it, whichever is later.
+func (p *protocol) withRefuteTime(deadline time.Time) time.Time {
 	if earliest := p.now.Add(p.probeTime(p.timing.RefuteTime)); deadline.Before(earliest) {
 		return earliest
 	}
 	return deadline
 }
 
-// tellSuspect makes sure that about suspectTellers of all who hear of a suspicion pass
-// it to the suspect at once, so that it can refute; all of them would be a storm.
-func (p *protocol) tellSuspect(held *record) {
-	if held.State == Suspect && held.suspectedAt.Equal(p.now) && p.random.IntN(len(p.records)) < suspectTellers {
+// notifySuspect pings a suspect with the suspicion, so that it can refute. About suspectNotifiers
+// of all nodes that learn of a suspicion do so; pings from all of them would overload the suspect.
+func (p *protocol) notifySuspect(member *record) {
+	if member.State == Suspect && member.suspectedAt.Equal(p.now) && p.random.IntN(len(p.records)) < suspectNotifiers {
 		p.lastSequence++
-		p.ping(held, p.lastSequence)
+		p.ping(member, p.lastSequence)
 	}
 }
 
-func (p *protocol) takeOnSuspicion(held *record, silentSince time.Time) {
+func (p *protocol) startSuspicion(member *record, silentSince time.Time) {
 	limit := p.timing.RemoteDeathAfter
-	if held.zone == p.self.zone {
+	if member.zone == p.self.zone {
 		limit = p.timing.ZoneDeathAfter
 	}
-	held.silentSince = silentSince
-	held.suspectedAt = p.now
-	held.askedAgain = false
-	held.deadline = p.afterRefutation(silentSince.Add(limit + p.ownSlowness(limit)))
+	member.silentSince = silentSince
+	member.suspectedAt = p.now
+	member.finalPingSent = false
+	member.deadline = p.withRefuteTime(silentSince.Add(limit + p.slownessAllowance(limit)))
 }
 
-// checkSuspicions declares dead whose time is up, unless this node itself heard the
-// suspect since.
+// checkSuspicions declares suspects dead whose deadline has passed, unless this node has heard from
+// them since the suspicion.
 func (p *protocol) checkSuspicions() {
-	for _, held := range p.suspects() {
-		p.askOnceMore(held)
-		if p.now.Before(held.deadline) {
+	for _, member := range p.suspects() {
+		p.pingBeforeDeadline(member)
+		if p.now.Before(member.deadline) {
 			continue
 		}
-		if held.lastHeard.After(held.suspectedAt) {
-			held.State = Alive
-			if held.leaving {
-				held.State = Leaving
+		if member.lastHeard.After(member.suspectedAt) {
+			member.State = Alive
+			if member.leaving {
+				member.State = Leaving
 			}
-			p.noteChange(held, changeRefuted)
+			p.recordChange(member, changeRefuted)
 			continue
 		}
-		p.declareDead(held, changeDead)
+		p.declareDead(member, changeDead)
 	}
 }
 
-// askOnceMore pings a suspect shortly before its time is up, so that each node judges
-// by an answer of its own and not by whether a refutation reached it.
-func (p *protocol) askOnceMore(held *record) {
-	if held.askedAgain || p.now.Before(held.deadline.Add(-p.probeTime(p.timing.RefuteTime))) {
+// pingBeforeDeadline pings a suspect once, shortly before its deadline, so that each node decides
+// on an answer of its own and does not depend on a refutation reaching it.
+func (p *protocol) pingBeforeDeadline(member *record) {
+	if member.finalPingSent || p.now.Before(member.deadline.Add(-p.probeTime(p.timing.RefuteTime))) {
 		return
 	}
-	held.askedAgain = true
+	member.finalPingSent = true
 	p.lastSequence++
-	p.ping(held, p.lastSequence)
+	p.ping(member, p.lastSequence)
 }
 
-// suspects returns the suspects in a fixed order.
+// suspects returns the suspects in a deterministic order.
 func (p *protocol) suspects() []*record {
 	var suspects []*record
 	index := p.lookup()
@@ -234,46 +238,47 @@
 		if index.suspects[zone] == 0 {
 			continue
 		}
-		for _, held := range index.byZone[zone] {
-			if held.State == Suspect {
-				suspects = append(suspects, held)
+		for _, member := range index.byZone[zone] {
+			if member.State == Suspect {
+				suspects = append(suspects, member)
 			}
 		}
 	}
 	return suspects
 }
 
-func (p *protocol) declareDead(held *record, kind changeKind) {
-	held.State = Dead
-	held.diedAt = p.now
-	p.noteChange(held, kind)
+func (p *protocol) declareDead(member *record, kind changeKind) {
+	member.State = Dead
+	member.diedAt = p.now
+	p.recordChange(member, kind)
 }
 
-// forgetDead drops the dead after a time; it is shorter where the machine list does
-// not name them any more.
+// forgetDead removes dead members after ForgetAfter, or after the shorter ForgetUnlistedAfter if
+// the machine list no longer names them.
 func (p *protocol) forgetDead() {
-	for _, held := range slices.Clone(p.sorted) {
-		if held.State != Dead || held == p.self {
+	for _, member := range slices.Clone(p.sorted) {
+		if member.State != Dead || member == p.self {
 			continue
 		}
 		keep := p.timing.ForgetAfter
-		if _, listed := p.listed[held.ID]; p.haveListing && !listed {
+		if _, listed := p.listed[member.ID]; p.haveListing && !listed {
 			keep = p.timing.ForgetUnlistedAfter
 		}
-		if p.now.Sub(held.diedAt) >= keep {
-			p.remove(held.ID)
-			p.changed = true
-			p.report(held, changeForgotten)
+		if p.now.Sub(member.diedAt) >= keep {
+			p.remove(member.ID)
+			p.viewChanged = true
+			p.report(member, changeForgotten)
 		}
 	}
 }
 
-// noteChange passes a change on and publishes it; an empty kind is not reported.
-func (p *protocol) noteChange(held *record, kind changeKind) {
-	p.stale, p.changed = true, true
-	p.urgent = p.urgent || kind == changeDead || kind == changeLeft || kind == changeLeaving
-	p.news.add(held.ID)
+// recordChange queues a change as news and marks the view as changed. It is reported to the log and
+// the metrics unless kind is empty.
+func (p *protocol) recordChange(member *record, kind changeKind) {
+	p.indexStale, p.viewChanged = true, true
+	p.publishUrgent = p.publishUrgent || kind == changeDead || kind == changeLeft || kind == changeLeaving
+	p.news.add(member.ID)
 	if kind != "" {
-		p.report(held, kind)
+		p.report(member, kind)
 	}
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Log fields of this slice.
+// Log fields of this package.
 const (
 	fieldMember      = "member"
 	fieldIncarnation = "incarnation"
@@ -15,7 +15,7 @@
 	fieldSilence     = "silence_ms"
 )
 
-// MetricChanges counts changes of members by the label "kind".
+// MetricChanges is the name of the counter of members' changes, by the label "kind".
 const MetricChanges = "sloelift_membership_changes_total"
 
 // stateNames are the values of the label "state".
@@ -56,7 +56,7 @@
 	}
 }
 
-// jittered returns a random time from half to one and a half of period.
+// jittered returns a random duration between 0.5 and 1.5 times period.
 func jittered(period time.Duration) time.Duration {
 	return period/2 + time.Duration(rand.Int64N(int64(period)))
 }
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -9,25 +9,25 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// newsQueue holds the members whose last change is still being passed on, each with
-// the number of times it went out.
+// newsQueue holds the members whose latest change is still being passed on, with the number of
+// times that it was sent.
 type newsQueue struct {
 	sent map[NodeID]int
-	// bySent[n] holds the members whose change went out n times, oldest first. An entry
-	// whose member has another number in sent by now is out of date.
+	// bySent[n] holds the members whose change was sent n times, oldest first. An entry is out of
+	// date if sent has another number for its member.
 	bySent [][]NodeID
 }
 
 func newNewsQueue() *newsQueue { return &newsQueue{sent: make(map[NodeID]int)} }
 
-// add starts passing on the member's present record.
+// add queues the member's current record.
 func (q *newsQueue) add(id NodeID) {
 	if times, queued := q.sent[id]; !queued || times > 0 {
-		q.put(id, 0)
+		q.enqueue(id, 0)
 	}
 }
 
-func (q *newsQueue) put(id NodeID, times int) {
+func (q *newsQueue) enqueue(id NodeID, times int) {
 	for len(q.bySent) <= times {
 		q.bySent = append(q.bySent, nil)
 	}
@@ -35,73 +35,73 @@
 	q.bySent[times] = append(q.bySent[times], id)
 }
 
-// remove stops passing on a member that is forgotten.
+// remove drops a member that is no longer kept.
 func (q *newsQueue) remove(id NodeID) { delete(q.sent, id) }
 
-// retransmissions is how often each node passes one piece of news on among that many
-// members; what this misses, digests bring.
+// retransmissions returns how often each node sends one change, given the number of members. Nodes
+// that it misses learn of the change from digests.
 func retransmissions(members int) int { return bits.Len(uint(members)) }
 
-// parcel is the news of one message as it is put together.
-type parcel struct {
-	addressee NodeID
-	records   map[NodeID]*record
-	now       time.Time
-	room      int
-	full      bool
-	taken     []*membershippb.Record
+// newsBuilder collects the news of one message.
+type newsBuilder struct {
+	receiver       NodeID
+	known          map[NodeID]*record
+	now            time.Time
+	remainingBytes int
+	full           bool
+	news           []*membershippb.Record
 }
 
-// add puts a record in unless it does not fit any more.
-func (p *parcel) add(held *record) {
-	wire := held.encode(p.now)
+// add appends a record unless it exceeds the remaining bytes; then full is set.
+func (p *newsBuilder) add(member *record) {
+	wire := member.encode(p.now)
 	size := proto.Size(wire)
-	if p.full = size > p.room; !p.full {
-		p.room -= size
-		p.taken = append(p.taken, wire)
+	if p.full = size > p.remainingBytes; !p.full {
+		p.remainingBytes -= size
+		p.news = append(p.news, wire)
 	}
 }
 
-// take returns records for one message: first what contradicts the addressee, which
-// it should refute, then what went out least often, up to newsBytes.
+// take returns the records for one message, up to maxNewsBytes: first a suspicion or death of the
+// addressee, which it should refute, then the records that were sent least often.
 func (q *newsQueue) take(addressee NodeID, records map[NodeID]*record, now time.Time) []*membershippb.Record {
-	filling := &parcel{addressee: addressee, records: records, now: now, room: newsBytes}
+	builder := &newsBuilder{receiver: addressee, known: records, now: now, remainingBytes: maxNewsBytes}
 	if own := records[addressee]; own != nil && (own.State == Suspect || own.State == Dead) {
-		filling.add(own)
+		builder.add(own)
 	}
 	var out []NodeID
-	for times := 0; times < len(q.bySent) && !filling.full; times++ {
-		out = append(out, q.fill(filling, times)...)
+	for times := 0; times < len(q.bySent) && !builder.full; times++ {
+		out = append(out, q.fill(builder, times)...)
 	}
 	limit := retransmissions(len(records))
 	for _, id := range out {
 		if times := q.sent[id] + 1; times < limit {
-			q.put(id, times)
+			q.enqueue(id, times)
 		} else {
 			delete(q.sent, id)
 		}
 	}
-	return filling.taken
+	return builder.news
 }
 
-// fill puts in what went out so many times, until the parcel is full, and returns the
-// members whose records went in.
-func (q *newsQueue) fill(filling *parcel, times int) (out []NodeID) {
+// fill adds the records that were sent the given number of times until the message is full, and
+// returns the members whose records were added.
+func (q *newsQueue) fill(builder *newsBuilder, times int) (out []NodeID) {
 	waiting := q.bySent[times]
 	var kept []NodeID
-	for len(waiting) > 0 && !filling.full {
+	for len(waiting) > 0 && !builder.full {
 		id := waiting[0]
-		held := filling.records[id]
+		member := builder.known[id]
 		current, queued := q.sent[id]
 		switch {
-		case !queued || current != times || held == nil:
+		case !queued || current != times || member == nil:
 			waiting = waiting[1:]
-		case id == filling.addressee:
-			// It knows; others still have to hear.
+		case id == builder.receiver:
+			// The addressee knows its own state; the record stays queued for others.
 			kept = append(kept, id)
 			waiting = waiting[1:]
 		default:
-			if filling.add(held); !filling.full {
+			if builder.add(member); !builder.full {
 				waiting = waiting[1:]
 				out = append(out, id)
 			}
--- a/internal/membership/per_view.go
+++ b/internal/membership/per_view.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// PerView keeps what was worked out from the latest view of the members, so that it is worked out once for each. Its zero value has seen no view.
-// It is safe for concurrent use.
+// PerView caches a value computed from the latest view, so that it is computed once for each view.
+// The zero value has seen no view. It is safe for concurrent use.
 type PerView[Value any] struct {
 	mutex sync.Mutex
 	view  *View
 	value Value
 }
 
-// Of returns what work makes of view.
+// Of returns the value that work computes from view.
 func (p *PerView[Value]) Of(view *View, work func(*View) Value) Value {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/membership/per_view_test.go
+++ b/internal/membership/per_view_test.go
@@ -15,7 +15,7 @@
 		want, worked int
 	}{{one, 1, 1}, {one, 1, 1}, {other, 2, 2}, {other, 2, 2}, {one, 1, 3}} {
 		if got := kept.Of(step.view, count); got != step.want || worked != step.worked {
-			t.Errorf("%d after %d times, want %d after %d", got, worked, step.want, step.worked)
+			t.Errorf("value %d after %d computations, want %d after %d", got, worked, step.want, step.worked)
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,18 +9,19 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// probe is one probe of a member that has no answer yet.
+// probe is a probe of a member that has not been answered yet.
 type probe struct {
 	target      *record
-	incarnation uint64 // the target's, when the probe went out
+	incarnation uint64 // the target's when the probe was sent
 	sentAt      time.Time
-	// indirect: helpers were asked.
+	// indirect reports whether helpers were asked to probe the target.
 	indirect bool
-	// failed: its time is up; a late answer still tells how slow things are.
+	// failed reports whether the probe timed out. It is kept, as a late answer still shows how slow
+	// this node is.
 	failed bool
 }
 
-// relay is a probe made on another node's behalf.
+// relay is a probe made on behalf of another node.
 type relay struct {
 	origin   netip.AddrPort
 	sequence uint64
@@ -28,7 +29,7 @@
 	sentAt   time.Time
 }
 
-// startProbes probes whom it is time to probe.
+// startProbes sends the probes that are due.
 func (p *protocol) startProbes() {
 	if !p.now.Before(p.nextZoneProbe) {
 		p.nextZoneProbe = p.nextTime(p.nextZoneProbe, p.timing.ZoneProbePeriod)
@@ -42,7 +43,8 @@
 	}
 }
 
-// nextTime keeps a period's rhythm, or starts it anew at a random phase after a pause.
+// nextTime returns the time after due in a period, or a random time within the next period if more
+// than one was missed.
 func (p *protocol) nextTime(due time.Time, period time.Duration) time.Time {
 	if p.now.Sub(due) > period {
 		return p.now.Add(time.Duration(p.random.Int64N(int64(period))))
@@ -51,8 +53,8 @@
 }
 
 func (p *protocol) probeOwnZone() {
-	p.successor = p.successor%ringSuccessors + 1
-	neighbour := p.ringSuccessor(p.successor)
+	p.lastSuccessor = p.lastSuccessor%ringSuccessors + 1
+	neighbour := p.ringSuccessor(p.lastSuccessor)
 	if neighbour != nil {
 		p.probe(neighbour)
 	}
@@ -62,26 +64,27 @@
 	}
 }
 
-// remoteTargets chooses a random contact in a random zone, where it is this node's turn, or several of a zone with
-// several suspects that are not suspect themselves.
+// remoteTargets returns the members of other zones to probe: if a zone has several suspects, some
+// of its other members, else a random contact in a random zone if this node is selected in this
+// period.
 func (p *protocol) remoteTargets() []*record {
 	index := p.lookup()
-	var remote, troubled []zoneKey
+	var remote, suspicious []zoneKey
 	for _, zone := range index.zones {
 		if zone == p.self.zone {
 			continue
 		}
 		remote = append(remote, zone)
-		if count := index.suspects[zone]; count >= troubledZone && count < len(index.byZone[zone]) {
-			troubled = append(troubled, zone)
+		if count := index.suspects[zone]; count >= suspectZoneThreshold && count < len(index.byZone[zone]) {
+			suspicious = append(suspicious, zone)
 		}
 	}
 	switch {
-	case len(troubled) > 0:
-		zone := troubled[p.random.IntN(len(troubled))]
+	case len(suspicious) > 0:
+		zone := suspicious[p.random.IntN(len(suspicious))]
 		unsuspected := func(candidate *record) bool { return candidate.State != Suspect }
-		return p.sample(index.byZone[zone], troubledProbes, unsuspected)
-	case len(remote) > 0 && p.takesTurn(probesBetweenZones):
+		return p.sample(index.byZone[zone], suspectZoneProbes, unsuspected)
+	case len(remote) > 0 && p.selectedThisPeriod(crossZoneProbers):
 		return p.sample(index.contacts[remote[p.random.IntN(len(remote))]], 1, nil)
 	}
 	return nil
@@ -101,18 +104,19 @@
 	})
 }
 
-// checkProbes asks helpers where a probe is late, and suspects where it failed.
+// checkProbes asks helpers to probe targets that are late to answer, and suspects targets whose
+// probe timed out.
 func (p *protocol) checkProbes() {
 	for _, sequence := range slices.Sorted(maps.Keys(p.probes)) {
 		pending := p.probes[sequence]
 		waited := p.now.Sub(pending.sentAt)
 		switch {
-		case waited >= lateAnswerLimit:
+		case waited >= maxLateAnswer:
 			delete(p.probes, sequence)
 		case pending.failed:
 		case waited >= p.probeTime(p.timing.ProbeTimeout):
 			pending.failed = true
-			if !p.inTrouble(pending.target.zone) {
+			if !p.hasSuspects(pending.target.zone) {
 				p.slowness = min(p.slowness+1, maxSlowness)
 			}
 			p.probeFailed(pending)
@@ -138,14 +142,14 @@
 	p.ping(target, p.lastSequence)
 }
 
-// inTrouble says whether another zone has several suspects: failures there are no sign
-// of this node's own slowness.
-func (p *protocol) inTrouble(zone zoneKey) bool {
-	return zone != p.self.zone && p.lookup().suspects[zone] >= troubledZone
+// hasSuspects reports whether another zone has several suspects. Probes that fail there do not
+// indicate that this node is slow.
+func (p *protocol) hasSuspects(zone zoneKey) bool {
+	return zone != p.self.zone && p.lookup().suspects[zone] >= suspectZoneThreshold
 }
 
-// noteAnswer lets the slowness that failed probes raised fall again, but not below what
-// the round trip of this answer asks for.
+// noteAnswer lowers the slowness that failed probes raised, but not below the value that this
+// answer's round trip requires.
 func (p *protocol) noteAnswer(pending *probe, direct bool) {
 	needed := 0
 	if direct {
@@ -158,18 +162,18 @@
 	p.slowness = max(p.slowness-1, needed)
 }
 
-// probeTime stretches a timeout by this node's own slowness.
+// probeTime extends a timeout by this node's slowness.
 func (p *protocol) probeTime(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+p.slowness)
 }
 
-// ownSlowness is how much longer than limit this node waits for a refutation.
-func (p *protocol) ownSlowness(limit time.Duration) time.Duration {
+// slownessAllowance returns how much longer than limit this node waits for a refutation.
+func (p *protocol) slownessAllowance(limit time.Duration) time.Duration {
 	return limit / 2 * time.Duration(max(p.slowness-toleratedSlowness, 0))
 }
 
-// askHelpers spreads the indirect probes over zones, so that a cut between two of
-// them is told from a dead member.
+// askHelpers asks helpers in several zones for indirect probes, so that a network partition between
+// two zones is told from a dead member.
 func (p *protocol) askHelpers(target *record, sequence uint64) {
 	index := p.lookup()
 	helpful := func(candidate *record) bool { return candidate != target && candidate.State == Alive }
@@ -198,7 +202,7 @@
 }
 
 func (p *protocol) receivePing(from netip.AddrPort, message *membershippb.Ping) {
-	known := p.hear(from, message.GetSender())
+	known := p.noteSender(from, message.GetSender())
 	p.mergeAll(from, message.GetNews())
 	p.send(from, methodAck, &membershippb.Ack{
 		Sender:   p.sender(),
@@ -211,7 +215,7 @@
 }
 
 func (p *protocol) receiveAck(from netip.AddrPort, message *membershippb.Ack) {
-	p.hear(from, message.GetSender())
+	p.noteSender(from, message.GetSender())
 	p.mergeAll(from, message.GetNews())
 	reached := message.GetSender()
 	if message.GetTarget() != nil {
@@ -236,7 +240,7 @@
 }
 
 func (p *protocol) receiveProbeRequest(from netip.AddrPort, message *membershippb.ProbeRequest) {
-	p.hear(from, message.GetSender())
+	p.noteSender(from, message.GetSender())
 	address, valid := decodeAddress(message.GetTargetAddress())
 	if !valid {
 		return
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Methods of the slice.
+// Transport methods of this package.
 const (
 	methodPing         transport.Method = "membership.ping"
 	methodAck          transport.Method = "membership.ack"
@@ -21,34 +21,35 @@
 	methodRecords      transport.Method = "membership.records"
 )
 
-// protocol is the membership protocol of one node. It belongs to one goroutine, reads
-// no clock and does no I/O: step takes an event and returns actions.
+// protocol is the membership protocol of one node. It is used by one goroutine, reads no clock and
+// does no I/O: step takes an event and returns actions.
 type protocol struct {
-	timing  Timing
-	random  *rand.Rand
-	self    *record
-	records map[NodeID]*record // self among them
-	sorted  []*record          // the same, by id
-	news    *newsQueue
-	index   index
-	stale   bool // index must be rebuilt
-	version uint64
-	// published is the number of members in the latest view. One that has doubled since is urgent
-	// too: a node that has just started must not act on a view of itself alone.
-	published int
-	// changed: the view must be published; urgent: on the next tick, as somebody leaves
-	// or died, else by nextPublish.
-	changed     bool
-	urgent      bool
-	nextPublish time.Time
+	timing     Timing
+	random     *rand.Rand
+	self       *record
+	records    map[NodeID]*record // includes self
+	sorted     []*record          // the same records, by ID
+	news       *newsQueue
+	index      index
+	indexStale bool // index must be rebuilt before use
+	version    uint64
+	// publishedMembers is the number of members in the latest view. A view that has doubled since
+	// is published on the next tick: a node that has just started must not act on a view of itself
+	// alone.
+	publishedMembers int
+	// viewChanged is set if the view must be published by nextPublish. publishUrgent is set if it
+	// must be published on the next tick, because a member leaves or has died.
+	viewChanged   bool
+	publishUrgent bool
+	nextPublish   time.Time
 
-	now          time.Time
-	lastTick     time.Time
-	lastSequence uint64
-	probes       map[uint64]*probe
-	relays       map[uint64]relay
-	successor    int // which ring successor is probed next
-	slowness     int // how many times longer than usual this node waits
+	now           time.Time
+	lastTick      time.Time
+	lastSequence  uint64
+	probes        map[uint64]*probe
+	relays        map[uint64]relay
+	lastSuccessor int // the ring successor that was probed last, from 1
+	slowness      int // timeouts are 1+slowness times as long
 
 	nextZoneProbe   time.Time
 	nextRemoteProbe time.Time
@@ -62,7 +63,7 @@
 	listedLeaving map[NodeID]bool
 	haveListing   bool
 
-	bulk    bool // the records being merged came in bulk
+	bulk    bool // more than bulkThreshold records are being merged
 	actions []action
 }
 
@@ -70,23 +71,23 @@
 func newProtocol(self Member, seeds []netip.AddrPort, timing Timing, seed uint64) *protocol {
 	own := newRecord(self)
 	return &protocol{
-		timing:     timing,
-		random:     rand.New(rand.NewPCG(seed, own.idHash)),
-		self:       own,
-		records:    map[NodeID]*record{self.ID: own},
-		sorted:     []*record{own},
-		news:       newNewsQueue(),
-		stale:      true,
-		changed:    true,
-		urgent:     true,
-		probes:     make(map[uint64]*probe),
-		relays:     make(map[uint64]relay),
-		joinPeriod: timing.JoinPeriod,
-		seeds:      seeds,
+		timing:        timing,
+		random:        rand.New(rand.NewPCG(seed, own.idHash)),
+		self:          own,
+		records:       map[NodeID]*record{self.ID: own},
+		sorted:        []*record{own},
+		news:          newNewsQueue(),
+		indexStale:    true,
+		viewChanged:   true,
+		publishUrgent: true,
+		probes:        make(map[uint64]*probe),
+		relays:        make(map[uint64]relay),
+		joinPeriod:    timing.JoinPeriod,
+		seeds:         seeds,
 	}
 }
 
-// step takes one event at time now, which never falls, and returns what to do.
+// step processes one event at time now, which must not decrease, and returns the resulting actions.
 func (p *protocol) step(now time.Time, input event) []action {
 	p.now = now
 	p.actions = nil
@@ -112,7 +113,7 @@
 }
 
 func (p *protocol) tick() {
-	p.allowForPause()
+	p.compensateForPause()
 	p.lastTick = p.now
 	p.checkProbes()
 	p.checkSuspicions()
@@ -122,18 +123,18 @@
 	p.publish()
 }
 
-// allowForPause gives every waiting time back that this node itself missed, so that it
-// does not blame others for its own pause.
-func (p *protocol) allowForPause() {
+// compensateForPause drops pending probes and moves the deadlines of suspects by the time for which
+// this node itself was paused, so that its own pause does not make others look dead.
+func (p *protocol) compensateForPause() {
 	missed := p.now.Sub(p.lastTick) - p.timing.Tick
 	if p.lastTick.IsZero() || missed < pauseTicks*p.timing.Tick {
 		return
 	}
 	clear(p.probes)
 	clear(p.relays)
-	for _, held := range p.suspects() {
-		held.silentSince = held.silentSince.Add(missed)
-		held.deadline = held.deadline.Add(missed)
+	for _, member := range p.suspects() {
+		member.silentSince = member.silentSince.Add(missed)
+		member.deadline = member.deadline.Add(missed)
 	}
 }
 
@@ -158,15 +159,15 @@
 	p.actions = append(p.actions, sendAction{to: to, method: method, message: message})
 }
 
-func (p *protocol) report(held *record, kind changeKind) {
-	change := changeAction{id: held.ID, zone: held.Zone, incarnation: held.Incarnation, kind: kind}
+func (p *protocol) report(member *record, kind changeKind) {
+	change := changeAction{id: member.ID, zone: member.Zone, incarnation: member.Incarnation, kind: kind}
 	if kind == changeDead {
-		change.silence = p.now.Sub(held.silentSince)
+		change.silence = p.now.Sub(member.silentSince)
 	}
 	p.actions = append(p.actions, change)
 }
 
-// sender is this node's part of each message.
+// sender returns the fields about this node that every message carries.
 func (p *protocol) sender() *membershippb.Sender {
 	return &membershippb.Sender{
 		Id:               string(p.self.ID),
@@ -176,43 +177,43 @@
 	}
 }
 
-// hear notes that a message came from its sender. It returns false where the sender,
-// or its present incarnation, is not known.
-func (p *protocol) hear(from netip.AddrPort, sender *membershippb.Sender) bool {
-	held := p.records[NodeID(sender.GetId())]
+// noteSender records that a message arrived from its sender. It returns false if the sender or its
+// incarnation is not known.
+func (p *protocol) noteSender(from netip.AddrPort, sender *membershippb.Sender) bool {
+	member := p.records[NodeID(sender.GetId())]
 	switch {
-	case held == nil:
+	case member == nil:
 		return false
-	case held == p.self:
+	case member == p.self:
 		return true
-	case sender.GetIncarnation() > held.Incarnation:
-		// It lives, whatever was suspected of its earlier incarnation.
-		held.lastHeard = p.now
+	case sender.GetIncarnation() > member.Incarnation:
+		// The node is alive, whatever was suspected of its earlier incarnation.
+		member.lastHeard = p.now
 		return false
-	case sender.GetIncarnation() < held.Incarnation:
-		// An old message, or a node whose clock went back over its restart: it must
-		// learn which incarnation to exceed.
-		p.sendRecords(from, []*record{held})
+	case sender.GetIncarnation() < member.Incarnation:
+		// An old message, or a node whose clock went back across its restart: it must learn which
+		// incarnation to exceed.
+		p.sendRecords(from, []*record{member})
 		return true
 	}
-	held.lastHeard = p.now
-	p.learnRevisions(held, Revisions{Configuration: sender.GetConfigRevision(), Replicas: sender.GetReplicasRevision()})
-	if held.State == Dead && !held.left {
-		p.sendRecords(from, []*record{held})
+	member.lastHeard = p.now
+	p.learnRevisions(member, Revisions{Configuration: sender.GetConfigRevision(), Replicas: sender.GetReplicasRevision()})
+	if member.State == Dead && !member.left {
+		p.sendRecords(from, []*record{member})
 	}
 	return true
 }
 
-// learnRevisions keeps the highest revisions heard of in one incarnation.
-func (p *protocol) learnRevisions(held *record, heard Revisions) {
-	newest := held.Revisions.Join(heard)
-	if newest != held.Revisions {
-		held.Revisions = newest
-		p.changed = true
+// learnRevisions raises a member's revisions to those heard in the same incarnation.
+func (p *protocol) learnRevisions(member *record, heard Revisions) {
+	newest := member.Revisions.Join(heard)
+	if newest != member.Revisions {
+		member.Revisions = newest
+		p.viewChanged = true
 	}
 }
 
-// setStore changes this node's own attributes, which takes a new incarnation.
+// setStore changes the store attributes of this node, which requires a new incarnation.
 func (p *protocol) setStore(incarnation string) {
 	if p.self.StoreIncarnation == incarnation && p.self.Store {
 		return
@@ -233,17 +234,17 @@
 	p.publishNow()
 }
 
-// stop tells the others at once that this node is gone, so that nobody waits for it.
+// stop announces that this node is gone, so that the others need not detect it.
 func (p *protocol) stop() {
 	p.self.State = Dead
 	p.self.left = true
 	p.announceSelf()
 }
 
-// announceSelf tells the own zone and a sample of the others at once, and passes the
-// news on from then.
+// announceSelf sends this node's record to all members of its zone and a sample of each other zone,
+// and queues it as news.
 func (p *protocol) announceSelf() {
-	p.stale, p.changed, p.urgent = true, true, true
+	p.indexStale, p.viewChanged, p.publishUrgent = true, true, true
 	p.news.add(p.self.ID)
 	own := []*record{p.self}
 	index := p.lookup()
@@ -260,26 +261,26 @@
 	}
 }
 
-// publish gives readers a new view where something changed: at once where somebody
-// leaves or died, after a while for all else.
+// publish publishes a changed view: at once if the change is urgent, else once PublishPeriod is
+// over.
 func (p *protocol) publish() {
-	if p.changed && (p.urgent || !p.now.Before(p.nextPublish)) {
+	if p.viewChanged && (p.publishUrgent || !p.now.Before(p.nextPublish)) {
 		p.publishNow()
 	}
 }
 
 func (p *protocol) publishNow() {
-	p.changed, p.urgent = false, false
-	p.published = len(p.sorted)
+	p.viewChanged, p.publishUrgent = false, false
+	p.publishedMembers = len(p.sorted)
 	p.nextPublish = p.now.Add(p.timing.PublishPeriod)
 	p.version++
 	view := &View{Self: p.self.ID, Version: p.version, Members: make([]Member, 0, len(p.sorted))}
-	for _, held := range p.sorted {
-		member := held.Member
-		if held.leaving && member.State == Suspect || member.State == Alive && p.listedLeaving[held.ID] {
-			member.State = Leaving
+	for _, member := range p.sorted {
+		shown := member.Member
+		if member.leaving && shown.State == Suspect || shown.State == Alive && p.listedLeaving[member.ID] {
+			shown.State = Leaving
 		}
-		view.Members = append(view.Members, member)
+		view.Members = append(view.Members, shown)
 	}
 	p.actions = append(p.actions, publishAction{view: view})
 }
--- a/internal/membership/protocol_test.go
+++ b/internal/membership/protocol_test.go
@@ -14,12 +14,12 @@
 const (
 	simulatedNodes = 5
 	simulatedZones = 2
-	// healTime is what the survivors of any faults have to agree again: it covers the
-	// longest backoff of a join and a death and return on top of it.
+	// healTime is how long nodes have to agree after any faults: the longest join backoff plus a
+	// death and a return.
 	healTime = 40 * time.Second
 )
 
-// failer ends a test: of rapid or of the testing package.
+// failer is the part of rapid.T and testing.T that ends a test.
 type failer interface {
 	Fatalf(format string, arguments ...any)
 }
@@ -30,7 +30,7 @@
 	now    time.Time
 	nodes  []*simulatedNode
 	queue  []simulatedMessage
-	random *rand.Rand // from a drawn seed
+	random *rand.Rand // seeded by a drawn value
 	faulty bool
 	loss   int // percent
 }
@@ -39,9 +39,9 @@
 	member   Member
 	protocol *protocol // nil while the node is down
 	paused   bool
-	highest  uint64           // highest own incarnation ever
-	revision int64            // highest own revision of this life
-	reported map[uint64]int64 // highest own revision ever by incarnation, over all lives that had it
+	highest  uint64           // highest incarnation that the node ever had
+	revision int64            // highest revision of the current run
+	reported map[uint64]int64 // highest revision by incarnation, over all runs that had it
 	view     *View
 }
 
@@ -69,7 +69,7 @@
 
 func (s *simulation) start(node *simulatedNode, incarnation uint64) {
 	node.member.Incarnation = incarnation
-	// All are seeds: nodes whose every contact is gone for good can't find each other.
+	// All nodes are seeds: nodes whose contacts are all gone for good could not find each other.
 	var seeds []netip.AddrPort
 	for _, contact := range s.nodes {
 		seeds = append(seeds, contact.member.PeerAddress)
@@ -95,8 +95,8 @@
 	node.reported[own.Incarnation] = max(node.reported[own.Incarnation], own.Revisions.Configuration)
 }
 
-// advance delivers what is queued, while there are faults in another order and with
-// losses and copies, and then moves time by one tick.
+// advance delivers the queued messages, during faults reordered and with losses and duplicates, and
+// then moves time by one tick.
 func (s *simulation) advance() {
 	waiting := s.queue
 	s.queue = nil
@@ -140,32 +140,32 @@
 	}
 }
 
-// checkAlways holds in every state: only a node itself raises its incarnation and its
-// revision, and none holds itself dead.
+// checkAlways checks the invariants of every state: only a node itself raises its incarnation and
+// revision, and no node holds itself dead.
 func (s *simulation) checkAlways() {
 	for _, node := range s.nodes {
 		if node.protocol == nil {
 			continue
 		}
 		if node.protocol.self.State == Dead {
-			s.t.Fatalf("%s holds itself dead", node.member.ID)
+			s.t.Fatalf("%s: own state is Dead", node.member.ID)
 		}
 		for _, other := range s.nodes {
-			held := node.protocol.records[other.member.ID]
-			if held == nil {
+			member := node.protocol.records[other.member.ID]
+			if member == nil {
 				continue
 			}
-			if held.Incarnation > other.highest {
-				s.t.Fatalf("%s holds %s at incarnation %d, highest was %d", node.member.ID, other.member.ID, held.Incarnation, other.highest)
+			if member.Incarnation > other.highest {
+				s.t.Fatalf("%s holds %s at incarnation %d, highest was %d", node.member.ID, other.member.ID, member.Incarnation, other.highest)
 			}
-			if highest := other.reported[held.Incarnation]; held.Revisions.Configuration > highest {
-				s.t.Fatalf("%s holds %s at incarnation %d and revision %d, highest was %d", node.member.ID, other.member.ID, held.Incarnation, held.Revisions.Configuration, highest)
+			if highest := other.reported[member.Incarnation]; member.Revisions.Configuration > highest {
+				s.t.Fatalf("%s holds %s at incarnation %d and revision %d, highest was %d", node.member.ID, other.member.ID, member.Incarnation, member.Revisions.Configuration, highest)
 			}
 		}
 	}
 }
 
-// fault makes one drawn fault or change.
+// fault applies one drawn fault or change.
 func (s *simulation) fault(t *rapid.T) {
 	node := rapid.SampledFrom(s.nodes).Draw(t, "node")
 	switch kind := rapid.SampledFrom([]string{"crash", "start", "clock back", "pause", "resume", "leave", "store", "revision"}).Draw(t, "fault"); {
@@ -212,8 +212,8 @@
 	})
 }
 
-// TestLifeUnderTheIncarnationOfAFormerOne: a clock that went back gives a node the
-// incarnation of a former life, whose revisions others hold until the node learns of it.
+// A node whose clock went back may restart with an incarnation that it had before. Others then hold
+// revisions of the earlier run until the node learns of that incarnation and exceeds it.
 func TestLifeUnderTheIncarnationOfAFormerOne(t *testing.T) {
 	for _, raised := range []bool{false, true} {
 		s := newSimulation(t, 0)
@@ -235,24 +235,25 @@
 	}
 }
 
-// checkHealed: all that run hold each other as they are, and nobody else alive.
+// checkHealed checks that all running nodes hold each other in their actual state, and hold no
+// other node alive.
 func (s *simulation) checkHealed() {
 	for _, observer := range s.nodes {
 		if observer.protocol == nil {
 			continue
 		}
 		for _, subject := range s.nodes {
-			held, present := observer.view.Find(subject.member.ID)
+			member, present := observer.view.Find(subject.member.ID)
 			if subject.protocol == nil {
-				if present && held.State != Dead {
-					s.t.Fatalf("%s holds %s %s, it is down", observer.member.ID, subject.member.ID, held.State)
+				if present && member.State != Dead {
+					s.t.Fatalf("%s holds %s %s, it is down", observer.member.ID, subject.member.ID, member.State)
 				}
 				continue
 			}
 			own := subject.protocol.self
-			if !present || held.State != own.State || held.Incarnation != own.Incarnation ||
-				held.StoreIncarnation != own.StoreIncarnation || held.Revisions != own.Revisions {
-				s.t.Fatalf("%s holds %+v, it is %+v", observer.member.ID, held, own.Member)
+			if !present || member.State != own.State || member.Incarnation != own.Incarnation ||
+				member.StoreIncarnation != own.StoreIncarnation || member.Revisions != own.Revisions {
+				s.t.Fatalf("%s holds %+v, it is %+v", observer.member.ID, member, own.Member)
 			}
 		}
 	}
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -10,27 +10,29 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// zoneKey names a zone of a region in digests.
+// zoneKey identifies a zone of a region in digests.
 type zoneKey uint32
 
-// record is what the protocol holds of another member, or of itself.
+// record is the protocol's state of a member, or of this node.
 type record struct {
 	Member
 	zone zoneKey
-	// idHash places the member on its zone's ring and names it in summaries.
+	// idHash is the member's position on its zone's ring; its lower 32 bits identify the member in
+	// summaries.
 	idHash uint64
-	// leaving: the member said so in this incarnation, whatever is suspected since.
+	// leaving reports whether the member announced in this incarnation that it leaves, even if it
+	// is suspected since.
 	leaving bool
-	// left: the member itself said that it stops.
+	// left reports whether the member itself announced its stop.
 	left bool
-	// lastHeard is when the member itself, in this incarnation, was last heard.
+	// lastHeard is when this node last heard from the member itself in this incarnation.
 	lastHeard time.Time
-	// Set while State is Suspect: since when it is silent, when the suspicion was
-	// taken on, and when it is declared dead.
-	silentSince time.Time
-	suspectedAt time.Time
-	deadline    time.Time
-	askedAgain  bool // the last question before deadline went out
+	// Set while State is Suspect: since when the member is silent, when the suspicion began, and
+	// when the member is declared dead.
+	silentSince   time.Time
+	suspectedAt   time.Time
+	deadline      time.Time
+	finalPingSent bool // the ping shortly before deadline was sent
 	// diedAt is set while State is Dead.
 	diedAt time.Time
 }
@@ -48,7 +50,8 @@
 	return zoneKey(xxhash.Sum64String(region + "/" + zone))
 }
 
-// stateHash covers what digests compare: suspicion is left out, as it passes.
+// stateHash returns the hash of the state that digests compare. Suspicion is left out because it is
+// transient.
 func (r *record) stateHash() uint64 {
 	var bytes [17]byte
 	binary.LittleEndian.PutUint64(bytes[:], r.idHash)
@@ -59,13 +62,13 @@
 	return xxhash.Sum64(bytes[:])
 }
 
-// key names the member in summaries.
+// key identifies the member in summaries.
 func (r *record) key() uint32 { return uint32(r.idHash) }
 
-// summary is the member's entry in a ZoneSummary.
+// summary returns the member's entry in a ZoneSummary.
 func (r *record) summary() uint64 { return uint64(r.key())<<32 | r.stateHash()&0xffffffff }
 
-// encode returns the record as news at time now.
+// encode returns the record's wire form at time now.
 func (r *record) encode(now time.Time) *membershippb.Record {
 	wire := &membershippb.Record{Id: string(r.ID), Incarnation: r.Incarnation}
 	switch r.State {
@@ -93,14 +96,14 @@
 	return wire
 }
 
-// decodeMember reads an alive or leaving member; false where the record is not valid.
+// decodeMember decodes an alive or leaving member. It returns false if the record is invalid.
 func decodeMember(wire *membershippb.Record) (Member, bool) {
 	attributes := wire.GetAttributes()
 	peer, valid := decodeAddress(attributes.GetPeerAddress())
 	if !valid || wire.GetId() == "" {
 		return Member{}, false
 	}
-	// A node without an admin address is a member all the same.
+	// A node without an admin address is a valid member.
 	admin, _ := decodeAddress(attributes.GetAdminAddress())
 	member := Member{
 		ID:               NodeID(wire.GetId()),
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -20,49 +20,51 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// eventQueue bounds events that wait for the control goroutine; messages past it are lost.
-const eventQueue = 4096
+// eventQueueSize bounds the events that wait for the control goroutine; messages that exceed it are
+// dropped.
+const eventQueueSize = 4096
 
-// Options of a Service.
+// Options configures a Service.
 type Options struct {
-	// Self is this node. Its Incarnation must exceed that of earlier starts.
+	// Self is this node. Its Incarnation must exceed those of earlier starts.
 	Self Member
-	// Seeds are peer addresses to join through.
+	// Seeds are the peer addresses to join through.
 	Seeds  []netip.AddrPort
 	Timing Timing
-	// RandomSeed drives the choice of whom to probe.
+	// RandomSeed seeds the random choices of the protocol.
 	RandomSeed uint64
 }
 
-// Network is what the service needs of the transport.
+// Network is the part of the transport that the service uses.
 type Network interface {
 	transport.Caller
 	transport.Registrar
 }
 
-// Service runs the protocol on one goroutine. It is safe for concurrent use.
+// Service runs the protocol on one control goroutine. It is safe for concurrent use.
 type Service struct {
 	options  Options
 	network  Network
 	machines platform.MachineList
 	logger   zerolog.Logger
 	metrics  *metrics
-	// changes belongs to the control goroutine.
-	changes *changeLog
-
-	view   atomic.Pointer[View]
-	busy   atomic.Int64
-	lost   atomic.Int64
-	events chan event
-	// settled is closed when the control goroutine has ended.
-	settled chan struct{}
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	// changeLog is used by the control goroutine only.
+	changeLog *changeLog
+
+	view            atomic.Pointer[View]
+	busyNanos       atomic.Int64
+	droppedMessages atomic.Int64
+	events          chan event
+	// stopped is closed when the control goroutine has ended.
+	stopped    chan struct{}
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
 	subscribers subscription.List[*View]
 }
 
-// New returns a service and registers its handlers; machines may be nil.
+// New returns a service and registers its handlers. A nil machines disables reading of the machine
+// list.
 func New(
 	options Options,
 	network Network,
@@ -80,60 +82,60 @@
 		machines: machines,
 		logger:   logger.With().Str(logging.FieldSlice, "membership").Logger(),
 		metrics:  metrics,
-		events:   make(chan event, eventQueue),
-		settled:  make(chan struct{}),
+		events:   make(chan event, eventQueueSize),
+		stopped:  make(chan struct{}),
 	}
-	service.changes = newChangeLog(service.logger)
+	service.changeLog = newChangeLog(service.logger)
 	service.view.Store(&View{Self: options.Self.ID, Members: []Member{options.Self}})
-	service.handle(methodPing, func() proto.Message { return &membershippb.Ping{} })
-	service.handle(methodAck, func() proto.Message { return &membershippb.Ack{} })
-	service.handle(methodProbeRequest, func() proto.Message { return &membershippb.ProbeRequest{} })
-	service.handle(methodDigest, func() proto.Message { return &membershippb.Digest{} })
-	service.handle(methodSummary, func() proto.Message { return &membershippb.Summary{} })
-	service.handle(methodRecords, func() proto.Message { return &membershippb.Records{} })
+	service.registerHandler(methodPing, func() proto.Message { return &membershippb.Ping{} })
+	service.registerHandler(methodAck, func() proto.Message { return &membershippb.Ack{} })
+	service.registerHandler(methodProbeRequest, func() proto.Message { return &membershippb.ProbeRequest{} })
+	service.registerHandler(methodDigest, func() proto.Message { return &membershippb.Digest{} })
+	service.registerHandler(methodSummary, func() proto.Message { return &membershippb.Summary{} })
+	service.registerHandler(methodRecords, func() proto.Message { return &membershippb.Records{} })
 	return service, nil
 }
 
-func (s *Service) handle(method transport.Method, newMessage func() proto.Message) {
+func (s *Service) registerHandler(method transport.Method, newMessage func() proto.Message) {
 	s.network.Handle(method, newMessage, func(_ context.Context, from netip.AddrPort, message proto.Message) (proto.Message, error) {
 		select {
 		case s.events <- messageEvent{from: from, message: message}:
 		default:
-			s.lost.Add(1)
+			s.droppedMessages.Add(1)
 		}
 		return nil, nil
 	})
 }
 
-// Start begins to probe and to join. It returns at once.
+// Start starts joining and probing, and returns at once.
 func (s *Service) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
-	s.running.Go(func() { s.control(ctx) })
+	s.goroutines.Go(func() { s.run(ctx) })
 	if s.machines != nil {
-		s.running.Go(func() { s.readList(ctx) })
+		s.goroutines.Go(func() { s.pollMachineList(ctx) })
 	}
 }
 
-// Stop tells the others that this node is gone and ends the service.
+// Stop announces to the others that this node is gone, and ends the service.
 func (s *Service) Stop() {
 	if s.stop == nil {
 		return
 	}
 	s.submit(stopEvent{})
 	s.stop()
-	s.running.Wait()
+	s.goroutines.Wait()
 }
 
-// Kill ends the service without a word to the others, as a crash would.
+// Kill ends the service without notifying the others, as a crash would.
 func (s *Service) Kill() {
 	if s.stop != nil {
 		s.stop()
-		s.running.Wait()
+		s.goroutines.Wait()
 	}
 }
 
-// View returns the present view.
+// View returns the current view.
 func (s *Service) View() *View { return s.view.Load() }
 
 // Subscribe calls notify after each change of the view, on the control goroutine.
@@ -141,12 +143,13 @@
 	return s.subscribers.Add(notify)
 }
 
-// Leave spreads that this node is leaving. It returns when the first nodes were told.
+// Leave announces that this node is leaving. It returns once the announcement was sent to the first
+// nodes, or with the error of ctx.
 func (s *Service) Leave(ctx context.Context) error {
 	done := make(chan struct{})
 	select {
 	case s.events <- signalEvent{event: leaveEvent{}, done: done}:
-	case <-s.settled:
+	case <-s.stopped:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -154,77 +157,78 @@
 	select {
 	case <-done:
 		return nil
-	case <-s.settled:
+	case <-s.stopped:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// SetStore spreads the incarnation of this node's store.
+// SetStore announces the incarnation of this node's store.
 func (s *Service) SetStore(incarnation string) { s.submit(storeEvent{incarnation: incarnation}) }
 
-// SetConfigRevision spreads the configuration revision in force on this node.
+// SetConfigRevision announces the configuration revision in force on this node.
 func (s *Service) SetConfigRevision(revision int64) {
 	s.submit(revisionEvent{revisions: Revisions{Configuration: revision}})
 }
 
-// SetReplicasRevision spreads the revision of the newest change to the list of replicas that this node knows.
+// SetReplicasRevision announces the revision of the newest change to the list of replicas that this
+// node knows.
 func (s *Service) SetReplicasRevision(revision int64) {
 	s.submit(revisionEvent{revisions: Revisions{Replicas: revision}})
 }
 
-// AddContact names a node through which this one can join the others while it knows nobody.
+// AddContact adds the address of a node to join through while this node knows no other member.
 func (s *Service) AddContact(address netip.AddrPort) { s.submit(contactEvent{address: address}) }
 
-// Busy is the time that the control goroutine spent on events so far.
-func (s *Service) Busy() time.Duration { return time.Duration(s.busy.Load()) }
+// Busy returns the total time that the control goroutine has spent on events.
+func (s *Service) Busy() time.Duration { return time.Duration(s.busyNanos.Load()) }
 
-// signalEvent wraps an event whose submitter waits until its actions were done.
+// signalEvent wraps an event whose submitter waits until its actions are done.
 type signalEvent struct {
 	event
 	done chan struct{}
 }
 
-// submit hands over an event of this node itself, which must not be lost. Before the
-// start and after the end of the service it waits in the queue or is dropped.
+// submit queues a local event, which must not be dropped; it blocks while the queue is full. Events
+// submitted before the start wait in the queue; those submitted after the end are ignored.
 func (s *Service) submit(input event) {
 	select {
 	case s.events <- input:
-	case <-s.settled:
+	case <-s.stopped:
 	}
 }
 
-// control owns the protocol.
-func (s *Service) control(ctx context.Context) {
-	defer close(s.settled)
+// run creates the protocol and processes its events until ctx ends.
+func (s *Service) run(ctx context.Context) {
+	defer close(s.stopped)
 	protocol := newProtocol(s.options.Self, s.options.Seeds, s.options.Timing, s.options.RandomSeed)
 	ticker := time.NewTicker(s.options.Timing.Tick)
 	defer ticker.Stop()
-	s.take(protocol, tickEvent{})
+	s.process(protocol, tickEvent{})
 	for {
 		select {
 		case input := <-s.events:
-			s.take(protocol, input)
+			s.process(protocol, input)
 		case <-ticker.C:
 			now := clock.Now()
-			s.take(protocol, tickEvent{})
-			s.changes.tick(now)
+			s.process(protocol, tickEvent{})
+			s.changeLog.tick(now)
 		case <-ctx.Done():
-			s.finish(protocol)
-			s.changes.flush()
+			s.drain(protocol)
+			s.changeLog.flush()
 			return
 		}
 	}
 }
 
-// finish takes what was submitted before the stop, the stop event among it.
-func (s *Service) finish(protocol *protocol) {
+// drain processes the local events, such as a stop, that were submitted before ctx ended.
+func (s *Service) drain(protocol *protocol) {
 	for {
 		select {
 		case input := <-s.events:
 			if _, isMessage := input.(messageEvent); !isMessage {
-				s.take(protocol, input)
+				s.process(protocol, input)
 			}
 		default:
 			return
@@ -232,7 +236,7 @@
 	}
 }
 
-func (s *Service) take(protocol *protocol, input event) {
+func (s *Service) process(protocol *protocol, input event) {
 	started := clock.Now()
 	signal, waited := input.(signalEvent)
 	if waited {
@@ -240,21 +244,21 @@
 		defer close(signal.done)
 	}
 	for _, output := range protocol.step(started, input) {
-		s.do(output)
+		s.execute(output)
 	}
-	s.busy.Add(int64(clock.Since(started)))
+	s.busyNanos.Add(int64(clock.Since(started)))
 }
 
-func (s *Service) do(output action) {
+func (s *Service) execute(output action) {
 	switch typed := output.(type) {
 	case sendAction:
-		// Best effort: the protocol lives with loss.
+		// Errors are ignored: the protocol tolerates lost messages.
 		_ = s.network.Send(typed.to, typed.method, typed.message)
 	case publishAction:
 		s.publish(typed.view)
 	case changeAction:
 		s.metrics.changes.WithLabelValues(string(typed.kind)).Inc()
-		s.changes.take(typed, clock.Now())
+		s.changeLog.add(typed, clock.Now())
 	}
 }
 
@@ -264,11 +268,11 @@
 	s.subscribers.Notify(view)
 }
 
-// readList reads the machine list now and then; while it is down, seeds and own
-// evidence carry on.
-func (s *Service) readList(ctx context.Context) {
+// pollMachineList reads the machine list periodically while it is needed. While the list is
+// unavailable, seeds and the protocol's own observations are used.
+func (s *Service) pollMachineList(ctx context.Context) {
 	failing := false
-	for s.needsList(ctx) {
+	for s.awaitListNeeded(ctx) {
 		listing, err := s.machines.List(ctx)
 		switch {
 		case err == nil:
@@ -284,25 +288,27 @@
 	}
 }
 
-// needsList returns at once where this node finds others by the list, and else, where it joins through its seeds, once it has known nobody
-// alive for JoinFirst: the list of many nodes, read by each of them, is long. It returns false when ctx ends.
-func (s *Service) needsList(ctx context.Context) bool {
-	patience := s.options.Timing.JoinFirst
-	if len(s.options.Seeds) == 0 || patience == 0 {
+// awaitListNeeded waits until this node needs the machine list. That is at once without seeds or
+// JoinFirst; otherwise it is once the node has known no live member for JoinFirst, because the list
+// of a large fleet is long and each node would read it. It returns false when ctx ends.
+func (s *Service) awaitListNeeded(ctx context.Context) bool {
+	joinFirst := s.options.Timing.JoinFirst
+	if len(s.options.Seeds) == 0 || joinFirst == 0 {
 		return ctx.Err() == nil
 	}
-	for alone := time.Duration(0); alone < patience; {
-		if !pause.Sleep(ctx, aloneCheck) {
+	for isolated := time.Duration(0); isolated < joinFirst; {
+		if !pause.Sleep(ctx, joinCheckInterval) {
 			return false
 		}
-		if alone += aloneCheck; s.View().OthersAlive() {
-			alone = 0
+		if isolated += joinCheckInterval; s.View().OthersAlive() {
+			isolated = 0
 		}
 	}
 	return true
 }
 
-// listPeriod keeps the reads of a long list within their bytes once others are known.
+// listPeriod returns the period for reading a list of the given length. Once other members are
+// known, reads stay within ListBytesPerSecond on average.
 func (s *Service) listPeriod(machines int) time.Duration {
 	timing := s.options.Timing
 	if len(s.View().Members) < 2 || timing.ListBytesPerSecond == 0 {
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -56,7 +56,7 @@
 		c.setLoss(0.05)
 		time.Sleep(2 * time.Minute)
 		if dead := deaths(); len(dead) > 0 {
-			t.Fatalf("declared dead under loss: %v", dead)
+			t.Fatalf("nodes declared dead under 5%% loss: %v", dead)
 		}
 	})
 }
@@ -75,12 +75,12 @@
 			time.Sleep(1370 * time.Millisecond)
 		}
 		if dead := deaths(); len(dead) > 0 {
-			t.Fatalf("declared dead in a pause: %v", dead)
+			t.Fatalf("nodes declared dead after pauses of 2 s: %v", dead)
 		}
 	})
 }
 
-// Where all are slow at once, suspicions must not feed on the load that they make.
+// If all nodes are slow at once, the load of suspicions must not cause further suspicions.
 func TestSlownessOfAllKillsNobodyAndPasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 70, 7, 3, 11)
@@ -92,7 +92,7 @@
 		c.setSlow(0)
 		t.Logf("all alive again after %s", c.awaitAll(5*time.Second))
 		if dead := deaths(); len(dead) > 0 {
-			t.Fatalf("%d times declared dead while all were slow, first %s", len(dead), dead[0])
+			t.Fatalf("%d reports of dead nodes while all were slow, first %s", len(dead), dead[0])
 		}
 	})
 }
@@ -208,8 +208,8 @@
 		c := newCluster(t, 6, 3, 1, 10)
 		defer c.stopAll()
 		c.awaitAll(10 * time.Second)
-		// The list still names a dead machine, does not name a live one yet, and says
-		// of a third that it is leaving.
+		// The list still names a dead machine, does not name a live one yet, and lists a third one
+		// as leaving.
 		late := c.nodes[5]
 		late.service.Kill()
 		late.transport.Stop()
@@ -231,7 +231,7 @@
 	})
 }
 
-// countedList counts how often a list is read.
+// countedList counts the reads of a machine list.
 type countedList struct {
 	fixedList
 	reads atomic.Int64
@@ -242,10 +242,11 @@
 	return l.fixedList.List(ctx)
 }
 
-// TestNodeThatJoinsThroughSeedsReadsNoList, however long it runs, so that many nodes do not read as many entries each; one that reaches nobody
-// reads it after its patience, whether it has never joined or is cut off later.
+// A node that joins through its seeds never reads the machine list, so that the nodes of a large
+// fleet do not all read as many entries. A node that reaches no other member reads it after
+// JoinFirst, whether it has not joined yet or is cut off later.
 func TestNodeThatJoinsThroughSeedsReadsNoList(t *testing.T) {
-	const patience = time.Second
+	const joinFirst = time.Second
 	for name, cutOff := range map[string]bool{"seeds answer": false, "nobody answers at first": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -255,20 +256,20 @@
 				list := &countedList{fixedList: fixedList{platform.MachineListing{Machines: []platform.Machine{
 					{ID: "node-002", Role: platform.RoleNode, State: platform.MachineLive, Address: c.nodes[2].member.PeerAddress},
 				}}}}
-				c.machines, c.joinFirst = list, patience
+				c.machines, c.joinFirst = list, joinFirst
 				observer := c.nodes[5]
 				c.kill(observer)
 				c.setCut(func(from, to *clusterNode) bool { return cutOff && (from == observer || to == observer) })
 				c.start(observer)
-				time.Sleep(patience - aloneCheck/2)
+				time.Sleep(joinFirst - joinCheckInterval/2)
 				if reads := list.reads.Load(); reads != 0 {
-					t.Errorf("the list was read %d times within the patience", reads)
+					t.Errorf("machine list read %d times before JoinFirst was over", reads)
 				}
-				time.Sleep(aloneCheck)
+				time.Sleep(joinCheckInterval)
 				c.setCut(func(_, _ *clusterNode) bool { return false })
 				time.Sleep(3 * time.Second)
 				if reads := list.reads.Load(); (reads > 0) != cutOff {
-					t.Errorf("the list was read %d times", reads)
+					t.Errorf("machine list read %d times after JoinFirst", reads)
 				}
 				if stateOf(observer, c.nodes[3]) != Alive {
 					t.Error("the node has not joined")
@@ -276,12 +277,12 @@
 				before := list.reads.Load()
 				time.Sleep(10 * DefaultTiming().ListPeriod)
 				if reads := list.reads.Load() - before; reads != 0 {
-					t.Errorf("the list was read %d times by a node that has joined", reads)
+					t.Errorf("machine list read %d times by a node that has joined", reads)
 				}
 				c.setCut(func(from, to *clusterNode) bool { return from == observer || to == observer })
 				time.Sleep(4*DefaultTiming().ListPeriod + healTime)
 				if list.reads.Load() == before {
-					t.Error("the list was not read by a node that is cut off from all")
+					t.Error("machine list not read by a node that is cut off from all others")
 				}
 			})
 		})
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -9,11 +9,13 @@
 	membershippb "github.com/sloelift/sloelift/api/proto/membership"
 )
 
-// TestLongestSilenceDecidesADeath guards the time in which a death is known: a node whose own probe failed later than that of another declares it with the others.
+// Guards the bound on the time in which a death is known: a node whose own probe failed later than
+// that of another must declare the death at the same time as the others.
 func TestLongestSilenceDecidesADeath(t *testing.T) {
 	timing := DefaultTiming()
 	for name, test := range map[string]struct {
-		// toldAt is when news of a suspicion comes, silentAt since when it says that the suspect is silent; both, and wantAt, count from the own failed probe.
+		// toldAt is when news of another node's suspicion arrives, silentAt since when the suspect
+		// is silent according to it. Both, and wantAt, count from this node's own failed probe.
 		toldAt, silentAt, wantAt time.Duration
 	}{
 		"an earlier probe":            {500 * time.Millisecond, -400 * time.Millisecond, timing.ZoneDeathAfter - 400*time.Millisecond},
@@ -24,31 +26,34 @@
 			began := time.Unix(1_000_000, 0)
 			self, victim, teller := memberOfZone(1), memberOfZone(2), memberOfZone(3)
 			tested := newProtocol(self, nil, timing, 1)
-			held := newRecord(victim)
+			member := newRecord(victim)
 			tested.now = began
-			tested.insert(held)
+			tested.insert(member)
 			tested.insert(newRecord(teller))
-			tested.suspect(held, began)
+			tested.suspect(member, began)
 			told := false
-			for now := began; held.State == Suspect; now = now.Add(timing.Tick) {
+			for now := began; member.State == Suspect; now = now.Add(timing.Tick) {
 				if !told && now.Sub(began) >= test.toldAt {
 					told = true
 					silence := now.Sub(began.Add(test.silentAt))
-					news := &membershippb.Record{Id: string(victim.ID), Incarnation: victim.Incarnation, State: membershippb.State_STATE_SUSPECT, SilentMillis: uint32(silence.Milliseconds())}
+					news := &membershippb.Record{
+						Id: string(victim.ID), Incarnation: victim.Incarnation,
+						State: membershippb.State_STATE_SUSPECT, SilentMillis: uint32(silence.Milliseconds()),
+					}
 					tested.step(now, messageEvent{from: teller.PeerAddress, message: &membershippb.Ping{
 						Sender: &membershippb.Sender{Id: string(teller.ID), Incarnation: teller.Incarnation}, News: []*membershippb.Record{news},
 					}})
 				}
 				tested.step(now, tickEvent{})
 			}
-			if at := held.diedAt.Sub(began); held.State != Dead || at < test.wantAt || at > test.wantAt+timing.Tick {
-				t.Errorf("%s after %s, want dead after %s", held.State, at, test.wantAt)
+			if at := member.diedAt.Sub(began); member.State != Dead || at < test.wantAt || at > test.wantAt+timing.Tick {
+				t.Errorf("state %s after %s, want dead after %s", member.State, at, test.wantAt)
 			}
 		})
 	}
 }
 
-// memberOfZone returns a member of one zone.
+// memberOfZone returns a member of a fixed zone.
 func memberOfZone(number int) Member {
 	made := newSimulation(nil, 0).nodes[0].member
 	made.ID = NodeID(fmt.Sprint("member-", number))
@@ -56,7 +61,7 @@
 	return made
 }
 
-// TestDeadNodeIsKnownInTimeWhateverTheSeed is TestDeadNodeIsKnownInTime with other networks and other victims.
+// Repeats the zone part of TestDeadNodeIsKnownInTime with other network seeds and other victims.
 func TestDeadNodeIsKnownInTimeWhateverTheSeed(t *testing.T) {
 	const kills = 8
 	for seed := uint64(100); seed < 104; seed++ {
