--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -104,9 +104,9 @@
 	for _, address := range p.listed {
 		add(address)
 	}
-	for _, member := range p.records {
-		if member.State == Dead && !member.left {
-			add(member.PeerAddress)
+	for _, known := range p.records {
+		if known.State == Dead && !known.left {
+			add(known.PeerAddress)
 		}
 	}
 	sortAddresses(candidates)
@@ -238,8 +238,8 @@
 				continue
 			}
 			wanted = append(wanted, key)
-			if member := dead[key]; member != nil {
-				differing = append(differing, member)
+			if known := dead[key]; known != nil {
+				differing = append(differing, known)
 			}
 		}
 	}
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -109,12 +109,12 @@
 			fleet, joiner := joinFleet(members)
 			own := joinMember(members - 1)
 			seed := fleet.nodes[joinMember(members-2).PeerAddress]
-			for _, member := range seed.records {
-				if member.Zone != own.Zone {
+			for _, known := range seed.records {
+				if known.Zone != own.Zone {
 					continue
 				}
-				if delete(fleet.nodes, member.PeerAddress); alone {
-					seed.declareDead(member, changeDead)
+				if delete(fleet.nodes, known.PeerAddress); alone {
+					seed.declareDead(known, changeDead)
 				}
 			}
 			if !alone {
@@ -128,8 +128,8 @@
 			fleet.to = joiner.self.PeerAddress
 			fleet.step(joiner, tickEvent{})
 			others := 0
-			for _, member := range joiner.records {
-				if member.Zone != own.Zone {
+			for _, known := range joiner.records {
+				if known.Zone != own.Zone {
 					others++
 				}
 			}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -48,8 +48,8 @@
 	machines platform.MachineList
 	logger   zerolog.Logger
 	metrics  *metrics
-	// changeLog is used by the control goroutine only.
-	changeLog *changeLog
+	// memberChanges is used by the control goroutine only.
+	memberChanges *changeLog
 
 	view            atomic.Pointer[View]
 	busyNanos       atomic.Int64
@@ -85,7 +85,7 @@
 		events:   make(chan event, eventQueueSize),
 		stopped:  make(chan struct{}),
 	}
-	service.changeLog = newChangeLog(service.logger)
+	service.memberChanges = newChangeLog(service.logger)
 	service.view.Store(&View{Self: options.Self.ID, Members: []Member{options.Self}})
 	service.registerHandler(methodPing, func() proto.Message { return &membershippb.Ping{} })
 	service.registerHandler(methodAck, func() proto.Message { return &membershippb.Ack{} })
@@ -213,10 +213,10 @@
 		case <-ticker.C:
 			now := clock.Now()
 			s.process(protocol, tickEvent{})
-			s.changeLog.tick(now)
+			s.memberChanges.tick(now)
 		case <-ctx.Done():
 			s.drain(protocol)
-			s.changeLog.flush()
+			s.memberChanges.flush()
 			return
 		}
 	}
@@ -258,7 +258,7 @@
 		s.publish(typed.view)
 	case changeAction:
 		s.metrics.changes.WithLabelValues(string(typed.kind)).Inc()
-		s.changeLog.add(typed, clock.Now())
+		s.memberChanges.add(typed, clock.Now())
 	}
 }
 
