--- a/internal/roster/codec.go
+++ b/internal/roster/codec.go
@@ -10,16 +10,28 @@
 
 func encode(info replica.Info) *rosterpb.Replica {
 	return &rosterpb.Replica{
-		Id: info.ID, Born: info.Born, Service: info.Service, Zone: info.Zone, Address: info.Address.String(), Slots: uint32(info.Slots),
-		Draining: info.Draining, ColdForMicros: info.ColdFor.Microseconds(),
+		Id:            info.ID,
+		Born:          info.Born,
+		Service:       info.Service,
+		Zone:          info.Zone,
+		Address:       info.Address.String(),
+		Slots:         uint32(info.Slots),
+		Draining:      info.Draining,
+		ColdForMicros: info.ColdFor.Microseconds(),
 	}
 }
 
 func decode(message *rosterpb.Replica) (replica.Info, error) {
 	address, err := netip.ParseAddrPort(message.GetAddress())
 	return replica.Info{
-		ID: message.GetId(), Born: message.GetBorn(), Service: message.GetService(), Zone: message.GetZone(), Address: address,
-		Slots: int(message.GetSlots()), Draining: message.GetDraining(), ColdFor: time.Duration(message.GetColdForMicros()) * time.Microsecond,
+		ID:       message.GetId(),
+		Born:     message.GetBorn(),
+		Service:  message.GetService(),
+		Zone:     message.GetZone(),
+		Address:  address,
+		Slots:    int(message.GetSlots()),
+		Draining: message.GetDraining(),
+		ColdFor:  time.Duration(message.GetColdForMicros()) * time.Microsecond,
 	}, err
 }
 
@@ -35,8 +47,8 @@
 
 func decodeElsewhere(encoded []*rosterpb.ServiceSlots) map[string]int {
 	slots := make(map[string]int, len(encoded))
-	for _, each := range encoded {
-		slots[each.GetService()] = int(each.GetSlots())
+	for _, message := range encoded {
+		slots[message.GetService()] = int(message.GetSlots())
 	}
 	return slots
 }
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -19,195 +19,211 @@
 )
 
 const (
-	// holdTime is how long a relay holds a question without news; its answer then is its sign of life.
+	// holdTime is how long a relay holds a poll without changes; its empty answer then shows that
+	// it is alive.
 	holdTime = 500 * time.Millisecond
-	// answerSlack is how much longer an answer is waited for: a relay with part of a core that has just had many changes.
-	answerSlack = 400 * time.Millisecond
-	// probeTimeout bounds the first question to another relay, which does not hold it.
+	// responseMargin is how much longer than the hold an answer may take, for a relay that has
+	// little CPU and has just had many changes to process.
+	responseMargin = 400 * time.Millisecond
+	// probeTimeout bounds the first poll of another relay, which does not hold it.
 	probeTimeout = 300 * time.Millisecond
-	// alonePatience is how long after its last answer a node asks relays before it reads the whole list itself. A node that reaches others which
-	// follow relays as well waits for peersPatience: all relays were lost, and if all nodes read the whole list then, the new relays, which are
-	// known after some seconds, would not get theirs.
-	alonePatience = 3500 * time.Millisecond
-	peersPatience = 12 * time.Second
-	// roundPause is the wait after each relay was asked in vain, behindPause that before a relay is asked again that knew less than is known
-	// here, or gets no answers of the key-value service.
-	roundPause  = 150 * time.Millisecond
-	behindPause = 100 * time.Millisecond
-	// firstRelayAgain is how long after another relay stood in the first one is tried again.
-	firstRelayAgain = 5 * time.Second
-	// olderPatience is how long answers are refused that are older than what is known here: the key-value service never loses what it has
-	// acknowledged, and one that was restored from a backup is followed after this time.
-	olderPatience = 10 * time.Second
+	// noAnswerTimeout is how long after the last answer a node polls relays before it reads the
+	// whole list itself. It is noAnswerTimeoutWithPeers if the node reaches others that follow
+	// relays as well: then all relays were lost, and if all nodes read the whole list at that
+	// moment, the new relays, which are known after some seconds, would not get theirs.
+	noAnswerTimeout          = 3500 * time.Millisecond
+	noAnswerTimeoutWithPeers = 12 * time.Second
+	// roundBackoff is the delay after all relays were polled without success. behindBackoff is the
+	// delay after a relay that knew an older revision than this node, or that gets no answers of
+	// the key-value service.
+	roundBackoff  = 150 * time.Millisecond
+	behindBackoff = 100 * time.Millisecond
+	// firstRelayRetry is how long after switching to another relay the first one is tried again.
+	firstRelayRetry = 5 * time.Second
+	// olderRevisionTimeout is how long answers with an older revision than the known one are
+	// refused. The key-value service never loses an acknowledged write, and one restored from a
+	// backup is followed after this time.
+	olderRevisionTimeout = 10 * time.Second
 )
 
-// End says why a node no longer follows its part at relays.
+// End is the reason why a node no longer follows its part at relays.
 type End int
 
 const (
 	// EndStopped: the context has ended.
 	EndStopped End = iota
-	// EndShort: there are so few replicas that each node keeps all.
+	// EndShort: there are so few replicas that each node keeps all of them.
 	EndShort
-	// EndRelay: this node is a relay now.
+	// EndRelay: this node has become a relay.
 	EndRelay
 	// EndAlone: no relay answers.
 	EndAlone
 )
 
-// FollowerOptions are what a Follower needs.
+// FollowerOptions configures a Follower.
 type FollowerOptions struct {
 	Node   membership.NodeID
 	Zone   string
 	Caller transport.Caller
 	Viewer membership.Viewer
 	Keeper *Keeper
-	// Seeds are nodes to ask at the start whether the list is long; none on a node that reads the first entries itself.
+	// Seeds are the nodes to ask at the start whether the list is long. It is empty on a node that
+	// reads the first entries itself.
 	Seeds  []netip.AddrPort
 	Logger zerolog.Logger
 }
 
-// Follower follows a node's part of the list at the relays. It belongs to one goroutine, but for IsRelay, and for LongByRelay while Run does not run.
+// Follower follows a node's part of the list at the relays. It is used by one goroutine, except for
+// IsRelay, and for LongByRelay while Run is not running.
 type Follower struct {
 	options FollowerOptions
 	relays  membership.PerView[zonerelay.Relays]
 	growth  membership.Growth
 	started time.Time
 
-	// run and version name the last answer; version is 0 where the whole part is to be asked for. copied says that it was by a copy.
+	// run and version identify the last answer; version is 0 if the whole part is to be requested.
+	// copied reports whether the answer came from a saved copy of the list.
 	run, version uint64
 	copied       bool
-	// revision is the newest that an answer had, tookAt when the last answer was taken, and olderSince since when answers were older; zero
-	// where the last one was not.
-	revision   int64
-	tookAt     time.Time
-	olderSince time.Time
-	// attempt counts the relays that were given up one after another since movedAt.
-	attempt int
-	movedAt time.Time
-	// staleAnswers counts those in a row of relays that get no answers of the key-value service.
+	// revision is the highest revision of an answer, lastAnswerAt the time of the last accepted
+	// answer. olderSince is since when answers have had an older revision; zero if the last one had
+	// not.
+	revision     int64
+	lastAnswerAt time.Time
+	olderSince   time.Time
+	// attempt counts the relays given up in a row since switchedAt.
+	attempt    int
+	switchedAt time.Time
+	// staleAnswers counts the consecutive answers of relays that get no answers of the key-value
+	// service.
 	staleAnswers int
-	// began is when the present Run began.
-	began time.Time
-	// reachedAt is when a node last answered that follows relays itself, or one that has still to learn that the list is long.
-	reachedAt time.Time
+	// runStarted is when the current Run began.
+	runStarted time.Time
+	// peerAnsweredAt is when a node last answered that follows relays itself, or that has not
+	// learnt yet that the list is long.
+	peerAnsweredAt time.Time
 }
 
-// NewFollower returns a Follower that has asked nobody.
+// NewFollower returns a Follower that has not polled a relay yet.
 func NewFollower(options FollowerOptions) *Follower {
 	follower := &Follower{options: options, started: clock.Now()}
 	follower.growth.SettledFor(options.Viewer.View(), follower.started)
 	return follower
 }
 
-// edgeRelayAfter is how long after its start a node without a data folder takes itself for a relay: until then it may not know those of its
-// zone that have one.
-const edgeRelayAfter = 5 * time.Second
+// edgeRelayDelay is how long after its start a node without a data folder does not act as a relay:
+// until then it may not know the members of its zone that have a data folder.
+const edgeRelayDelay = 5 * time.Second
 
-// storeRelayAfter is the same for one with a data folder, which knows itself alone at first, and the time for which it has learnt of no further
-// nodes; longestSettling bounds that wait. Else many of those that start at once would each read the whole list.
+// storeRelayDelay is the same for a node with a data folder, which knows only itself at first, and
+// also the time for which it must have learnt of no further nodes; maxJoinWait bounds that wait.
+// Otherwise many nodes that start at once would each read the whole list.
 const (
-	storeRelayAfter = 600 * time.Millisecond
-	longestSettling = 2 * time.Second
+	storeRelayDelay = 600 * time.Millisecond
+	maxJoinWait     = 2 * time.Second
 )
 
-// IsRelay says that this node is a relay by what it knows of the others.
+// IsRelay reports whether this node is a relay according to its current view.
 func (f *Follower) IsRelay(now time.Time) bool {
 	since := now.Sub(f.started)
-	joining := f.growth.Joining(f.options.Viewer.View(), now, since, storeRelayAfter, longestSettling)
-	chosen, hasStore := f.chosen()
-	return chosen && !joining && (hasStore || since >= edgeRelayAfter)
+	joining := f.growth.Joining(f.options.Viewer.View(), now, since, storeRelayDelay, maxJoinWait)
+	chosen, hasStore := f.selfChosen()
+	return chosen && !joining && (hasStore || since >= edgeRelayDelay)
 }
 
-// MayBeRelay says that this node, which has the list already, is to keep it: it has a data folder and is a relay by as many nodes as it knows. It
-// saves those that start at once the wait for relays that know each other.
+// MayBeRelay reports whether this node, which holds the list already, should keep it: it has a data
+// folder and is a relay among the nodes known so far. It saves nodes that start at once the wait
+// until the relays know each other.
 func (f *Follower) MayBeRelay() bool {
-	chosen, hasStore := f.chosen()
+	chosen, hasStore := f.selfChosen()
 	return chosen && hasStore
 }
 
-// chosen says that this node is one of the relays by the present view, and whether it has a data folder.
-func (f *Follower) chosen() (chosen, hasStore bool) {
+// selfChosen reports whether this node is a relay in the current view, and whether it has a data
+// folder.
+func (f *Follower) selfChosen() (chosen, hasStore bool) {
 	view := f.options.Viewer.View()
 	self, found := view.Find(view.Self)
 	return found && f.relays.Of(view, zonerelay.Of).SelfIsRelay(), self.Store
 }
 
-// Run follows until there is no more reason to.
+// Run follows the relays until ctx ends or another End applies.
 func (f *Follower) Run(ctx context.Context) End {
-	f.began, f.attempt = clock.Now(), 0
+	f.runStarted, f.attempt = clock.Now(), 0
 	for ctx.Err() == nil {
 		now := clock.Now()
 		if f.IsRelay(now) {
 			return EndRelay
 		}
-		if f.isAlone(now) {
+		if f.relaysTimedOut(now) {
 			f.options.Logger.Warn().Int("attempts", f.attempt).Msg("no_relay_answers")
 			return EndAlone
 		}
 		targets := f.targets()
 		if len(targets) == 0 {
-			pause.Sleep(ctx, roundPause)
+			pause.Sleep(ctx, roundBackoff)
 			continue
 		}
-		if f.step(ctx, targets) {
+		if f.pollRelay(ctx, targets) {
 			return EndShort
 		}
 	}
 	return EndStopped
 }
 
-// isAlone says that no relay has answered for long.
-func (f *Follower) isAlone(now time.Time) bool {
-	last := f.began
-	if f.tookAt.After(last) {
-		last = f.tookAt
+// relaysTimedOut reports whether no relay has answered for too long.
+func (f *Follower) relaysTimedOut(now time.Time) bool {
+	last := f.runStarted
+	if f.lastAnswerAt.After(last) {
+		last = f.lastAnswerAt
 	}
-	patience := alonePatience
-	if f.reachedAt.After(last) {
-		patience = peersPatience
+	timeout := noAnswerTimeout
+	if f.peerAnsweredAt.After(last) {
+		timeout = noAnswerTimeoutWithPeers
 	}
-	return now.Sub(last) >= patience
+	return now.Sub(last) >= timeout
 }
 
-// step asks one relay and takes its answer; short says that each node keeps all replicas.
-func (f *Follower) step(ctx context.Context, targets []netip.AddrPort) (short bool) {
-	if f.attempt > 0 && clock.Since(f.movedAt) >= firstRelayAgain {
-		f.attempt, f.movedAt = 0, clock.Now()
+// pollRelay polls one relay and applies its answer. short reports whether the list is so short that
+// each node keeps all replicas.
+func (f *Follower) pollRelay(ctx context.Context, targets []netip.AddrPort) (short bool) {
+	if f.attempt > 0 && clock.Since(f.switchedAt) >= firstRelayRetry {
+		f.attempt, f.switchedAt = 0, clock.Now()
 	}
 	hold := holdTime
-	if f.version == 0 || f.attempt > 0 && f.movedAt.After(f.tookAt) {
+	if f.version == 0 || f.attempt > 0 && f.switchedAt.After(f.lastAnswerAt) {
 		hold = 0
 	}
 	response, err := f.askFor(ctx, targets[f.attempt%len(targets)], hold, f.acceptsStale(len(targets)))
 	switch {
 	case err != nil:
-		f.giveUp(ctx, len(targets), 0)
+		f.nextRelay(ctx, len(targets), 0)
 	case response.GetKeptElsewhere():
-		f.reachedAt = clock.Now()
-		f.giveUp(ctx, len(targets), 0)
-	case response.GetShort() && f.mayBeBehind(clock.Now()):
-		f.reachedAt = clock.Now()
-		f.giveUp(ctx, len(targets), behindPause)
+		f.peerAnsweredAt = clock.Now()
+		f.nextRelay(ctx, len(targets), 0)
+	case response.GetShort() && f.relayMayBeBehind(clock.Now()):
+		f.peerAnsweredAt = clock.Now()
+		f.nextRelay(ctx, len(targets), behindBackoff)
 	case response.GetShort():
 		return true
-	case f.isOlder(response, clock.Now()):
-		f.giveUp(ctx, len(targets), behindPause)
+	case f.refusesOlder(response, clock.Now()):
+		f.nextRelay(ctx, len(targets), behindBackoff)
 	default:
-		f.take(response)
+		f.apply(response)
 		f.afterAnswer(ctx, response.GetStale(), len(targets))
 	}
 	return false
 }
 
-// mayBeBehind says that a relay which knows a short list may still have to learn of the long one for which this node asks it. If all nodes read the store
-// again for such an answer, the relays would not get their lists.
-func (f *Follower) mayBeBehind(now time.Time) bool {
-	return f.tookAt.Before(f.began) && now.Sub(f.began) < olderPatience
+// relayMayBeBehind reports whether a relay that knows a short list may not have learnt yet of the
+// long one because of which this node polls it. If all nodes read the store again after such an
+// answer, the relays would not get their lists.
+func (f *Follower) relayMayBeBehind(now time.Time) bool {
+	return f.lastAnswerAt.Before(f.runStarted) && now.Sub(f.runStarted) < olderRevisionTimeout
 }
 
-// afterAnswer has another relay asked where this one gets no answers of the key-value service, until all have said so: then the service is down,
-// and the first relay is as good as any.
+// afterAnswer switches to the next relay if this one gets no answers of the key-value service. Once
+// all relays report that, the service itself is down, and the first relay is used.
 func (f *Follower) afterAnswer(ctx context.Context, stale bool, relays int) {
 	if !stale {
 		f.staleAnswers = 0
@@ -218,26 +234,27 @@
 		f.attempt = 0
 		return
 	}
-	f.giveUp(ctx, relays, behindPause)
+	f.nextRelay(ctx, relays, behindBackoff)
 }
 
-// acceptsStale says that all relays get no answers of the key-value service.
+// acceptsStale reports whether all relays get no answers of the key-value service.
 func (f *Follower) acceptsStale(relays int) bool { return f.staleAnswers >= relays }
 
-// giveUp has the next relay asked, after a pause.
-func (f *Follower) giveUp(ctx context.Context, relays int, wait time.Duration) {
+// nextRelay switches to the next relay after a delay of at least wait.
+func (f *Follower) nextRelay(ctx context.Context, relays int, wait time.Duration) {
 	if f.attempt == 0 {
-		f.movedAt = clock.Now()
+		f.switchedAt = clock.Now()
 	}
 	f.attempt++
 	if f.attempt%relays == 0 {
-		wait = max(wait, roundPause)
+		wait = max(wait, roundBackoff)
 	}
 	pause.Sleep(ctx, wait)
 }
 
-// isOlder says that an answer is to be refused, for it is older than what is known.
-func (f *Follower) isOlder(response *rosterpb.FollowResponse, now time.Time) bool {
+// refusesOlder reports whether an answer is to be refused because its revision is older than the
+// known one.
+func (f *Follower) refusesOlder(response *rosterpb.FollowResponse, now time.Time) bool {
 	if response.GetRevision() >= f.revision {
 		f.olderSince = time.Time{}
 		return false
@@ -245,26 +262,32 @@
 	if f.olderSince.IsZero() {
 		f.olderSince = now
 	}
-	return now.Sub(f.olderSince) < olderPatience
+	return now.Sub(f.olderSince) < olderRevisionTimeout
 }
 
-// ask puts a question to a node.
+// ask polls a node.
 func (f *Follower) ask(ctx context.Context, node netip.AddrPort, hold time.Duration) (*rosterpb.FollowResponse, error) {
 	return f.askFor(ctx, node, hold, false)
 }
 
-// askFor puts a question to a relay; acceptStale has it hold the answer though the key-value service does not answer it.
+// askFor polls a relay. With acceptStale the relay holds the poll even if it gets no answers of the
+// key-value service.
 func (f *Follower) askFor(ctx context.Context, relay netip.AddrPort, hold time.Duration, acceptStale bool) (*rosterpb.FollowResponse, error) {
 	timeout := probeTimeout
 	if hold > 0 {
-		timeout = hold + answerSlack
+		timeout = hold + responseMargin
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response := &rosterpb.FollowResponse{}
 	err := f.options.Caller.Call(bounded, relay, methodFollow, &rosterpb.FollowRequest{
-		Node: string(f.options.Node), Zone: f.options.Zone, Width: uint32(f.options.Keeper.Width(clock.Now())),
-		KnownRun: f.run, KnownVersion: f.version, HoldMicros: hold.Microseconds(), AcceptStale: acceptStale,
+		Node:         string(f.options.Node),
+		Zone:         f.options.Zone,
+		Width:        uint32(f.options.Keeper.Width(clock.Now())),
+		KnownRun:     f.run,
+		KnownVersion: f.version,
+		HoldMicros:   hold.Microseconds(),
+		AcceptStale:  acceptStale,
 	}, response)
 	if err != nil {
 		f.options.Logger.Debug().Err(err).Stringer(logging.FieldPeer, relay).Msg("relay_not_answering")
@@ -273,11 +296,11 @@
 	return response, nil
 }
 
-// take takes in an answer.
-func (f *Follower) take(response *rosterpb.FollowResponse) {
+// apply applies an answer to the keeper.
+func (f *Follower) apply(response *rosterpb.FollowResponse) {
 	replicas, err := decodeAll(response.GetReplicas())
 	if err != nil {
-		// The rest holds; what could not be read is as good as not there.
+		// The other replicas are valid; those that could not be decoded are treated as missing.
 		f.options.Logger.Error().Err(err).Msg("replicas_of_relay_not_read")
 	}
 	elsewhere := decodeElsewhere(response.GetElsewhere())
@@ -290,11 +313,12 @@
 	}
 	f.run, f.version, f.revision = response.GetRun(), response.GetVersion(), response.GetRevision()
 	if f.copied && !response.GetCopied() && !response.GetWhole() {
-		// The key-value service has confirmed the copy: the whole part is to be taken as confirmed.
+		// The key-value service has confirmed the copy: request the whole part, to replace the
+		// copied one.
 		f.version = 0
 	}
 	f.copied = response.GetCopied()
-	f.tookAt = clock.Now()
+	f.lastAnswerAt = clock.Now()
 }
 
 func decodeAll(messages []*rosterpb.Replica) (replicas []replica.Info, failures error) {
--- a/internal/roster/follower_test.go
+++ b/internal/roster/follower_test.go
@@ -17,7 +17,8 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// lateRelay knows a short list until longAt, and answers with a part of a long one until shortAt.
+// lateRelay is a relay that knows a short list until longAt, a part of a long one until shortAt,
+// and a short list again after that.
 type lateRelay struct {
 	longAt, shortAt time.Time
 	asked           int
@@ -34,7 +35,8 @@
 
 func (*lateRelay) Send(netip.AddrPort, transport.Method, proto.Message) error { return nil }
 
-// TestRelayThatIsBehindSendsNoNodeBackToTheStore guards the store against all nodes of a fleet whose list has just become long: they know it before their relays do.
+// When the list of a fleet has just become long, nodes know it before their relays do. An answer of
+// such a relay must not send all nodes to the store to read the whole list.
 func TestRelayThatIsBehindSendsNoNodeBackToTheStore(t *testing.T) {
 	const never = 24 * time.Hour
 	for name, test := range map[string]struct {
@@ -42,7 +44,7 @@
 		wantAfter             time.Duration
 	}{
 		"behind for a while, then short":  {2 * time.Second, 30 * time.Second, 30 * time.Second},
-		"the list has become short again": {never, never, olderPatience},
+		"the list has become short again": {never, never, olderRevisionTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,14 +60,14 @@
 					Keeper: NewKeeper(replica.NewDirectory()), Logger: zerolog.Nop(),
 				})
 				if end := follower.Run(t.Context()); end != EndShort {
-					t.Errorf("Run ends by %d, want EndShort", end)
+					t.Errorf("Run returned %d, want EndShort", end)
 				}
 				if after := time.Since(began); after < test.wantAfter || after > test.wantAfter+time.Second {
-					t.Errorf("Run ends after %s, want %s", after, test.wantAfter)
+					t.Errorf("Run returned after %s, want %s", after, test.wantAfter)
 				}
 				const mostPerSecond = 10
 				if most := mostPerSecond * int(test.wantAfter/time.Second); relay.asked > most {
-					t.Errorf("relays were asked %d times, %d are the most", relay.asked, most)
+					t.Errorf("relays were polled %d times, want at most %d", relay.asked, most)
 				}
 			})
 		})
--- a/internal/roster/keeper.go
+++ b/internal/roster/keeper.go
@@ -7,30 +7,31 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// Keeper keeps a node's part of the list in its directory of replicas. It is safe for concurrent use.
+// Keeper keeps a node's part of the list in its replica directory. It is safe for concurrent use.
 type Keeper struct {
 	directory *replica.Directory
 
 	mutex sync.Mutex
 	width width
-	// part is what the node is to know; passedOver are replicas that left it while they live and have requests of this node.
+	// part is the node's part of the list. passedOver are replicas that left the part while they
+	// are still listed and have requests of this node.
 	part       map[string]replica.Info
 	passedOver map[string]replica.Info
 }
 
-// NewKeeper returns a Keeper of a part that is empty so far.
+// NewKeeper returns a Keeper with an empty part.
 func NewKeeper(directory *replica.Directory) *Keeper {
 	return &Keeper{directory: directory, width: newWidth(), part: map[string]replica.Info{}, passedOver: map[string]replica.Info{}}
 }
 
-// Width returns the width of the part that the node is to have now.
+// Width returns the current width of the node's part.
 func (k *Keeper) Width(now time.Time) int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.width.next(useOf(k.directory.View(), now), now)
+	return k.width.next(measureUsage(k.directory.View(), now), now)
 }
 
-// Replace makes replicas the part. copied says that they are as they were some time ago.
+// Replace replaces the part. copied reports whether replicas come from a saved copy of the list.
 func (k *Keeper) Replace(replicas []replica.Info, elsewhere map[string]int, copied bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -47,7 +48,8 @@
 	k.publish(elsewhere, copied)
 }
 
-// Update takes in what has changed of the part: gone replicas have left the list, those passed over live and are no longer in the part.
+// Update applies changes to the part. gone replicas have left the list; passedOver replicas are
+// still listed but are no longer in the part.
 func (k *Keeper) Update(changed []replica.Info, gone, passedOver []string, elsewhere map[string]int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -71,8 +73,9 @@
 	k.publish(elsewhere, false)
 }
 
-// publish brings the part to the directory. A replica that was passed over stays there as long as it has requests of this node, so that
-// its leaving the part is not taken for its end; it gets no new ones. The mutex is held.
+// publish writes the part to the directory. A replica that was passed over stays there, without new
+// requests, while it has requests of this node, so that leaving the part is not mistaken for the
+// end of the replica. The mutex is held.
 func (k *Keeper) publish(elsewhere map[string]int, copied bool) {
 	content := make([]replica.Info, 0, len(k.part)+len(k.passedOver))
 	for _, info := range k.part {
--- a/internal/roster/keeper_test.go
+++ b/internal/roster/keeper_test.go
@@ -7,8 +7,8 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// TestPassedOverReplicaKeepsItsRequests: one that left the part while it lives and has requests of this node stays in the directory without new
-// ones, until these have ended; one that is gone leaves at once.
+// A replica that left the part while it is listed and has requests of this node stays in the
+// directory without new requests until these end. One that left the list is removed at once.
 func TestPassedOverReplicaKeepsItsRequests(t *testing.T) {
 	directory := replica.NewDirectory()
 	keeper := NewKeeper(directory)
@@ -19,22 +19,22 @@
 	gone.Acquire()
 	keeper.Update([]replica.Info{infoOf(4)}, []string{infoOf(2).ID}, []string{infoOf(1).ID}, elsewhere)
 	if directory.View().Find(infoOf(1).ID) != busy || busy.Usable() {
-		t.Error("the replica that was passed over is gone, or gets new requests")
+		t.Error("the passed-over replica was removed or still accepts requests")
 	}
 	if directory.View().Find(infoOf(2).ID) != nil || gone.Usable() {
-		t.Error("the replica that is gone is still there")
+		t.Error("the replica that left the list is still in the directory")
 	}
 	release()
 	keeper.Update(nil, nil, nil, elsewhere)
 	if directory.View().Find(infoOf(1).ID) != nil || directory.View().Len() != 2 {
-		t.Errorf("%d replicas after the last request ended", directory.View().Len())
+		t.Errorf("%d replicas after the last request ended, want 2 without the passed-over one", directory.View().Len())
 	}
 	if slots := directory.View().Slots("s"); slots != 2*testSlots+800 {
-		t.Errorf("%d slots of all replicas", slots)
+		t.Errorf("%d slots of all replicas, want those of 2 replicas and 800 elsewhere", slots)
 	}
 }
 
-// TestPassedOverReplicaComesBack: it is used again once it is in the part again.
+// A replica that was passed over is used again once it is back in the part.
 func TestPassedOverReplicaComesBack(t *testing.T) {
 	directory := replica.NewDirectory()
 	keeper := NewKeeper(directory)
@@ -44,11 +44,12 @@
 	keeper.Replace([]replica.Info{infoOf(2)}, nil, false)
 	keeper.Replace([]replica.Info{infoOf(1), infoOf(2)}, nil, false)
 	if directory.View().Find(infoOf(1).ID) != handle || !handle.Usable() {
-		t.Error("a replica that is in the part again is not used")
+		t.Error("a replica that is back in the part does not accept requests")
 	}
 }
 
-// TestWidthFollowsTheNeed: a node keeps more replicas while half of the slots that it knows are taken, and fewer after a long calm.
+// A node doubles the width while more than half of its known slots are taken, and halves it after a
+// long time of low use.
 func TestWidthFollowsTheNeed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	width := newWidth()
--- a/internal/roster/relay_test.go
+++ b/internal/roster/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// noRegistrar takes methods and serves none.
+// noRegistrar accepts handlers and never calls them.
 type noRegistrar struct{}
 
 func (noRegistrar) Handle(transport.Method, func() proto.Message, transport.Handler) {}
@@ -39,8 +39,9 @@
 	return response
 }
 
-// TestAnswersHoldChangesOnly: the first answer is the whole part; while the list changes elsewhere the next one is held and says that nothing has
-// changed; what has changed comes at once. Their sizes do not grow with the list.
+// The first answer is the whole part. While only other parts of the list change, a poll is held and
+// answered without changes; a change of the part is answered at once. The size of the answers does
+// not grow with the list.
 func TestAnswersHoldChangesOnly(t *testing.T) {
 	for _, count := range []int{1000, 10000, 20000} {
 		synctest.Test(t, func(t *testing.T) {
@@ -48,10 +49,10 @@
 			relay := relayOf(roster)
 			first := mustAnswer(t, relay, questionOf(0, nil, time.Second))
 			if !first.GetWhole() || len(first.GetReplicas()) != 64 {
-				t.Fatalf("%d replicas in the first answer of %d, whole %t", len(first.GetReplicas()), count, first.GetWhole())
+				t.Fatalf("%d replicas in the first answer of a list of %d, whole %t; want 64 and true", len(first.GetReplicas()), count, first.GetWhole())
 			}
 			if size := proto.Size(first); size > 8<<10 {
-				t.Errorf("%d bytes in the first answer of %d replicas", size, count)
+				t.Errorf("first answer of %d bytes for a list of %d replicas", size, count)
 			}
 			known := map[string]bool{}
 			for _, each := range first.GetReplicas() {
@@ -69,23 +70,24 @@
 			})
 			quiet := mustAnswer(t, relay, questionOf(0, first, time.Second))
 			if waited := time.Since(began); waited != time.Second || len(quiet.GetReplicas()) != 0 || quiet.GetWhole() {
-				t.Errorf("%d replicas after %s without news", len(quiet.GetReplicas()), waited)
+				t.Errorf("%d replicas after %s without changes", len(quiet.GetReplicas()), waited)
 			}
 			if size := proto.Size(quiet); size > 100 {
-				t.Errorf("%d bytes in an answer without news", size)
+				t.Errorf("answer of %d bytes without changes", size)
 			}
 			gone := first.GetReplicas()[0].GetId()
 			time.AfterFunc(100*time.Millisecond, func() { roster.Update(nil, []string{gone}, 3) })
 			began = time.Now()
 			news := mustAnswer(t, relay, questionOf(0, quiet, time.Second))
 			if waited := time.Since(began); waited != 100*time.Millisecond || len(news.GetGone()) != 1 || len(news.GetReplicas()) != 1 || news.GetWhole() {
-				t.Errorf("%d gone and %d new after %s, want one each at once", len(news.GetGone()), len(news.GetReplicas()), waited)
+				t.Errorf("%d gone and %d new replicas after %s, want one each after 100 ms", len(news.GetGone()), len(news.GetReplicas()), waited)
 			}
 		})
 	}
 }
 
-// TestLostAnswerIsMadeGood: a node that did not get the last answer names the one before, and is sent its whole part.
+// A node that did not receive the last answer reports the version before it, and is sent its whole
+// part.
 func TestLostAnswerIsMadeGood(t *testing.T) {
 	roster := rosterOf(1000)
 	relay := relayOf(roster)
@@ -94,31 +96,33 @@
 	lost := mustAnswer(t, relay, questionOf(0, first, 0))
 	again := mustAnswer(t, relay, questionOf(0, first, 0))
 	if lost.GetWhole() || !again.GetWhole() {
-		t.Errorf("whole: %t, then %t for a node that names the answer before", lost.GetWhole(), again.GetWhole())
+		t.Errorf("whole: %t, then %t for a node that reports the version before; want false, then true", lost.GetWhole(), again.GetWhole())
 	}
 }
 
-// TestWhatIsNotKeptIsNotAnswered: a node that has no list says so once it is asked for long enough, one that knows that the list is long says
-// that others keep it, and one with a short list that each node keeps all.
+// A node that does not hold the list answers with an error at the end of the hold. One that only
+// knows that the list is long answers that other nodes keep it. One with a short list answers that
+// each node keeps all of it.
 func TestWhatIsNotKeptIsNotAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		roster := New()
 		relay := relayOf(roster)
 		if _, err := relay.answer(context.Background(), questionOf(0, nil, time.Second)); err == nil {
-			t.Error("an answer without a list")
+			t.Error("a node without the list answered")
 		}
 		roster.SetLong(true)
 		if response := mustAnswer(t, relay, questionOf(0, nil, 0)); !response.GetKeptElsewhere() {
-			t.Errorf("answer %v of a node that does not keep the list", response)
+			t.Errorf("answer %v of a node that does not hold the list, want KeptElsewhere", response)
 		}
 		roster.Replace([]replica.Info{infoOf(1)}, 1)
 		if response := mustAnswer(t, relay, questionOf(0, nil, 0)); !response.GetShort() {
-			t.Errorf("answer %v of a short list", response)
+			t.Errorf("answer %v for a short list, want Short", response)
 		}
 	})
 }
 
-// TestStaleRelaySaysSo: it answers at once, so that the asking node goes on to another one.
+// A relay that gets no answers of the key-value service answers at once, so that the node tries
+// another relay, unless the node accepts stale answers.
 func TestStaleRelaySaysSo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := NewRelay(rosterOf(1000), func() bool { return true }, noRegistrar{})
@@ -126,26 +130,27 @@
 		began := time.Now()
 		second := mustAnswer(t, relay, questionOf(0, first, time.Second))
 		if !first.GetStale() || !second.GetStale() || time.Since(began) > 0 {
-			t.Errorf("stale %t and %t, the second after %s", first.GetStale(), second.GetStale(), time.Since(began))
+			t.Errorf("stale %t and %t, the second after %s; want true at once", first.GetStale(), second.GetStale(), time.Since(began))
 		}
 		accepting := questionOf(0, second, time.Second)
 		accepting.AcceptStale = true
 		if third := mustAnswer(t, relay, accepting); !third.GetStale() || time.Since(began) != time.Second {
-			t.Errorf("stale %t after %s where that is accepted, want it held", third.GetStale(), time.Since(began))
+			t.Errorf("stale %t after %s with AcceptStale, want true after 1 s", third.GetStale(), time.Since(began))
 		}
 	})
 }
 
-// TestNodesThatAskNoMoreAreForgotten, so that a relay's memory does not grow with the nodes that ever were.
+// A relay drops the last answers to nodes that no longer poll, so that its memory does not grow
+// with the number of nodes that ever did.
 func TestNodesThatAskNoMoreAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
-	kept := newBookmarks(now)
+	kept := newLastAnswers(now)
 	for number := range 100 {
 		kept.set(partOfNode(number).Node, nil, 1, now)
 	}
-	kept.of(partOfNode(0).Node, 1, now.Add(bookmarkKept-time.Second))
-	kept.of(partOfNode(1).Node, 2, now.Add(bookmarkKept))
+	kept.lookup(partOfNode(0).Node, 1, now.Add(lastAnswerRetention-time.Second))
+	kept.lookup(partOfNode(1).Node, 2, now.Add(lastAnswerRetention))
 	if len(kept.byNode) != 1 {
-		t.Errorf("%d nodes are remembered, want the one that asked", len(kept.byNode))
+		t.Errorf("%d last answers are kept, want only that of the node that polled", len(kept.byNode))
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -14,23 +14,26 @@
 const (
 	// MostKeptByEach is the number of replicas up to which each node keeps all of them.
 	MostKeptByEach = 256
-	// fewAgain is the number below which a list that was long counts as short, so that nodes do not go back and forth.
-	fewAgain = 192
+	// shortAgainAt is the number of replicas up to which a long list becomes short again. It is
+	// lower than MostKeptByEach, so that nodes do not switch back and forth.
+	shortAgainAt = 192
 )
 
-// entry is a replica on the list; it is never changed, so that an equal pointer says that nothing has changed.
+// entry is a replica on the list. It is immutable, so that equal pointers mean an unchanged
+// replica.
 type entry struct {
 	replica.Info
-	// position is its place on the ring of its service and zone.
+	// position is the entry's position on the ring of its service and zone.
 	position uint64
 }
 
-// ringKey names the ring of the replicas of one service in one zone.
+// ringKey identifies the ring of the replicas of one service in one zone.
 type ringKey struct{ service, zone string }
 
 // Roster is the list of all replicas. It is safe for concurrent use.
 //
-// Invariant: rings hold each entry of byID once, ordered by position and ID; slots are the sums of those that are not draining.
+// Invariant: rings hold each entry of byID once, ordered by position and ID; slots are the sums, by
+// service, of the slots of entries that are not draining.
 type Roster struct {
 	mutex    sync.Mutex
 	byID     map[string]*entry
@@ -38,14 +41,14 @@
 	slots    map[string]int
 	revision int64
 	loaded   bool
-	// copied says that the list is a copy of some time ago.
+	// copied reports whether the list comes from a saved copy.
 	copied bool
 	long   bool
-	// changed is closed at each change, and another one takes its place.
+	// changed is closed at each change and replaced by a new channel.
 	changed chan struct{}
 }
 
-// New returns an empty Roster that has not been loaded.
+// New returns an empty Roster that is not loaded.
 func New() *Roster {
 	roster := &Roster{}
 	roster.clear()
@@ -59,7 +62,8 @@
 	r.revision, r.loaded, r.copied = 0, false, false
 }
 
-// Forget empties the list, of a node that no longer keeps all; whether it is long stays known.
+// Forget empties the list on a node that no longer keeps all of it. Whether the list is long is
+// kept.
 func (r *Roster) Forget() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -67,12 +71,13 @@
 	r.signal()
 }
 
-// Replace makes replicas the whole list, as of revision, and returns how many are gone from it.
+// Replace replaces the whole list as of revision, and returns how many replicas are gone from it.
 func (r *Roster) Replace(replicas []replica.Info, revision int64) (gone int) {
 	return r.replace(replicas, revision, false)
 }
 
-// ReplaceByCopy is Replace by what was known some time ago, while the key-value service does not answer.
+// ReplaceByCopy replaces the list by a saved copy of it, while the key-value service does not
+// answer.
 func (r *Roster) ReplaceByCopy(replicas []replica.Info, revision int64) {
 	r.replace(replicas, revision, true)
 }
@@ -86,20 +91,20 @@
 	for _, info := range replicas {
 		if known := before[info.ID]; known != nil {
 			gone--
-			r.put(newerOf(known, info))
+			r.appendEntry(mergeEntry(known, info))
 			continue
 		}
-		r.put(newEntry(info))
+		r.appendEntry(newEntry(info))
 	}
 	for key := range r.rings {
 		slices.SortFunc(r.rings[key], compareEntries)
 	}
 	r.loaded, r.copied, r.revision = true, copied, revision
-	r.settle()
+	r.updateLong()
 	return gone
 }
 
-// Update takes in changed replicas and drops the removed ones, as of revision.
+// Update applies changed replicas and removes others, as of revision.
 func (r *Roster) Update(changed []replica.Info, removed []string, revision int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -107,7 +112,7 @@
 		known := r.byID[info.ID]
 		next := newEntry(info)
 		if known != nil {
-			next = newerOf(known, info)
+			next = mergeEntry(known, info)
 		}
 		if next == known {
 			continue
@@ -120,13 +125,14 @@
 	}
 	r.revision = max(r.revision, revision)
 	if len(changed)+len(removed) > 0 {
-		r.settle()
+		r.updateLong()
 	}
 }
 
-// settle notes whether the list is long now, and wakes those that wait for a change. The mutex is held.
-func (r *Roster) settle() {
-	r.long = len(r.byID) > MostKeptByEach || r.long && len(r.byID) > fewAgain
+// updateLong updates whether the list is long, and wakes those that wait for a change. The mutex is
+// held.
+func (r *Roster) updateLong() {
+	r.long = len(r.byID) > MostKeptByEach || r.long && len(r.byID) > shortAgainAt
 	r.signal()
 }
 
@@ -139,8 +145,9 @@
 	return &entry{Info: info, position: xxhash.Sum64String(info.ID)}
 }
 
-// newerOf returns the entry that info makes of a known one: that itself where info says nothing new or is of an earlier life.
-func newerOf(known *entry, info replica.Info) *entry {
+// mergeEntry returns the entry after an update of a known one: known itself if info changes nothing
+// or is of an earlier start of the replica (Born).
+func mergeEntry(known *entry, info replica.Info) *entry {
 	if info.Born == 0 {
 		info.Born = known.Born
 	}
@@ -154,24 +161,24 @@
 	return cmp.Or(cmp.Compare(one.position, other.position), cmp.Compare(one.ID, other.ID))
 }
 
-// put adds an entry whose ring is sorted later. The mutex is held.
-func (r *Roster) put(added *entry) {
+// appendEntry adds an entry at the end of its ring, which must be sorted later. The mutex is held.
+func (r *Roster) appendEntry(added *entry) {
 	key := ringKey{added.Service, added.Zone}
 	r.byID[added.ID] = added
 	r.rings[key] = append(r.rings[key], added)
 	r.countSlots(added, 1)
 }
 
-// insert adds an entry at its place. The mutex is held.
+// insert adds an entry at its position on the ring. The mutex is held.
 func (r *Roster) insert(added *entry) {
 	key := ringKey{added.Service, added.Zone}
-	place, _ := slices.BinarySearchFunc(r.rings[key], added, compareEntries)
-	r.rings[key] = slices.Insert(r.rings[key], place, added)
+	index, _ := slices.BinarySearchFunc(r.rings[key], added, compareEntries)
+	r.rings[key] = slices.Insert(r.rings[key], index, added)
 	r.byID[added.ID] = added
 	r.countSlots(added, 1)
 }
 
-// remove drops an entry. The mutex is held.
+// remove removes an entry. The mutex is held.
 func (r *Roster) remove(id string) {
 	known := r.byID[id]
 	if known == nil {
@@ -179,25 +186,25 @@
 	}
 	delete(r.byID, id)
 	key := ringKey{known.Service, known.Zone}
-	place, found := slices.BinarySearchFunc(r.rings[key], known, compareEntries)
+	index, found := slices.BinarySearchFunc(r.rings[key], known, compareEntries)
 	if !found {
-		panic("roster: an entry is not on its ring")
+		panic("roster: an entry is missing on the ring of its service and zone")
 	}
-	r.rings[key] = slices.Delete(r.rings[key], place, place+1)
+	r.rings[key] = slices.Delete(r.rings[key], index, index+1)
 	if len(r.rings[key]) == 0 {
 		delete(r.rings, key)
 	}
 	r.countSlots(known, -1)
 }
 
-// countSlots adds an entry's slots to those of its service, sign times. The mutex is held.
-func (r *Roster) countSlots(of *entry, sign int) {
-	if !of.Draining {
-		r.slots[of.Service] += sign * of.Slots
+// countSlots adds sign times an entry's slots to those of its service. The mutex is held.
+func (r *Roster) countSlots(counted *entry, sign int) {
+	if !counted.Draining {
+		r.slots[counted.Service] += sign * counted.Slots
 	}
 }
 
-// Find returns what the list says of a replica.
+// Find returns a replica on the list.
 func (r *Roster) Find(id string) (info replica.Info, found bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -208,14 +215,15 @@
 	return known.Info, true
 }
 
-// Long says that the list is too long for each node to keep all of it, as far as is known.
+// Long reports whether the list is known to be too long for each node to keep all of it.
 func (r *Roster) Long() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.long
 }
 
-// SetLong notes what was learnt in another way than by a list.
+// SetLong sets whether the list is long, when this is known from another source than the list
+// itself.
 func (r *Roster) SetLong(long bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -223,25 +231,26 @@
 	r.signal()
 }
 
-// All returns all replicas, in no order.
+// All returns all replicas, in no particular order.
 func (r *Roster) All() []replica.Info {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	infos := make([]replica.Info, 0, len(r.byID))
-	for _, each := range r.byID {
-		infos = append(infos, each.Info)
+	for _, listed := range r.byID {
+		infos = append(infos, listed.Info)
 	}
 	return infos
 }
 
-// Loaded says that the list is kept here.
+// Loaded reports whether this node holds the list.
 func (r *Roster) Loaded() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.loaded
 }
 
-// Listed says that the list is kept here as the key-value service has it, not by a copy.
+// Listed reports whether this node holds the list as read from the key-value service, and not a
+// saved copy.
 func (r *Roster) Listed() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -262,12 +271,13 @@
 	return r.changed
 }
 
-// Part returns a node's part of the list, in no order, and the slots of the other replicas, by service.
-func (r *Roster) Part(of Part) (replicas []replica.Info, elsewhere map[string]int) {
-	found := r.selects(of)
+// Part returns a node's part of the list, in no particular order, and the slots of all other
+// replicas by service.
+func (r *Roster) Part(part Part) (replicas []replica.Info, elsewhere map[string]int) {
+	found := r.selectPart(part)
 	replicas = make([]replica.Info, 0, len(found.entries))
-	for each := range maps.Values(found.entries) {
-		replicas = append(replicas, each.Info)
+	for listed := range maps.Values(found.entries) {
+		replicas = append(replicas, listed.Info)
 	}
 	return replicas, found.elsewhere
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -16,7 +16,7 @@
 
 const testSlots = 8
 
-// infoOf returns the replica with a number.
+// infoOf returns the replica with the given number.
 func infoOf(number int) replica.Info {
 	return replica.Info{
 		ID: fmt.Sprintf("replica-%06d", number), Service: "s", Zone: testZones[number%len(testZones)], Slots: testSlots,
@@ -38,22 +38,23 @@
 	return Part{Node: fmt.Sprintf("node-%04d", number), Zone: testZones[number%len(testZones)], Width: LeastWidth}
 }
 
-// TestPartDoesNotGrowWithTheList: what a node keeps, and what it is sent at first, is as much before 20,000 replicas as before 1,000.
+// The size of a node's part is the same for a list of 20,000 replicas as for one of 1,000.
 func TestPartDoesNotGrowWithTheList(t *testing.T) {
 	wanted := LeastWidth + (len(testZones)-1)*LeastWidth/otherZoneShare
 	for _, count := range []int{1000, 10000, 20000} {
 		roster := rosterOf(count)
 		part, elsewhere := roster.Part(partOfNode(0))
 		if len(part) != wanted {
-			t.Errorf("%d of %d replicas are a node's part, want %d", len(part), count, wanted)
+			t.Errorf("part of %d of %d replicas, want %d", len(part), count, wanted)
 		}
 		if elsewhere["s"] != (count-wanted)*testSlots {
-			t.Errorf("%d slots of %d replicas are elsewhere", elsewhere["s"], count)
+			t.Errorf("%d slots elsewhere of a list of %d replicas", elsewhere["s"], count)
 		}
 	}
 }
 
-// TestPartsSpreadEvenly: all nodes together use nearly all replicas, and none much more than others.
+// All nodes together use nearly all replicas, and no replica is used by many more nodes than
+// others.
 func TestPartsSpreadEvenly(t *testing.T) {
 	for _, size := range []struct{ nodes, replicas int }{{985, 10000}, {1970, 20000}} {
 		roster := rosterOf(size.replicas)
@@ -69,37 +70,37 @@
 			t.Errorf("%.2f of %d replicas are used by %d nodes", used, size.replicas, size.nodes)
 		}
 		if most := slices.Max(slices.Collect(maps.Values(holders))); float64(most) > 5*mean {
-			t.Errorf("one of %d replicas is used by %d nodes, %.1f in the mean", size.replicas, most, mean)
+			t.Errorf("one of %d replicas is used by %d nodes, mean %.1f", size.replicas, most, mean)
 		}
 	}
 }
 
-// TestChangeMovesFewParts: a replica that comes or goes changes the parts of few nodes, by one place each.
+// Removing a replica changes the parts of few nodes, by one entry each.
 func TestChangeMovesFewParts(t *testing.T) {
 	const nodes, replicas = 985, 10000
 	roster := rosterOf(replicas)
 	before := make([]selection, nodes)
 	for number := range nodes {
-		before[number] = roster.selects(partOfNode(number))
+		before[number] = roster.selectPart(partOfNode(number))
 	}
 	roster.Update(nil, []string{infoOf(17).ID}, 2)
 	moved := 0
 	for number := range nodes {
-		found := differs(before[number].entries, roster.selects(partOfNode(number)).entries)
+		found := diffParts(before[number].entries, roster.selectPart(partOfNode(number)).entries)
 		if found.empty() {
 			continue
 		}
 		moved++
-		if len(found.changed) > 1 || len(found.left) > 1 {
-			t.Errorf("node %d has %d new replicas and %d fewer since one is gone", number, len(found.changed), len(found.left))
+		if len(found.changed) > 1 || len(found.removed) > 1 {
+			t.Errorf("node %d has %d added and %d removed replicas after one was removed from the list", number, len(found.changed), len(found.removed))
 		}
 	}
 	if moved == 0 || moved > nodes/20 {
-		t.Errorf("the parts of %d of %d nodes changed since one replica is gone", moved, nodes)
+		t.Errorf("parts of %d of %d nodes changed after one replica was removed", moved, nodes)
 	}
 }
 
-// TestDrainingReplicasAreReplacedInAPart: a part holds as many that take requests as before, and those that drain.
+// A draining replica stays in the part, which gets another one that accepts requests.
 func TestDrainingReplicasAreReplacedInAPart(t *testing.T) {
 	roster := rosterOf(1000)
 	before, _ := roster.Part(partOfNode(0))
@@ -108,25 +109,26 @@
 	roster.Update([]replica.Info{leaving}, nil, 2)
 	after, elsewhere := roster.Part(partOfNode(0))
 	if len(after) != len(before)+1 || !slices.Contains(after, leaving) {
-		t.Errorf("%d replicas are the part where one of %d drains", len(after), len(before))
+		t.Errorf("part of %d replicas after one of %d began to drain", len(after), len(before))
 	}
 	if elsewhere["s"] != (1000-1-len(before))*testSlots {
-		t.Errorf("%d slots are elsewhere", elsewhere["s"])
+		t.Errorf("%d slots elsewhere", elsewhere["s"])
 	}
 }
 
-// TestLateEntryOfAnEarlierLifeChangesNothing, and one that does not say when it started is of the life that is known.
+// A late update of an earlier start of a replica is ignored. An update without a start time applies
+// to the known start.
 func TestLateEntryOfAnEarlierLifeChangesNothing(t *testing.T) {
 	roster := New()
 	roster.Replace([]replica.Info{{ID: "a", Service: "s", Zone: "z1", Slots: 1, Born: 200}}, 1)
 	roster.Update([]replica.Info{{ID: "a", Service: "s", Zone: "z1", Slots: 9, Born: 100}}, nil, 2)
 	roster.Update([]replica.Info{{ID: "a", Service: "s", Zone: "z1", Slots: 1, Draining: true}}, nil, 3)
 	if info, _ := roster.Find("a"); info.Slots != 1 || info.Born != 200 || !info.Draining {
-		t.Errorf("the list has %+v", info)
+		t.Errorf("listed replica %+v", info)
 	}
 }
 
-// TestRosterProperty: after any changes the rings and sums are those of the replicas on the list.
+// After any changes the rings and slot sums match the replicas on the list.
 func TestRosterProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		roster, model := New(), map[string]replica.Info{}
@@ -159,12 +161,13 @@
 	})
 }
 
-// checkRoster fails where the list is not that of model, or a part is not what the rings say.
+// checkRoster fails if the list differs from model, or a part differs from the selection on the
+// rings.
 func checkRoster(t *rapid.T, roster *Roster, model map[string]replica.Info) {
 	slots, ready := 0, map[string]int{}
 	for id, info := range model {
 		if kept, found := roster.Find(id); !found || kept != info {
-			t.Fatalf("the list has %+v for %+v", kept, info)
+			t.Fatalf("listed replica %+v, want %+v", kept, info)
 		}
 		if !info.Draining {
 			slots += info.Slots
@@ -183,7 +186,7 @@
 		}
 	}
 	if own+elsewhere["s"] != slots {
-		t.Fatalf("%d slots known and %d elsewhere, want %d", own, elsewhere["s"], slots)
+		t.Fatalf("%d slots in the part and %d elsewhere, want %d in all", own, elsewhere["s"], slots)
 	}
 	for zone, count := range ready {
 		if wanted := min(count, partOfNode(0).countIn(zone)); known[zone] != wanted {
--- a/internal/roster/selection.go
+++ b/internal/roster/selection.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// LeastWidth is the number of replicas of each service that a node keeps of its own zone: some times as many as the slots that a node's
-	// callers want at once, with room for those that fail or drain.
+	// LeastWidth is the number of replicas of each service that a node keeps of its own zone. It is
+	// a multiple of the slots that a node's callers need at once, with a reserve for replicas that
+	// fail or drain.
 	LeastWidth = 32
-	// otherZoneShare is how many times fewer it keeps of each other zone, for the loss of its own and for requests confined to regions.
+	// otherZoneShare is the divisor of the width for each other zone. These replicas serve if the
+	// node's own zone is lost, and requests that are confined to regions.
 	otherZoneShare = 4
 )
 
-// Part says which replicas are a node's.
+// Part describes the part of the list that a node keeps.
 type Part struct {
 	Node string
 	Zone string
@@ -22,7 +24,7 @@
 	Width int
 }
 
-// countIn returns how many replicas that take requests the part has of a zone.
+// countIn returns the number of replicas that accept requests which the part has in a zone.
 func (p Part) countIn(zone string) int {
 	if zone == p.Zone {
 		return p.Width
@@ -35,14 +37,16 @@
 	revision int64
 	copied   bool
 	entries  map[string]*entry
-	// elsewhere are the slots of the other replicas that take requests, by service.
+	// elsewhere are the slots of the replicas outside the part that accept requests, by service.
 	elsewhere map[string]int
 }
 
-// selects returns a node's part of the list. On each ring a node has a place by its name, and takes the replicas behind it until it has as
-// many that take requests as are its: so all nodes together use all replicas about evenly, and one that comes or goes changes one place in
-// the parts of a few nodes only. Those that drain among them belong to it, for it may have requests there.
-func (r *Roster) selects(part Part) selection {
+// selectPart returns a node's part of the list. A node has a position on each ring by its name, and
+// takes the replicas that follow it until it has enough that accept requests. Together all nodes
+// use all replicas about evenly, and adding or removing a replica changes one entry in the parts of
+// a few nodes only. Draining replicas among them belong to the part, as the node may have requests
+// there.
+func (r *Roster) selectPart(part Part) selection {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	found := selection{revision: r.revision, copied: r.copied, entries: map[string]*entry{}, elsewhere: map[string]int{}}
@@ -50,25 +54,26 @@
 		found.elsewhere[service] = slots
 	}
 	for key, ring := range r.rings {
-		for _, each := range arc(ring, placeOf(part.Node, key), part.countIn(key.zone)) {
-			found.entries[each.ID] = each
-			if !each.Draining {
-				found.elsewhere[each.Service] -= each.Slots
+		for _, candidate := range arc(ring, ringPosition(part.Node, key), part.countIn(key.zone)) {
+			found.entries[candidate.ID] = candidate
+			if !candidate.Draining {
+				found.elsewhere[candidate.Service] -= candidate.Slots
 			}
 		}
 	}
 	return found
 }
 
-// placeOf is a node's place on a ring.
-func placeOf(node string, key ringKey) uint64 {
+// ringPosition returns a node's position on a ring.
+func ringPosition(node string, key ringKey) uint64 {
 	return xxhash.Sum64String(node + "\x00" + key.service + "\x00" + key.zone)
 }
 
-// arc returns the entries of a ring from a place on, with wanted ones that take requests, or all where there are no more.
-func arc(ring []*entry, place uint64, wanted int) []*entry {
-	start, _ := slices.BinarySearchFunc(ring, place, func(each *entry, place uint64) int {
-		if each.position < place {
+// arc returns the entries of a ring from a position on, until wanted of them accept requests or the
+// whole ring is included.
+func arc(ring []*entry, position uint64, wanted int) []*entry {
+	start, _ := slices.BinarySearchFunc(ring, position, func(candidate *entry, position uint64) int {
+		if candidate.position < position {
 			return -1
 		}
 		return 1
@@ -78,9 +83,9 @@
 		if wanted <= 0 {
 			break
 		}
-		each := ring[(start+offset)%len(ring)]
-		found = append(found, each)
-		if !each.Draining {
+		candidate := ring[(start+offset)%len(ring)]
+		found = append(found, candidate)
+		if !candidate.Draining {
 			wanted--
 		}
 	}
--- a/internal/roster/targets.go
+++ b/internal/roster/targets.go
@@ -12,32 +12,33 @@
 	"github.com/sloelift/sloelift/internal/zonerelay"
 )
 
-// witnesses is how many nodes that are no relays are asked in each round, to know whether others are reached.
-const witnesses = 2
+// nonRelayTargets is how many nodes that are not relays are polled in each round, to learn whether
+// other nodes are reachable.
+const nonRelayTargets = 2
 
-// targets returns whom this node asks, in this order: the relays of its zone, those of other zones, each in an order that differs from node to
-// node, and some nodes that are no relays.
+// targets returns the addresses to poll, in order: the relays of this node's zone, those of other
+// zones, each in an order that differs between nodes, and some nodes that are not relays.
 func (f *Follower) targets() []netip.AddrPort {
 	view := f.options.Viewer.View()
 	relays := f.relays.Of(view, zonerelay.Of)
-	targets := f.inOrder(relays.InZone(f.options.Zone))
+	targets := f.rendezvousOrder(relays.InZone(f.options.Zone))
 	var others []membership.Member
 	for _, zone := range relays.Zones() {
 		if zone != f.options.Zone {
 			others = append(others, relays.InZone(zone)...)
 		}
 	}
-	targets = append(targets, f.inOrder(others)...)
-	return append(targets, f.witnesses(view, relays)...)
+	targets = append(targets, f.rendezvousOrder(others)...)
+	return append(targets, f.sampleNonRelays(view, relays)...)
 }
 
-// witnesses draws some nodes that are no relays.
-func (f *Follower) witnesses(view *membership.View, relays zonerelay.Relays) []netip.AddrPort {
+// sampleNonRelays returns the addresses of up to nonRelayTargets random nodes that are not relays.
+func (f *Follower) sampleNonRelays(view *membership.View, relays zonerelay.Relays) []netip.AddrPort {
 	var found []netip.AddrPort
 	if len(view.Members) == 0 {
 		return nil
 	}
-	for range witnesses {
+	for range nonRelayTargets {
 		member := view.Members[rand.N(len(view.Members))]
 		if member.ID != f.options.Node && member.State == membership.Alive && !relays.IsRelay(member.ID) {
 			found = append(found, member.PeerAddress)
@@ -46,7 +47,7 @@
 	return found
 }
 
-func (f *Follower) inOrder(relays []membership.Member) []netip.AddrPort {
+func (f *Follower) rendezvousOrder(relays []membership.Member) []netip.AddrPort {
 	rank := func(member membership.Member) uint64 {
 		return xxhash.Sum64String(string(f.options.Node) + "\x00" + string(member.ID))
 	}
--- a/internal/roster/width.go
+++ b/internal/roster/width.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// widenAt is the part of the slots of a node's replicas beyond which it keeps twice as many: in use by this node, or of replicas that
-	// fail, drain or are cold. A node chooses well only among replicas of which most have room.
+	// widenAt is the share of the slots of a node's replicas above which it doubles the width:
+	// slots in use by this node, or of replicas that fail, drain or are cold. A node balances load
+	// well only among replicas most of which have free slots.
 	widenAt = 0.5
-	// narrowAt is the part below which it keeps half as many again.
+	// narrowAt is the share below which it halves the width.
 	narrowAt = 0.1
-	// narrowAfter is how long the need must have been small for that.
+	// narrowAfter is how long the share must have been below narrowAt.
 	narrowAfter = 30 * time.Second
 )
 
-// use is how far a node uses the replicas that it knows.
+// use is a node's use of the replicas in its part.
 type use struct {
-	// slots are those of all replicas of the node's part, taken those that this node uses or that can't be used.
+	// slots is the number of slots of all replicas in the part; taken is the number of those in use
+	// by this node or of unusable replicas.
 	slots, taken int
-	// more says that there are replicas that the node does not know.
+	// more reports whether there are replicas outside the part.
 	more bool
 }
 
-// useOf returns how far this node uses the replicas that it knows.
-func useOf(view *replica.View, now time.Time) use {
+// measureUsage returns this node's use of the replicas in its part.
+func measureUsage(view *replica.View, now time.Time) use {
 	found := use{more: view.KnowsPart()}
 	for handle := range view.All() {
 		slots := handle.Info().Slots
@@ -39,30 +41,30 @@
 	return found
 }
 
-// width is the width of a node's part, which follows its need.
+// width is the width of a node's part, adapted to its use.
 type width struct {
-	present int
-	// calmSince is since when the need has been small; zero while it is not.
-	calmSince time.Time
+	current int
+	// lowSince is since when the use has been below narrowAt; zero while it is not.
+	lowSince time.Time
 }
 
-func newWidth() width { return width{present: LeastWidth} }
+func newWidth() width { return width{current: LeastWidth} }
 
-// next returns the width for what is used now.
-func (w *width) next(now use, at time.Time) int {
-	taken := float64(now.taken)
+// next updates and returns the width for the current use.
+func (w *width) next(usage use, now time.Time) int {
+	taken := float64(usage.taken)
 	switch {
-	case now.slots == 0:
-	case now.more && taken > widenAt*float64(now.slots):
-		w.present = min(widest, 2*w.present)
-		w.calmSince = time.Time{}
-	case taken > narrowAt*float64(now.slots):
-		w.calmSince = time.Time{}
-	case w.calmSince.IsZero():
-		w.calmSince = at
-	case at.Sub(w.calmSince) >= narrowAfter:
-		w.present = max(LeastWidth, w.present/2)
-		w.calmSince = at
+	case usage.slots == 0:
+	case usage.more && taken > widenAt*float64(usage.slots):
+		w.current = min(maxWidth, 2*w.current)
+		w.lowSince = time.Time{}
+	case taken > narrowAt*float64(usage.slots):
+		w.lowSince = time.Time{}
+	case w.lowSince.IsZero():
+		w.lowSince = now
+	case now.Sub(w.lowSince) >= narrowAfter:
+		w.current = max(LeastWidth, w.current/2)
+		w.lowSince = now
 	}
-	return w.present
+	return w.current
 }
