--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -85,9 +85,8 @@
 	// copied reports whether the answer came from a saved copy of the list.
 	run, version uint64
 	copied       bool
-	// revision is the highest revision of an answer, lastAnswerAt the time of the last accepted
-	// answer. olderSince is since when answers have had an older revision; zero if the last one had
-	// not.
+	// revision is that of the last accepted answer, lastAnswerAt when it was accepted. olderSince
+	// is since when answers have had an older revision; zero if the last one had not.
 	revision     int64
 	lastAnswerAt time.Time
 	olderSince   time.Time
@@ -306,7 +305,10 @@
 	elsewhere := decodeElsewhere(response.GetElsewhere())
 	if response.GetWhole() {
 		f.options.Keeper.Replace(replicas, elsewhere, response.GetCopied())
-		f.options.Logger.Info().Int("replicas", len(replicas)).Int64(logging.FieldRevision, response.GetRevision()).Bool("copied", response.GetCopied()).
+		f.options.Logger.Info().
+			Int("replicas", len(replicas)).
+			Int64(logging.FieldRevision, response.GetRevision()).
+			Bool("copied", response.GetCopied()).
 			Msg("part_of_replicas_taken")
 	} else {
 		f.options.Keeper.Update(replicas, response.GetGone(), response.GetPassedOver(), elsewhere)
