--- a/internal/unreached/unreached.go
+++ b/internal/unreached/unreached.go
@@ -1,4 +1,5 @@
-// Package unreached notes the nodes that gave no answer a short while ago, so that others are asked first.
+// Package unreached remembers which nodes and zones gave no answer recently, so that others are
+// asked first.
 package unreached
 
 import (
@@ -7,34 +8,34 @@
 	"time"
 )
 
-// Peers are the nodes that gave no answer. It is safe for concurrent use.
+// Peers remembers the nodes that gave no answer recently. It is safe for concurrent use.
 type Peers struct {
-	keep  time.Duration
-	mutex sync.Mutex
-	// until holds the time up to which a node counts as unreached.
+	retention time.Duration
+	mutex     sync.Mutex
+	// until is the time up to which a node counts as unreached.
 	until map[netip.AddrPort]time.Time
 }
 
-// NewPeers returns an empty Peers that remembers each node for keep.
-func NewPeers(keep time.Duration) *Peers {
-	return &Peers{keep: keep, until: map[netip.AddrPort]time.Time{}}
+// NewPeers returns an empty Peers. Each noted node counts as unreached for retention.
+func NewPeers(retention time.Duration) *Peers {
+	return &Peers{retention: retention, until: map[netip.AddrPort]time.Time{}}
 }
 
-// Note takes in that the node at address gave no answer.
+// Note records that the node at address gave no answer.
 func (p *Peers) Note(address netip.AddrPort, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.until[address] = now.Add(p.keep)
+	p.until[address] = now.Add(p.retention)
 }
 
-// Forget takes in that the node at address is there after all.
+// Forget records that the node at address is reachable.
 func (p *Peers) Forget(address netip.AddrPort) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.until, address)
 }
 
-// Recent says that the node at address gave no answer a short while ago.
+// Recent reports whether the node at address gave no answer within the retention.
 func (p *Peers) Recent(address netip.AddrPort, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/unreached/zones_test.go
+++ b/internal/unreached/zones_test.go
@@ -19,28 +19,33 @@
 		want   bool
 	}{
 		{"nothing is known", nil, false},
-		{"one member is silent, again and again", []event{silence(time.Second, "a"), silence(2*time.Second, "a"), silence(3*time.Second, "a")}, false},
+		{"one member is silent, again and again", []event{
+			silence(time.Second, "a"), silence(2*time.Second, "a"), silence(3*time.Second, "a"),
+		}, false},
 		{"two members are silent", []event{silence(time.Second, "a"), silence(2*time.Second, "b")}, true},
 		{"a third one answered between", []event{silence(time.Second, "a"), answer(1500 * time.Millisecond), silence(2*time.Second, "b")}, false},
-		{"a third one answered a moment before the second fell silent", []event{silence(time.Second, "a"), answer(1950 * time.Millisecond), silence(2*time.Second, "b")}, false},
+		{"a third one answered a moment before the second fell silent", []event{
+			silence(time.Second, "a"), answer(1950 * time.Millisecond), silence(2*time.Second, "b"),
+		}, false},
 		{"one answers again", []event{silence(time.Second, "a"), silence(2*time.Second, "b"), answer(3 * time.Second)}, false},
 		{"cut off again", []event{
-			silence(time.Second, "a"), silence(2*time.Second, "b"), answer(3 * time.Second), silence(4*time.Second, "a"), silence(5*time.Second, "b"),
+			silence(time.Second, "a"), silence(2*time.Second, "b"), answer(3 * time.Second),
+			silence(4*time.Second, "a"), silence(5*time.Second, "b"),
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			zones := NewZones()
 			zone := zones.Of("z")
-			for _, each := range test.events {
-				now := zone.start.Add(each.at)
-				if each.answer {
+			for _, step := range test.events {
+				now := zone.start.Add(step.at)
+				if step.answer {
 					zone.NoteAnswer(now)
 					continue
 				}
-				zone.NoteSilence(each.member, now)
+				zone.NoteSilence(step.member, now)
 			}
 			if zones.Of("z").CutOff() != test.want {
-				t.Errorf("cut off: %t", !test.want)
+				t.Errorf("CutOff returned %t", !test.want)
 			}
 		})
 	}
@@ -50,7 +55,7 @@
 	zone := NewZones().Of("z")
 	now := zone.start.Add(time.Second)
 	if zone.ProbeDue(now) {
-		t.Error("a zone that is reached is probed")
+		t.Error("a probe is due for a zone that is not cut off")
 	}
 	zone.NoteSilence("a", now)
 	zone.NoteSilence("b", now)
@@ -61,6 +66,6 @@
 		}
 	}
 	if probes != 4 {
-		t.Errorf("%d probes in a second, want one each %s", probes, probeInterval)
+		t.Errorf("%d probes in a second, want one every %s", probes, probeInterval)
 	}
 }
