--- a/internal/zonerelay/doc.go
+++ b/internal/zonerelay/doc.go
@@ -1,3 +1,4 @@
-// Package zonerelay says which nodes of each zone pass on to the others of it what all nodes are to know, so that it crosses each border
-// between zones a few times and not once for each node.
+// Package zonerelay selects the relay nodes of each zone. Relays pass data that all nodes need on
+// to the other nodes of their zone, so that it crosses the border between two zones a few times and
+// not once for each node.
 package zonerelay
--- a/internal/zonerelay/relays.go
+++ b/internal/zonerelay/relays.go
@@ -9,17 +9,19 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// PerZone is the number of relays of a zone, so that one may be lost.
+// PerZone is the number of relays of a zone; one may be lost.
 const PerZone = 2
 
-// Relays are the relays of all zones by one view of the members.
+// Relays holds the relays of all zones according to one view of the members.
 type Relays struct {
 	self   membership.NodeID
 	byZone map[string][]membership.Member
 }
 
-// Of chooses the relays of each zone: of its members alive, those with a data folder before others, as they have the wider links, and of
-// these the first by a digest of their names. A member that comes or goes changes no other choice of a zone than its own place.
+// Of selects the relays of each zone among its live members: those with a data folder first,
+// because they have more network bandwidth, and among these the first by the hash of their IDs.
+// Adding or removing a member changes no other selection in its zone than the place it takes or
+// leaves.
 func Of(view *membership.View) Relays {
 	byZone := map[string][]membership.Member{}
 	for _, member := range view.Members {
@@ -30,29 +32,30 @@
 	return Relays{self: view.Self, byZone: byZone}
 }
 
-// insert puts member among the chosen ones of its zone, if it comes before one of them.
+// insert adds member to the selected members of its zone if it ranks before one of them, or if
+// fewer than PerZone are selected.
 func insert(chosen []membership.Member, member membership.Member) []membership.Member {
-	place, _ := slices.BinarySearchFunc(chosen, member, compare)
-	if place >= PerZone {
+	index, _ := slices.BinarySearchFunc(chosen, member, compare)
+	if index >= PerZone {
 		return chosen
 	}
-	chosen = slices.Insert(chosen, place, member)
+	chosen = slices.Insert(chosen, index, member)
 	return chosen[:min(len(chosen), PerZone)]
 }
 
-func compare(one, other membership.Member) int {
-	if one.Store != other.Store {
-		if one.Store {
+func compare(a, b membership.Member) int {
+	if a.Store != b.Store {
+		if a.Store {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(rank(one.ID), rank(other.ID)), cmp.Compare(one.ID, other.ID))
+	return cmp.Or(cmp.Compare(rank(a.ID), rank(b.ID)), cmp.Compare(a.ID, b.ID))
 }
 
 func rank(id membership.NodeID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// InZone returns the relays of a zone, none where it has no member alive.
+// InZone returns the relays of a zone; none if it has no live member.
 func (r Relays) InZone(zone string) []membership.Member { return r.byZone[zone] }
 
 // Zones returns the zones that have relays, sorted.
@@ -65,7 +68,8 @@
 	return zones
 }
 
-// First returns the first relay of all zones by the order in which a zone's are chosen; found is false where there is none.
+// First returns the relay that ranks first among those of all zones, in the order of Of; found is
+// false if there is no relay.
 func (r Relays) First() (first membership.Member, found bool) {
 	for _, relays := range r.byZone {
 		for _, relay := range relays {
@@ -77,7 +81,7 @@
 	return first, found
 }
 
-// IsRelay says that the node is one of the relays of its zone.
+// IsRelay reports whether the node is one of the relays of its zone.
 func (r Relays) IsRelay(id membership.NodeID) bool {
 	for _, relays := range r.byZone {
 		for _, relay := range relays {
@@ -89,5 +93,5 @@
 	return false
 }
 
-// SelfIsRelay says that the node whose view it is is one.
+// SelfIsRelay reports whether the node that owns the view is a relay.
 func (r Relays) SelfIsRelay() bool { return r.IsRelay(r.self) }
--- a/internal/zonerelay/relays_test.go
+++ b/internal/zonerelay/relays_test.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// viewOf returns a view of so many members in each of three zones, every fifth with a data folder.
+// viewOf returns a view with perZone members in each of three zones; every fifth has a data folder.
 func viewOf(perZone int) *membership.View {
 	view := &membership.View{Self: "z1-000"}
 	for _, zone := range []string{"z1", "z2", "z3"} {
@@ -28,28 +28,28 @@
 	return ids
 }
 
-// TestEachZoneHasTwoRelaysWithDataFolders, whatever its size.
+// Each zone has two relays, both with data folders, whatever its size.
 func TestEachZoneHasTwoRelaysWithDataFolders(t *testing.T) {
 	for _, perZone := range []int{20, 400} {
 		relays := Of(viewOf(perZone))
 		if zones := relays.Zones(); !slices.Equal(zones, []string{"z1", "z2", "z3"}) {
-			t.Errorf("zones %v", zones)
+			t.Errorf("zones %v, want z1, z2 and z3", zones)
 		}
 		for _, zone := range relays.Zones() {
 			chosen := relays.InZone(zone)
 			if len(chosen) != PerZone {
-				t.Fatalf("%d relays of %s", len(chosen), zone)
+				t.Fatalf("%d relays of zone %s, want PerZone", len(chosen), zone)
 			}
 			for _, relay := range chosen {
 				if !relay.Store || relay.Zone != zone || !relays.IsRelay(relay.ID) {
-					t.Errorf("%s of %s is a relay of %s", relay.ID, relay.Zone, zone)
+					t.Errorf("%s of %s is selected as a relay of %s; want a member of that zone with a data folder", relay.ID, relay.Zone, zone)
 				}
 			}
 		}
 	}
 }
 
-// TestLostRelayIsReplacedAlone: the other relay of its zone and those of other zones stay.
+// The loss of a relay leaves the other relay of its zone and the relays of other zones unchanged.
 func TestLostRelayIsReplacedAlone(t *testing.T) {
 	view := viewOf(20)
 	before := Of(view)
@@ -61,7 +61,7 @@
 	}
 	after := Of(view)
 	if after.IsRelay(lost) || !after.IsRelay(before.InZone("z2")[1].ID) || len(after.InZone("z2")) != PerZone {
-		t.Errorf("%v became %v after the loss of %s", idsOf(before.InZone("z2")), idsOf(after.InZone("z2")), lost)
+		t.Errorf("relays changed from %v to %v after the loss of %s", idsOf(before.InZone("z2")), idsOf(after.InZone("z2")), lost)
 	}
 	for _, zone := range []string{"z1", "z3"} {
 		if !slices.Equal(idsOf(before.InZone(zone)), idsOf(after.InZone(zone))) {
@@ -70,28 +70,30 @@
 	}
 }
 
-// TestZoneWithoutDataFoldersHasRelays: any members then.
+// In a zone without data folders any live members are relays.
 func TestZoneWithoutDataFoldersHasRelays(t *testing.T) {
-	view := &membership.View{Self: "b", Members: []membership.Member{{ID: "a", Zone: "z"}, {ID: "b", Zone: "z"}, {ID: "c", Zone: "z", State: membership.Dead}}}
+	view := &membership.View{Self: "b", Members: []membership.Member{
+		{ID: "a", Zone: "z"}, {ID: "b", Zone: "z"}, {ID: "c", Zone: "z", State: membership.Dead},
+	}}
 	relays := Of(view)
 	if !relays.SelfIsRelay() || !relays.IsRelay("a") || relays.IsRelay("c") {
-		t.Errorf("relays %v", idsOf(relays.InZone("z")))
+		t.Errorf("relays %v, want a and b", idsOf(relays.InZone("z")))
 	}
 }
 
-// TestFirstIsOneOfTheRelays, the same for all nodes, and another one once it is gone.
+// First returns one of the relays, and another one once that is dead.
 func TestFirstIsOneOfTheRelays(t *testing.T) {
 	view := viewOf(20)
 	first, found := Of(view).First()
 	if !found || !first.Store || !Of(view).IsRelay(first.ID) {
-		t.Fatalf("first %+v, %t", first, found)
+		t.Fatalf("first relay %+v, found %t", first, found)
 	}
-	place := slices.IndexFunc(view.Members, func(member membership.Member) bool { return member.ID == first.ID })
-	view.Members[place].State = membership.Dead
+	index := slices.IndexFunc(view.Members, func(member membership.Member) bool { return member.ID == first.ID })
+	view.Members[index].State = membership.Dead
 	if next, found := Of(view).First(); !found || next.ID == first.ID {
-		t.Errorf("after %s is gone: %s, %t", first.ID, next.ID, found)
+		t.Errorf("after the death of %s: first relay %s, found %t", first.ID, next.ID, found)
 	}
 	if _, found := Of(&membership.View{}).First(); found {
-		t.Error("a relay of nobody")
+		t.Error("an empty view has a first relay")
 	}
 }
