--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -64,7 +64,7 @@
 func (p *protocol) digestTarget() *record {
 	index := p.lookup()
 	zone := index.zones[p.random.IntN(len(index.zones))]
-	if !p.selectedThisPeriod(crossZoneComparers) {
+	if !p.selectedThisPeriod(crossZoneDigestSenders) {
 		zone = p.self.zone
 	}
 	for _, target := range p.sample(index.contacts[zone], 1, nil) {
@@ -168,10 +168,10 @@
 		}
 		answer.Zones = append(answer.Zones, summaryOf(zone, members))
 	}
-	var unknownThere []*record
+	var unknownToSender []*record
 	for _, zone := range index.zones {
 		if !compared[zone] {
-			unknownThere = append(unknownThere, index.byZone[zone]...)
+			unknownToSender = append(unknownToSender, index.byZone[zone]...)
 		}
 	}
 	if len(answer.Zones) > 0 {
@@ -182,7 +182,7 @@
 		digest.Answer = true
 		p.send(from, methodDigest, digest)
 	}
-	p.sendRecords(from, unknownThere)
+	p.sendRecords(from, unknownToSender)
 }
 
 // mergeRevisions merges the revisions of members that both sides hold in the same state.
@@ -257,10 +257,10 @@
 }
 
 func (p *protocol) receiveRecords(from netip.AddrPort, message *membershippb.Records) {
-	knewNobody := p.lookup().others == 0
+	knewNoOthers := p.lookup().others == 0
 	p.mergeAll(from, message.GetRecords())
 	p.noteSender(from, message.GetSender())
-	if knewNobody {
+	if knewNoOthers {
 		p.compareWithOwnZone()
 	}
 	if len(message.GetWanted()) == 0 {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -52,14 +52,14 @@
 	if zone == p.self.zone || index.others-len(members) <= bulkThreshold {
 		return false
 	}
-	asker := NodeID(message.GetSender().GetId())
-	isAsker := func(member *record) bool { return member.ID == asker }
+	sender := NodeID(message.GetSender().GetId())
+	isSender := func(member *record) bool { return member.ID == sender }
 	hubs := hubsOf(members)
-	if len(hubs) == 0 || slices.ContainsFunc(hubs, isAsker) {
+	if len(hubs) == 0 || slices.ContainsFunc(hubs, isSender) {
 		return false
 	}
 	other := func(member *record) bool {
-		return member.State == Alive && !isAsker(member) && !slices.Contains(hubs, member)
+		return member.State == Alive && !isSender(member) && !slices.Contains(hubs, member)
 	}
 	p.sendRecords(from, append(hubs, p.sample(members, maxRedirectRecords-len(hubs), other)...))
 	return true
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -157,8 +157,8 @@
 	p.recordChange(member, changeSuspect)
 }
 
-// advanceDeadline moves a suspect's deadline forward if it has been silent for longer than was
-// known, but leaves it time to refute.
+// advanceDeadline moves a suspect's deadline to an earlier time if it has been silent for longer
+// than was known, but leaves it time to refute.
 func (p *protocol) advanceDeadline(member *record, silentSince time.Time) {
 	longer := member.silentSince.Sub(silentSince)
 	if longer <= 0 {
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -53,12 +53,12 @@
 }
 
 // add appends a record unless it exceeds the remaining bytes; then full is set.
-func (p *newsBuilder) add(member *record) {
-	wire := member.encode(p.now)
+func (b *newsBuilder) add(member *record) {
+	wire := member.encode(b.now)
 	size := proto.Size(wire)
-	if p.full = size > p.remainingBytes; !p.full {
-		p.remainingBytes -= size
-		p.news = append(p.news, wire)
+	if b.full = size > b.remainingBytes; !b.full {
+		b.remainingBytes -= size
+		b.news = append(b.news, wire)
 	}
 }
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// nextTime returns the time after due in a period, or a random time within the next period if more
-// than one was missed.
+// nextTime returns the next due time of a task with the given period. After a pause of more than a
+// period it is a random time within the next one.
 func (p *protocol) nextTime(due time.Time, period time.Duration) time.Time {
 	if p.now.Sub(due) > period {
 		return p.now.Add(time.Duration(p.random.Int64N(int64(period))))
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -37,8 +37,8 @@
 	// is published on the next tick: a node that has just started must not act on a view of itself
 	// alone.
 	publishedMembers int
-	// viewChanged is set if the view must be published by nextPublish. publishUrgent is set if it
-	// must be published on the next tick, because a member leaves or has died.
+	// viewChanged is set if the view must be published at nextPublish. publishUrgent is set if it
+	// must be published on the next tick, for example because a member leaves or has died.
 	viewChanged   bool
 	publishUrgent bool
 	nextPublish   time.Time
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -238,8 +238,8 @@
 
 func (s *Service) process(protocol *protocol, input event) {
 	started := clock.Now()
-	signal, waited := input.(signalEvent)
-	if waited {
+	signal, isSignal := input.(signalEvent)
+	if isSignal {
 		input = signal.event
 		defer close(signal.done)
 	}
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -101,10 +101,10 @@
 	// more, all are left out: in a zone of hundreds of members that all differ the digest would
 	// take several KB, and each probe carries its sender's revisions anyway.
 	maxRevisionRuns = 32
-	// crossZoneComparers and crossZoneProbers are the number of members of a zone that exchange
-	// digests with, and probe, members of other zones in each period.
-	crossZoneComparers = 24
-	crossZoneProbers   = 48
+	// crossZoneDigestSenders and crossZoneProbers are the number of members of a zone that send
+	// digests to, and probe, members of other zones in each period.
+	crossZoneDigestSenders = 24
+	crossZoneProbers       = 48
 	// joinContacts is the number of addresses that a node that knows no other member asks at once.
 	joinContacts = 2
 	// maxSeeds bounds the seeds; further contacts are not needed to join.
