--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -124,10 +124,10 @@
 
 // IsRelay reports whether this node is a relay according to its current view.
 func (f *Follower) IsRelay(now time.Time) bool {
-	since := now.Sub(f.started)
-	joining := f.growth.Joining(f.options.Viewer.View(), now, since, storeRelayDelay, maxJoinWait)
+	uptime := now.Sub(f.started)
+	joining := f.growth.Joining(f.options.Viewer.View(), now, uptime, storeRelayDelay, maxJoinWait)
 	chosen, hasStore := f.selfChosen()
-	return chosen && !joining && (hasStore || since >= edgeRelayDelay)
+	return chosen && !joining && (hasStore || uptime >= edgeRelayDelay)
 }
 
 // MayBeRelay reports whether this node, which holds the list already, should keep it: it has a data
@@ -196,17 +196,17 @@
 	response, err := f.askFor(ctx, targets[f.attempt%len(targets)], hold, f.acceptsStale(len(targets)))
 	switch {
 	case err != nil:
-		f.nextRelay(ctx, len(targets), 0)
+		f.switchRelay(ctx, len(targets), 0)
 	case response.GetKeptElsewhere():
 		f.peerAnsweredAt = clock.Now()
-		f.nextRelay(ctx, len(targets), 0)
+		f.switchRelay(ctx, len(targets), 0)
 	case response.GetShort() && f.relayMayBeBehind(clock.Now()):
 		f.peerAnsweredAt = clock.Now()
-		f.nextRelay(ctx, len(targets), behindBackoff)
+		f.switchRelay(ctx, len(targets), behindBackoff)
 	case response.GetShort():
 		return true
 	case f.refusesOlder(response, clock.Now()):
-		f.nextRelay(ctx, len(targets), behindBackoff)
+		f.switchRelay(ctx, len(targets), behindBackoff)
 	default:
 		f.apply(response)
 		f.afterAnswer(ctx, response.GetStale(), len(targets))
@@ -233,14 +233,14 @@
 		f.attempt = 0
 		return
 	}
-	f.nextRelay(ctx, relays, behindBackoff)
+	f.switchRelay(ctx, relays, behindBackoff)
 }
 
 // acceptsStale reports whether all relays get no answers of the key-value service.
 func (f *Follower) acceptsStale(relays int) bool { return f.staleAnswers >= relays }
 
-// nextRelay switches to the next relay after a delay of at least wait.
-func (f *Follower) nextRelay(ctx context.Context, relays int, wait time.Duration) {
+// switchRelay switches to the next relay after a delay of at least wait.
+func (f *Follower) switchRelay(ctx context.Context, relays int, wait time.Duration) {
 	if f.attempt == 0 {
 		f.switchedAt = clock.Now()
 	}
@@ -323,14 +323,14 @@
 	f.lastAnswerAt = clock.Now()
 }
 
-func decodeAll(messages []*rosterpb.Replica) (replicas []replica.Info, failures error) {
+func decodeAll(messages []*rosterpb.Replica) (replicas []replica.Info, errs error) {
 	for _, message := range messages {
 		info, err := decode(message)
 		if err != nil {
-			failures = errors.Join(failures, err)
+			errs = errors.Join(errs, err)
 			continue
 		}
 		replicas = append(replicas, info)
 	}
-	return replicas, failures
+	return replicas, errs
 }
--- a/internal/roster/relay.go
+++ b/internal/roster/relay.go
@@ -51,7 +51,7 @@
 	defer timer.Stop()
 	for expired := false; ; {
 		changed := r.roster.Changed()
-		if response, hasChanges := r.currentAnswer(request); hasChanges || expired && response != nil {
+		if response, sendNow := r.currentAnswer(request); sendNow || expired && response != nil {
 			return response, nil
 		}
 		if expired {
@@ -67,9 +67,9 @@
 	}
 }
 
-// currentAnswer returns the answer to a poll at this moment, nil if there is none. hasChanges
+// currentAnswer returns the answer to a poll at this moment, nil if there is none. sendNow
 // reports whether it must be sent at once rather than at the end of the hold.
-func (r *Relay) currentAnswer(request *rosterpb.FollowRequest) (response *rosterpb.FollowResponse, hasChanges bool) {
+func (r *Relay) currentAnswer(request *rosterpb.FollowRequest) (response *rosterpb.FollowResponse, sendNow bool) {
 	loaded, long := r.roster.Loaded(), r.roster.Long()
 	switch {
 	case loaded && long:
@@ -83,9 +83,9 @@
 	}
 }
 
-// partAnswer returns the change of the node's part since its last answer. hasChanges reports
+// partAnswer returns the change of the node's part since its last answer. sendNow reports
 // whether it must be sent at once.
-func (r *Relay) partAnswer(request *rosterpb.FollowRequest, now time.Time) (response *rosterpb.FollowResponse, hasChanges bool) {
+func (r *Relay) partAnswer(request *rosterpb.FollowRequest, now time.Time) (response *rosterpb.FollowResponse, sendNow bool) {
 	part := Part{Node: request.GetNode(), Zone: request.GetZone(), Width: min(maxWidth, max(1, int(request.GetWidth())))}
 	wanted := r.roster.selectPart(part)
 	r.mutex.Lock()
@@ -117,7 +117,7 @@
 		response.Replicas = append(response.Replicas, encode(changed.Info))
 	}
 	for _, id := range delta.removed {
-		if _, lives := r.roster.Find(id); lives {
+		if _, listed := r.roster.Find(id); listed {
 			response.PassedOver = append(response.PassedOver, id)
 		} else {
 			response.Gone = append(response.Gone, id)
