--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -13,73 +13,79 @@
 )
 
 const (
-	// lendTimeout bounds the wait for a part. An edge that has spent its processor time stands still for up to 0.1 s.
-	lendTimeout = 200 * time.Millisecond
-	// lendWait is how long a request waits for parts that are being borrowed; most edges answer within a few milliseconds.
-	lendWait = 30 * time.Millisecond
-	// renewAfter is the age at which a borrowed part is renewed.
-	renewAfter = lendingTime / 2
-	// settleTime is how long after its start an edge borrows nothing: it ranks first for many tenants by the few edges that it knows, and
-	// what it borrowed would lie idle for lendingTime. Started together, edges know each other after 0.1 to 0.3 s.
-	settleTime = 300 * time.Millisecond
+	// lendCallTimeout bounds a call for a part. An edge that has used up its CPU quota is paused for up to 0.1 s.
+	lendCallTimeout = 200 * time.Millisecond
+	// partsWaitTimeout bounds how long a request waits for parts that are being leased; most edges answer within a few milliseconds.
+	partsWaitTimeout = 30 * time.Millisecond
+	// renewalAge is the age at which the lease of a part is renewed.
+	renewalAge = leaseDuration / 2
+	// startupSettleTime is how long after its start an edge leases no parts. Until then it knows few edges and so ranks first for many
+	// tenants; the parts that it leased would be unused for leaseDuration. Edges that start together know each other after 0.1 to 0.3 s.
+	startupSettleTime = 300 * time.Millisecond
 )
 
-// borrower grants for one tenant from the parts that it has borrowed. It is safe for concurrent use.
+// borrower grants one tenant's requests from the parts that it has leased from other edges. It is safe for concurrent use.
 type borrower struct {
-	// borrowing is the name of this time as grantor, ceded are the borrowings of the grantors before that ended for it.
-	borrowing string
-	ceded     []string
+	// leaseHolder identifies this grantor's term to the lenders.
+	leaseHolder string
+	// endedHolders are the lease holders whose terms ended when this one began. Lenders may lease out their parts again before expiry.
+	endedHolders []string
 
 	// mutex guards the fields below.
 	mutex  sync.Mutex
 	bucket *bucket
-	parts  map[membership.NodeID]borrowed
-	// askAgainAt holds when edges that did not lend are asked again.
-	askAgainAt map[membership.NodeID]time.Time
-	// renewal is closed when the parts asked for have come or will not; nil where none are asked for.
+	parts  map[membership.NodeID]borrowedPart
+	// retryAt is when edges that refused to lend are asked again.
+	retryAt map[membership.NodeID]time.Time
+	// renewal is closed when the renewal in flight ends; nil while there is none.
 	renewal  chan struct{}
 	lastUsed time.Time
-	// settled says that the first round of asking for parts is over. Until then the level may be that of parts still to come.
-	settled bool
-	// released says that another node grants from now on.
+	// firstRenewalDone is set when the first renewal has ended. Until then the level may exceed the burst of the parts held, since it was
+	// handed over with parts that are still to be leased.
+	firstRenewalDone bool
+	// released is set when another node has taken over as grantor.
 	released bool
 }
 
-// borrowed is the part of one edge.
-type borrowed struct {
+// borrowedPart is the part leased from one edge.
+type borrowedPart struct {
+	// share is the fraction of the tenant's limit.
 	share float64
-	// until is when it must be given up, by a time taken before the lender was asked.
-	until time.Time
+	// expiresAt is counted from before the lender was asked, so that it is earlier than the lender's own expiry.
+	expiresAt time.Time
 }
 
-// newBorrower returns a borrower without parts; level is what the grantor before handed over.
-func newBorrower(name membership.NodeID, request *quotapb.GrantRequest, level float64, ceded []string, now time.Time) *borrower {
+// newBorrower returns a borrower without parts; level is the level that the previous grantor handed over.
+func newBorrower(name membership.NodeID, request *quotapb.GrantRequest, level float64, endedHolders []string, now time.Time) *borrower {
 	return &borrower{
-		borrowing: string(name) + "/" + strconv.FormatInt(now.UnixNano(), 10), ceded: ceded,
-		bucket: newBucket(limitOf(request), request.GetConfigVersion(), level, now), parts: map[membership.NodeID]borrowed{},
-		askAgainAt: map[membership.NodeID]time.Time{}, lastUsed: now,
+		leaseHolder:  string(name) + "/" + strconv.FormatInt(now.UnixNano(), 10),
+		endedHolders: endedHolders,
+		bucket:       newBucket(limitOf(request), request.GetConfigVersion(), level, now),
+		parts:        map[membership.NodeID]borrowedPart{},
+		retryAt:      map[membership.NodeID]time.Time{},
+		lastUsed:     now,
 	}
 }
 
-// collect adds what the parts brought since the last time, and gives up those whose time is over, with what they may hold. What a part
-// that has ended since brought before its end is left out. The mutex is held.
+// collect drops expired parts, refills the bucket at the rate of the remaining ones, and caps its level at their burst. What an expired part
+// accrued between the last call and its expiry is not counted. It returns the sum of the shares held. The caller must hold mutex.
 func (b *borrower) collect(now time.Time) (share float64) {
-	for lender, each := range b.parts {
-		if !now.Before(each.until) {
+	for lender, part := range b.parts {
+		if !now.Before(part.expiresAt) {
 			delete(b.parts, lender)
 			continue
 		}
-		share += each.share
+		share += part.share
 	}
-	b.bucket.fill(share, now)
-	if b.settled {
+	b.bucket.refill(share, now)
+	if b.firstRenewalDone {
 		b.bucket.level = min(b.bucket.level, share*b.bucket.limit.Burst)
 	}
 	return share
 }
 
-// answer takes requests from the bucket; nil where this node does not grant, or has nothing to grant from.
-func (b *borrower) answer(request *quotapb.GrantRequest, now time.Time) *quotapb.GrantResponse {
+// serve takes requests from the bucket. It returns nil where this node is no longer the grantor or holds no parts.
+func (b *borrower) serve(request *quotapb.GrantRequest, now time.Time) *quotapb.GrantResponse {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.released {
@@ -88,62 +94,62 @@
 	b.bucket.setLimit(limitOf(request), request.GetConfigVersion())
 	share := b.collect(now)
 	if share == 0 {
-		// The asker returns what it has elsewhere.
+		// The requester gives its unsent requests back to another grantor.
 		return nil
 	}
-	return b.bucket.answer(request, share, now)
+	return b.bucket.serve(request, share, now)
 }
 
-// short says that the bucket does not hold the wanted requests.
-func (b *borrower) short(wanted uint32, now time.Time) bool {
+// lacks reports whether the bucket holds fewer than wanted requests.
+func (b *borrower) lacks(wanted uint32, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.collect(now)
 	return b.bucket.level < float64(wanted)
 }
 
-// take takes in a part.
-func (b *borrower) take(from membership.NodeID, response *quotapb.LendResponse, until, now time.Time) {
+// addPart adds a leased part and the level that comes with it.
+func (b *borrower) addPart(from membership.NodeID, response *quotapb.LendResponse, expiresAt, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.collect(now)
-	if b.released || !now.Before(until) {
+	if b.released || !now.Before(expiresAt) {
 		return
 	}
-	b.parts[from] = borrowed{share: response.GetShare(), until: until}
+	b.parts[from] = borrowedPart{share: response.GetShare(), expiresAt: expiresAt}
 	b.bucket.level += response.GetLevel()
 }
 
-// refused takes in that an edge does not lend its part, and when it may. Asked with each request, twenty edges had 1,476 calls in the
-// second after a grantor's death, 54 by the time that the lender gives.
-func (b *borrower) refused(by membership.NodeID, freeIn time.Duration, now time.Time) {
+// noteRefusal records that an edge refused to lend its part, and after what time it may be asked again. With a call for each request, twenty
+// edges received 1,476 calls in the second after a grantor's death; with the delay that the lender returns it is 54.
+func (b *borrower) noteRefusal(lender membership.NodeID, availableIn time.Duration, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if freeIn <= 0 {
-		freeIn = renewAfter
+	if availableIn <= 0 {
+		availableIn = renewalAge
 	}
-	b.askAgainAt[by] = now.Add(freeIn)
+	b.retryAt[lender] = now.Add(availableIn)
 }
 
-// due says whether an edge is to be asked for its part. The mutex is held.
-func (b *borrower) due(lender membership.NodeID, now time.Time) bool {
+// renewalDue reports whether an edge is to be asked for its part. The caller must hold mutex.
+func (b *borrower) renewalDue(lender membership.NodeID, now time.Time) bool {
 	if part, held := b.parts[lender]; held {
-		return part.until.Sub(now) <= lendingTime-renewAfter
+		return part.expiresAt.Sub(now) <= leaseDuration-renewalAge
 	}
-	return !now.Before(b.askAgainAt[lender])
+	return !now.Before(b.retryAt[lender])
 }
 
-// release ends this time as grantor, and returns what was left.
+// release ends this node's term as grantor and returns the remaining level.
 func (b *borrower) release(now time.Time) *quotapb.ReleaseResponse {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.collect(now)
 	b.released = true
-	return &quotapb.ReleaseResponse{Held: true, Level: b.bucket.level, Ceded: b.borrowing}
+	return &quotapb.ReleaseResponse{Held: true, Level: b.bucket.level, Ceded: b.leaseHolder}
 }
 
-// beginRenewal returns the edges whose parts are to be asked for, and the channel that ends the wait for them; nil where a renewal is under way
-// or none is needed.
+// beginRenewal returns the edges that are to be asked for their parts, and the channel that is closed when the renewal ends. It returns nil
+// where a renewal is already in flight or none is due.
 func (b *borrower) beginRenewal(candidates []membership.Member, now time.Time) (due []membership.Member, renewal chan struct{}) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -151,9 +157,9 @@
 	if b.renewal != nil {
 		return nil, nil
 	}
-	for _, each := range candidates {
-		if b.due(each.ID, now) {
-			due = append(due, each)
+	for _, candidate := range candidates {
+		if b.renewalDue(candidate.ID, now) {
+			due = append(due, candidate)
 		}
 	}
 	if len(due) == 0 {
@@ -168,11 +174,11 @@
 	defer b.mutex.Unlock()
 	close(b.renewal)
 	b.renewal = nil
-	b.settled = true
+	b.firstRenewalDone = true
 }
 
-// underWay returns the channel that ends the wait for parts; nil where none are asked for.
-func (b *borrower) underWay() chan struct{} {
+// pendingRenewal returns the channel that is closed when the renewal in flight ends; nil where there is none.
+func (b *borrower) pendingRenewal() chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.renewal
@@ -184,116 +190,120 @@
 	return now.Sub(b.lastUsed) > idleAfter
 }
 
-// grantFromParts answers a request from borrowed parts; elsewhere where this node has none.
+// grantFromParts answers a request from leased parts. Where this node holds none, the answer refers the requester elsewhere.
 func (s *Service) grantFromParts(ctx context.Context, request *quotapb.GrantRequest, ranked ranking) *quotapb.GrantResponse {
-	if clock.Since(s.started) < settleTime {
+	if clock.Since(s.started) < startupSettleTime {
 		return &quotapb.GrantResponse{Elsewhere: true}
 	}
-	held := s.borrowerOf(ctx, request, ranked)
-	s.renew(held, request, ranked)
-	if renewal := held.underWay(); renewal != nil && held.short(request.GetWanted(), clock.Now()) {
-		waited, cancel := context.WithTimeout(ctx, lendWait)
+	holder := s.borrowerOf(ctx, request, ranked)
+	s.renewParts(holder, request, ranked)
+	if renewal := holder.pendingRenewal(); renewal != nil && holder.lacks(request.GetWanted(), clock.Now()) {
+		waitCtx, cancel := context.WithTimeout(ctx, partsWaitTimeout)
 		defer cancel()
 		select {
 		case <-renewal:
-		case <-waited.Done():
+		case <-waitCtx.Done():
 		}
 	}
-	if response := held.answer(request, clock.Now()); response != nil {
+	if response := holder.serve(request, clock.Now()); response != nil {
 		return response
 	}
 	return &quotapb.GrantResponse{Elsewhere: true}
 }
 
-// borrowerOf returns the tenant's borrower; a new one has the grantors before it cease.
+// borrowerOf returns the tenant's borrower. Before it creates one it makes the former grantors stop.
 func (s *Service) borrowerOf(ctx context.Context, request *quotapb.GrantRequest, ranked ranking) *borrower {
 	name := request.GetTenant()
 	s.mutex.Lock()
-	held, known := s.borrowing[name]
+	current, known := s.borrowers[name]
 	s.mutex.Unlock()
-	if known && !held.isIdle(clock.Now()) {
-		return held
+	if known && !current.isIdle(clock.Now()) {
+		return current
 	}
-	level, ceded := s.release(ctx, name, ranked)
+	level, endedHolders := s.releaseFormerGrantors(ctx, name, ranked)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if other := s.borrowing[name]; other != nil && other != held {
-		// Another request came first, to whom nothing was handed over then.
-		return other
+	if concurrent := s.borrowers[name]; concurrent != nil && concurrent != current {
+		// A concurrent request created the borrower first; nothing was handed over to this one then.
+		return concurrent
 	}
 	now := clock.Now()
-	held = newBorrower(s.viewer.View().Self, request, level, ceded, now)
-	s.borrowing[name] = held
-	s.logger.Info().Str(logging.FieldTenant, name).Bool("handed_over", len(ceded) > 0).Float64("level", level).
-		Int("rank", ranked.self).Msg("quota_taken_over")
-	return held
+	current = newBorrower(s.viewer.View().Self, request, level, endedHolders, now)
+	s.borrowers[name] = current
+	s.logger.Info().Str(logging.FieldTenant, name).Bool("handed_over", len(endedHolders) > 0).Float64("level", level).
+		Int("rank", ranked.selfIndex).Msg("quota_taken_over")
+	return current
 }
 
-// renew asks for the parts that are missing or grow old, in the background.
-func (s *Service) renew(held *borrower, request *quotapb.GrantRequest, ranked ranking) {
-	due, renewal := held.beginRenewal(s.lenders(ranked), clock.Now())
+// renewParts asks in the background for the parts that are missing or due for renewal.
+func (s *Service) renewParts(holder *borrower, request *quotapb.GrantRequest, ranked ranking) {
+	due, renewal := holder.beginRenewal(s.lenders(ranked), clock.Now())
 	if renewal == nil {
 		return
 	}
 	message := &quotapb.LendRequest{
-		Tenant: request.GetTenant(), Borrowing: held.borrowing, Ceded: held.ceded, Rate: request.GetRate(), Burst: request.GetBurst(),
+		Tenant: request.GetTenant(), Borrowing: holder.leaseHolder, Ceded: holder.endedHolders,
+		Rate: request.GetRate(), Burst: request.GetBurst(),
 	}
-	if !s.begin(func() {
-		defer held.endRenewal()
-		s.borrowFrom(due, held, message)
+	if !s.startBackground(func() {
+		defer holder.endRenewal()
+		s.borrowParts(due, holder, message)
 	}) {
-		held.endRenewal()
+		holder.endRenewal()
 	}
 }
 
-// lenders returns the edges that may be asked for their parts.
+// lenders returns the reachable edges, including those that are leaving.
 func (s *Service) lenders(ranked ranking) []membership.Member {
 	now := clock.Now()
-	var found []membership.Member
+	var reachable []membership.Member
 	for _, members := range [][]membership.Member{ranked.edges, ranked.leaving} {
-		for _, each := range members {
-			if !s.notReached(each, now) {
-				found = append(found, each)
+		for _, member := range members {
+			if !s.unreachable(member, now) {
+				reachable = append(reachable, member)
 			}
 		}
 	}
-	return found
+	return reachable
 }
 
-// borrowFrom asks edges for their parts, all at once.
-func (s *Service) borrowFrom(lenders []membership.Member, held *borrower, message *quotapb.LendRequest) {
-	var asked sync.WaitGroup
+// borrowParts asks the given edges for their parts concurrently and waits for all answers.
+func (s *Service) borrowParts(lenders []membership.Member, holder *borrower, message *quotapb.LendRequest) {
+	var calls sync.WaitGroup
 	self := s.viewer.View().Self
-	for _, each := range lenders {
-		asked.Go(func() {
-			// The lender counts from its answer on, which is later.
-			until := clock.Now().Add(lendingTime)
+	for _, lender := range lenders {
+		calls.Go(func() {
+			// The lender counts its lease from its answer, which is later.
+			expiresAt := clock.Now().Add(leaseDuration)
 			response := &quotapb.LendResponse{}
-			if each.ID == self {
+			if lender.ID == self {
 				response = s.lendPart(message)
-			} else if err := s.callEdge(s.ctx, each, methodLend, message, response, lendTimeout); err != nil {
-				s.logger.Debug().Str(logging.FieldTenant, message.GetTenant()).Str(logging.FieldPeer, string(each.ID)).Err(err).Msg("part_not_lent")
+			} else if err := s.callEdge(s.ctx, lender, methodLend, message, response, lendCallTimeout); err != nil {
+				s.logger.Debug().Str(logging.FieldTenant, message.GetTenant()).Str(logging.FieldPeer, string(lender.ID)).Err(err).
+					Msg("part_not_lent")
 				return
 			}
 			if response.GetLent() {
-				held.take(each.ID, response, until, clock.Now())
+				holder.addPart(lender.ID, response, expiresAt, clock.Now())
 				return
 			}
-			held.refused(each.ID, time.Duration(response.GetFreeMicros())*time.Microsecond, clock.Now())
+			holder.noteRefusal(lender.ID, time.Duration(response.GetFreeMicros())*time.Microsecond, clock.Now())
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 }
 
-// lendPart lends this edge's part of a tenant's limit.
+// lendPart leases this edge's part of a tenant's limit to the requesting grantor.
 func (s *Service) lendPart(request *quotapb.LendRequest) *quotapb.LendResponse {
 	ranked := s.rankingOf(request.GetTenant())
 	if s.mayNotHaveJoined(ranked) {
 		return &quotapb.LendResponse{}
 	}
-	given := s.lender.lend(request.GetTenant(), request.GetBorrowing(), request.GetCeded(), limitOf(request), ranked.known, clock.Now())
+	granted := s.lender.lend(
+		request.GetTenant(), request.GetBorrowing(), request.GetCeded(), limitOf(request), ranked.knownCount, clock.Now(),
+	)
 	return &quotapb.LendResponse{
-		Lent: given.share > 0, Share: given.share / float64(max(1, ranked.known)), Level: given.level,
-		FreeMicros: uint64(given.freeIn.Microseconds()),
+		Lent: granted.share > 0, Share: granted.share / float64(max(1, ranked.knownCount)), Level: granted.level,
+		FreeMicros: uint64(granted.availableIn.Microseconds()),
 	}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -8,31 +8,32 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// longestRetry bounds the time that a refused caller gets to come back: rates and demand change.
-const longestRetry = time.Second
+// maxRetryAfter bounds the retry delay given to a refused caller, because rates and demand change.
+const maxRetryAfter = time.Second
 
 // bucket is a token bucket whose limit may change at any time. It is not safe for concurrent use.
 //
-// Invariant: over any span, what is taken is at most the level at its start and the rate in force times its length, plus what was returned.
+// Invariant: the requests taken in any span are at most the level at its start, plus the rate in force times its length, plus the requests
+// given back.
 type bucket struct {
 	limit tenant.Limit
-	// version is that of the configuration that limit is of.
+	// version is the version of the configuration that limit comes from.
 	version int64
-	// level is what may be taken, at most the burst, as of filledAt.
+	// level is the number of requests that may be taken as of filledAt, at most capacity(limit).
 	level    float64
 	filledAt time.Time
-	// refused are the requests that were refused and are expected back; they are served at the rate.
-	refused float64
+	// expectedRetries is the number of refused requests that are expected to be retried. It drains at the rate.
+	expectedRetries float64
 }
 
 func newBucket(limit tenant.Limit, version int64, level float64, now time.Time) *bucket {
 	return &bucket{limit: limit, version: version, level: min(level, capacity(limit)), filledAt: now}
 }
 
-// capacity is the highest level: the burst, and at least one request, or none could ever be taken.
+// capacity returns the highest level: the burst, but at least one request, as otherwise none could ever be taken.
 func capacity(limit tenant.Limit) float64 { return max(1, limit.Burst) }
 
-// setLimit takes a limit of a configuration that is newer than the one in force.
+// setLimit puts limit in force if its configuration version is newer than the current one.
 func (b *bucket) setLimit(limit tenant.Limit, version int64) {
 	if version <= b.version {
 		return
@@ -41,45 +42,46 @@
 	b.level = min(b.level, capacity(limit))
 }
 
-// fill adds what has come since the last fill at share of the rate.
-func (b *bucket) fill(share float64, now time.Time) {
+// refill adds the requests accrued since the last refill at the given share of the rate.
+func (b *bucket) refill(share float64, now time.Time) {
 	elapsed := max(0, now.Sub(b.filledAt).Seconds())
 	b.filledAt = now
 	added := elapsed * b.limit.RequestsPerSecond * share
 	b.level = min(capacity(b.limit), b.level+added)
-	b.refused = max(0, b.refused-added)
+	b.expectedRetries = max(0, b.expectedRetries-added)
 }
 
-// take takes up to wanted requests and returns how many it took; retryAfter is set where it took fewer: when one of those refused can be
-// expected to be let through, where those refused before come back in turn.
+// take takes up to wanted requests and returns how many it took. Where it took fewer, retryAfter is the time until a refused request can be
+// expected to be admitted, given that the requests refused before it are retried first.
 func (b *bucket) take(wanted int, share float64, now time.Time) (taken int, retryAfter time.Duration) {
-	b.fill(share, now)
+	b.refill(share, now)
 	taken = min(wanted, int(math.Floor(b.level)))
 	b.level -= float64(taken)
 	if taken == wanted {
 		return taken, 0
 	}
-	b.refused += float64(wanted - taken)
-	return taken, b.untilRoom(share)
+	b.expectedRetries += float64(wanted - taken)
+	return taken, b.untilAvailable(share)
 }
 
-func (b *bucket) untilRoom(share float64) time.Duration {
+// untilAvailable returns the time until the next request can be admitted after the expected retries, at most maxRetryAfter.
+func (b *bucket) untilAvailable(share float64) time.Duration {
 	rate := b.limit.RequestsPerSecond * share
 	if rate <= 0 {
-		return longestRetry
+		return maxRetryAfter
 	}
-	seconds := max(1-b.level, b.refused) / rate
-	return min(longestRetry, time.Duration(seconds*float64(time.Second)))
+	seconds := max(1-b.level, b.expectedRetries) / rate
+	return min(maxRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
-// answer takes in what a request returns, and takes what it wants.
-func (b *bucket) answer(request *quotapb.GrantRequest, share float64, now time.Time) *quotapb.GrantResponse {
+// serve gives back the unsent requests that request returns, then takes those that it wants.
+func (b *bucket) serve(request *quotapb.GrantRequest, share float64, now time.Time) *quotapb.GrantResponse {
 	b.giveBack(int(request.GetReturned()))
 	taken, retryAfter := b.take(int(request.GetWanted()), share, now)
 	return &quotapb.GrantResponse{Granted: uint32(taken), RetryMicros: uint64(retryAfter.Microseconds())}
 }
 
-// giveBack returns requests that were taken and not run.
+// giveBack returns requests to the bucket that were taken but did not run.
 func (b *bucket) giveBack(count int) {
 	b.level = min(capacity(b.limit), b.level+float64(count))
 }
--- a/internal/quota/contact.go
+++ b/internal/quota/contact.go
@@ -11,47 +11,48 @@
 )
 
 const (
-	// contactFor is how long a message of another edge shows that this one is not cut off. It is shorter than the time in which a cut
-	// becomes known to membership, 2.8 s and more.
-	contactFor = 500 * time.Millisecond
-	// contactTimeout bounds the wait for a sign of another edge, contactAgain is the time between two tries that fail.
+	// contactValidity is how long after a message from another edge this edge counts as connected. It is shorter than the time in which
+	// membership detects a partition, which is at least 2.8 s.
+	contactValidity = 500 * time.Millisecond
+	// contactTimeout bounds the wait for an answer to a probe.
 	contactTimeout = 30 * time.Millisecond
-	contactAgain   = 300 * time.Millisecond
-	// contactsAsked is the number of other edges that are asked for a sign at once.
-	contactsAsked = 3
+	// contactRetryInterval is the time between failed rounds of probes.
+	contactRetryInterval = 300 * time.Millisecond
+	// contactProbeCount is the number of other edges that are probed at once.
+	contactProbeCount = 3
 )
 
-// contact says whether this edge is in touch with others. One that is cut off does not know so at once, and would grant
-// the whole limit beside the edge that the others ask by then. It is safe for concurrent use.
+// contact tracks whether this edge is connected to other edges. An edge that is partitioned off does not learn so at once; without this check
+// it would grant the whole limit in addition to the edge that the others ask by then. It is safe for concurrent use.
 type contact struct {
-	mutex    sync.Mutex
-	last     time.Time
-	failedAt time.Time
+	mutex       sync.Mutex
+	lastContact time.Time
+	failedAt    time.Time
 }
 
-// note takes in a message of another edge.
-func (c *contact) note(now time.Time) {
+// record notes a message from another edge.
+func (c *contact) record(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.After(c.last) {
-		c.last = now
+	if now.After(c.lastContact) {
+		c.lastContact = now
 	}
 }
 
 func (c *contact) recent(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return now.Sub(c.last) <= contactFor
+	return now.Sub(c.lastContact) <= contactValidity
 }
 
 func (c *contact) failedRecently(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return now.Sub(c.failedAt) < contactAgain
+	return now.Sub(c.failedAt) < contactRetryInterval
 }
 
-// established says that this edge is in touch with another one, or knows of none that lives. It asks some for a sign where none came
-// lately.
+// established reports whether this edge is connected to another one, or knows of no other live edge. It probes some of them where there was
+// no recent contact.
 func (c *contact) established(ctx context.Context, service *Service, ranked ranking) bool {
 	others := ranked.others()
 	now := clock.Now()
@@ -61,8 +62,8 @@
 	if c.failedRecently(now) {
 		return false
 	}
-	if service.anyAnswers(ctx, others[:min(contactsAsked, len(others))]) {
-		c.note(clock.Now())
+	if service.anyAnswers(ctx, others[:min(contactProbeCount, len(others))]) {
+		c.record(clock.Now())
 		return true
 	}
 	c.mutex.Lock()
@@ -71,14 +72,14 @@
 	return false
 }
 
-// anyAnswers says that one of peers answers.
+// anyAnswers reports whether one of peers answers within contactTimeout.
 func (s *Service) anyAnswers(ctx context.Context, peers []membership.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
 	answered := make(chan bool, len(peers))
 	for _, peer := range peers {
 		go func() {
-			// A release of no tenant changes nothing.
+			// A release for an empty tenant name changes nothing.
 			err := s.caller.Call(ctx, peer.PeerAddress, methodRelease, &quotapb.ReleaseRequest{}, &quotapb.ReleaseResponse{})
 			answered <- err == nil
 		}()
--- a/internal/quota/cut_series_test.go
+++ b/internal/quota/cut_series_test.go
@@ -9,34 +9,34 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// TestLimitHoldsOverSeriesOfCuts: groups of edges are cut off together, again and again; each edge learns of a cut, and of its end, at
-// a time of its own. Some are killed and started meanwhile. No window exceeds the limit by more than is allowed.
+// TestLimitHoldsOverSeriesOfCuts: groups of edges are partitioned off repeatedly, and each edge detects a partition and its end at a
+// different time. No window exceeds the limit by more than the allowance.
 func TestLimitHoldsOverSeriesOfCuts(t *testing.T) {
-	// Of the first 42 seeds 41 is the one by which grantors that agreed only by what they knew of the members granted 758 requests where
-	// 680 are allowed.
+	// With seed 41, the worst of the first 42, grantors whose only agreement was their membership view granted 758 requests where 680 are
+	// allowed.
 	for seed := uint64(36); seed < 46; seed++ {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 2))
 			cluster := newCluster(t, 20)
-			holder := hot()
+			holder := limitedTenant()
 			cluster.load(holder, 1, 20, 3*time.Second)
 			for range 3 {
-				cluster.split(cluster.someEdges(random)...)
-				cluster.agreeInTurn(holder, random, 4*time.Second)
+				cluster.partition(cluster.randomEdges(random)...)
+				cluster.updateViewsInTurn(holder, random, 4*time.Second)
 				cluster.load(holder, 1, 400, time.Duration(random.IntN(5000))*time.Millisecond)
-				cluster.split()
-				cluster.agreeInTurn(holder, random, 3*time.Second)
+				cluster.partition()
+				cluster.updateViewsInTurn(holder, random, 3*time.Second)
 				cluster.load(holder, 1, 400, time.Duration(random.IntN(8000))*time.Millisecond)
 			}
-			most := cluster.checkWindows(holder.Limit)
-			t.Logf("seed %d: %d at most, %d admitted, %d refused", seed, most, len(cluster.admitted), cluster.refused)
+			maxAdmitted := cluster.checkWindows(holder.Limit)
+			t.Logf("seed %d: %d at most, %d admitted, %d refused", seed, maxAdmitted, len(cluster.admitted), cluster.refused)
 			cluster.stop()
 		})
 	}
 }
 
-// someEdges returns a third to two thirds of the edges.
-func (c *cluster) someEdges(random *rand.Rand) []*edge {
+// randomEdges returns between one and two thirds of the edges.
+func (c *cluster) randomEdges(random *rand.Rand) []*edge {
 	order := random.Perm(len(c.edges))
 	count := len(c.edges)/3 + random.IntN(len(c.edges)/3)
 	var chosen []*edge
@@ -46,12 +46,12 @@
 	return chosen
 }
 
-// agreeInTurn has the edges learn how things are one after the other, within longest and under load.
-func (c *cluster) agreeInTurn(holder *tenant.Tenant, random *rand.Rand, longest time.Duration) {
+// updateViewsInTurn updates the membership views of the edges one after the other in random order, under load, spread over within.
+func (c *cluster) updateViewsInTurn(holder *tenant.Tenant, random *rand.Rand, within time.Duration) {
 	order := random.Perm(len(c.edges))
-	step := longest / time.Duration(len(order))
+	step := within / time.Duration(len(order))
 	for _, index := range order {
 		c.load(holder, 1, 400, step)
-		c.agree(c.edges[index])
+		c.updateViews(c.edges[index])
 	}
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,19 +1,21 @@
-// Package quota keeps the limits of tenants over all nodes together.
+// Package quota enforces the rate limits of tenants across all edges.
 //
-// Each tenant has one grantor at a time, the edge that ranks first for it by rendezvous hashing among those that live. The grantor holds the
-// tenant's token bucket. An edge asks it for each request before a replica is chosen; requests that come while a question is under
-// way share the next one. No state is durable.
+// Each tenant has one grantor at a time: the live edge that ranks first for it by rendezvous hashing. The grantor holds the tenant's token
+// bucket. An edge asks it for each request before choosing a replica; requests that arrive while a grant call is in flight share the next
+// call. No state is durable.
 //
-// The limit of a tenant against which the slack is small is lent: each edge owns one part in all of it (lender) and lends it to one grantor
-// at a time (borrower), so that it holds whoever grants.
+// The slack is the number of requests by which a tenant may exceed its limit in one window (Allowance).
 //
-// What keeps the sum below the limit of the other tenants:
-//   - A bucket that begins has a small part of what the limit lets be exceeded, and nothing more, unless the grantor before hands over its
-//     level and ceases to grant (Release). So a crash of the grantor, or of all nodes, gives nothing twice.
-//   - The next edge in rank grants only once it does not reach those before it itself.
-//   - A grantor grants the part of the limit that the edges it holds alive are of all that it knows: two sides of a cut together grant
-//     the limit once, as soon as they know of the cut.
-//   - An edge that reaches no grantor spends a part of what the limit lets be exceeded, its own share of it.
+// Where the slack is small against the limit, the limit is leased in parts: each edge owns an equal part of it (lender) and leases that part
+// to one grantor at a time (borrower). The limit then holds whichever edges act as grantors.
 //
-// Times are of the monotonic clock; steps of the time of day have no effect.
+// For the other tenants the following keeps the sum of all grants below the limit and its slack:
+//   - A new bucket starts with a small fraction of the slack and no more, unless the previous grantor hands over its level and stops
+//     granting (Release). So nothing is granted twice after a crash of the grantor, or of all nodes.
+//   - A lower-ranked edge grants only while it cannot itself reach the edges that rank before it.
+//   - A grantor grants the share of the limit that the edges it considers alive make up among all known edges. So the two sides of a
+//     partition together grant the limit once, as soon as both know of the partition.
+//   - An edge that reaches no grantor spends its own share of a fraction of the slack.
+//
+// All times are taken from the monotonic clock; steps of the wall clock have no effect.
 package quota
--- a/internal/quota/fake_test.go
+++ b/internal/quota/fake_test.go
@@ -18,7 +18,7 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// edge is one edge of a cluster under test.
+// edge is one edge of a test cluster.
 type edge struct {
 	id        membership.NodeID
 	zone      string
@@ -27,48 +27,48 @@
 	transport *memory.Transport
 	service   *Service
 	up        bool
-	// registry holds the counters of its process.
+	// registry holds the transport metrics of its current process.
 	registry *prometheus.Registry
 }
 
-// testAllowance is that of the first deployment with tenants.
+// testAllowance equals the allowance of the first deployment with tenants.
 var testAllowance = Allowance{Window: 5 * time.Second, Tolerance: 0.1, Slack: 20}
 
-// cluster is edges on one network.
+// cluster is a set of edges on one in-memory network.
 type cluster struct {
 	t       *testing.T
 	network *memory.Network
 	edges   []*edge
 
 	mutex sync.Mutex
-	// sides holds the side of a cut on which an edge is; 0 is that of most.
-	sides map[netip.AddrPort]int
-	// admitted holds when requests were admitted.
+	// partitions numbers the partition that an edge is in; 0 is the main one. Edges of different partitions do not reach each other.
+	partitions map[netip.AddrPort]int
+	// admitted holds the times at which the admitted requests were made.
 	admitted []time.Time
 	refused  int
 }
 
 func newCluster(t *testing.T, count int) *cluster {
-	made := &cluster{t: t, network: memory.NewNetwork(1), sides: map[netip.AddrPort]int{}}
-	made.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-		made.mutex.Lock()
-		defer made.mutex.Unlock()
-		return memory.Conditions{Delay: 500 * time.Microsecond, Cut: made.sides[from] != made.sides[to]}
+	created := &cluster{t: t, network: memory.NewNetwork(1), partitions: map[netip.AddrPort]int{}}
+	created.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
+		created.mutex.Lock()
+		defer created.mutex.Unlock()
+		return memory.Conditions{Delay: 500 * time.Microsecond, Cut: created.partitions[from] != created.partitions[to]}
 	})
 	for index := range count {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(9000+index))
-		made.edges = append(made.edges, &edge{id: membership.NodeID(fmt.Sprintf("edge-%02d", index)), address: address, view: membershiptest.NewViewer(nil)})
+		created.edges = append(created.edges, &edge{id: membership.NodeID(fmt.Sprintf("edge-%02d", index)), address: address, view: membershiptest.NewViewer(nil)})
 	}
-	for _, each := range made.edges {
-		made.start(each)
+	for _, member := range created.edges {
+		created.start(member)
 	}
-	made.agree()
-	// Edges that were just started do not lend, and their parts of a burst come with time.
+	created.updateViews()
+	// Edges that have just started do not lend yet, and their parts of a burst accrue over time.
 	time.Sleep(2 * time.Second)
-	return made
+	return created
 }
 
-// start starts an edge's process anew; it knows nothing of the one before.
+// start starts an edge's process, which has no state from an earlier one.
 func (c *cluster) start(started *edge) {
 	var err error
 	started.registry = prometheus.NewRegistry()
@@ -89,69 +89,70 @@
 }
 
 func (c *cluster) stop() {
-	for _, each := range c.edges {
-		if each.up {
-			c.kill(each)
+	for _, member := range c.edges {
+		if member.up {
+			c.kill(member)
 		}
 	}
 }
 
-func (c *cluster) member(of *edge, state membership.State) membership.Member {
-	return membership.Member{ID: of.id, Zone: of.zone, PeerAddress: of.address, State: state}
+func (c *cluster) member(described *edge, state membership.State) membership.Member {
+	return membership.Member{ID: described.id, Zone: described.zone, PeerAddress: described.address, State: state}
 }
 
-// agree has the given edges, or all, know how things are: who is down or on another side is dead to those that do not reach it.
-func (c *cluster) agree(who ...*edge) {
-	if len(who) == 0 {
-		who = c.edges
+// updateViews brings the membership views of the given edges, or of all, up to date: edges that are down or in another partition are dead.
+func (c *cluster) updateViews(edges ...*edge) {
+	if len(edges) == 0 {
+		edges = c.edges
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, viewer := range who {
-		view := &membership.View{Self: viewer.id}
+	for _, observer := range edges {
+		view := &membership.View{Self: observer.id}
 		for _, other := range c.edges {
 			state := membership.Alive
-			reached := c.sides[other.address] == c.sides[viewer.address]
-			if !other.up || !reached {
+			reachable := c.partitions[other.address] == c.partitions[observer.address]
+			if !other.up || !reachable {
 				state = membership.Dead
 			}
 			view.Members = append(view.Members, c.member(other, state))
 		}
-		viewer.view.Set(view)
+		observer.view.Set(view)
 	}
 }
 
-// cut cuts each of the given edges off from all others, and ends the cut before.
-func (c *cluster) cut(alone ...*edge) {
+// isolate puts each of the given edges into a partition of its own and all others into the main one.
+func (c *cluster) isolate(isolated ...*edge) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	clear(c.sides)
-	for number, each := range alone {
-		c.sides[each.address] = number + 1
+	clear(c.partitions)
+	for number, member := range isolated {
+		c.partitions[member.address] = number + 1
 	}
 }
 
-// split cuts the given edges off from the others, not from each other.
-func (c *cluster) split(together ...*edge) {
+// partition puts the given edges together into one partition and all others into the main one.
+func (c *cluster) partition(group ...*edge) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	clear(c.sides)
-	for _, each := range together {
-		c.sides[each.address] = 1
+	clear(c.partitions)
+	for _, member := range group {
+		c.partitions[member.address] = 1
 	}
 }
 
-// load sends perSecond requests a second for so long, to the living edges in turn; the last of them have been decided at its end.
+// load sends perSecond requests per second to the edges in turn, leaving out those that are down, for the duration of span. It returns when
+// all of them have been decided.
 func (c *cluster) load(holder *tenant.Tenant, version int64, perSecond int, span time.Duration) {
 	var requests sync.WaitGroup
 	count := int(span.Seconds() * float64(perSecond))
 	for number := range count {
-		at := c.edges[number%len(c.edges)]
-		if !at.up {
+		target := c.edges[number%len(c.edges)]
+		if !target.up {
 			time.Sleep(time.Second / time.Duration(perSecond))
 			continue
 		}
-		service := at.service
+		service := target.service
 		requests.Go(func() {
 			sent := time.Now()
 			verdict := service.Admit(c.t.Context(), holder, version)
@@ -168,45 +169,46 @@
 	requests.Wait()
 }
 
-// grantorOf returns the edge that ranks first.
+// grantorOf returns the edge that ranks first in the view of the first edge.
 func (c *cluster) grantorOf(holder *tenant.Tenant) *edge {
-	first := rank(c.edges[0].view.View(), holder.Name).edges[0]
-	for _, each := range c.edges {
-		if each.id == first.ID {
-			return each
+	grantor := rank(c.edges[0].view.View(), holder.Name).edges[0]
+	for _, member := range c.edges {
+		if member.id == grantor.ID {
+			return member
 		}
 	}
 	c.t.Fatal("no grantor")
 	return nil
 }
 
-// checkWindows fails where the admitted requests of some window exceed the limit by more than is allowed.
-func (c *cluster) checkWindows(limit tenant.Limit) (most int) {
+// checkWindows fails the test if the admitted requests of any window exceed the limit by more than the allowance. It returns the highest
+// number in a window.
+func (c *cluster) checkWindows(limit tenant.Limit) (maxAdmitted int) {
 	c.t.Helper()
 	allowance := testAllowance
 	allowed := limit.RequestsPerSecond*allowance.Window.Seconds() + limit.Burst + allowance.slack(limit)
 	slices.SortFunc(c.admitted, time.Time.Compare)
 	first := 0
-	for last, each := range c.admitted {
-		for each.Sub(c.admitted[first]) >= allowance.Window {
+	for last, admittedAt := range c.admitted {
+		for admittedAt.Sub(c.admitted[first]) >= allowance.Window {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxAdmitted = max(maxAdmitted, last-first+1)
 	}
-	if float64(most) > allowed {
-		c.t.Errorf("%d requests in one window, allowed are %.0f", most, allowed)
+	if float64(maxAdmitted) > allowed {
+		c.t.Errorf("%d requests in one window, want %.0f at most", maxAdmitted, allowed)
 	}
-	return most
+	return maxAdmitted
 }
 
-// received returns the frames of a method that the processes that are up have received so far, questions and answers.
-func (c *cluster) received(method transport.Method) (frames float64) {
+// receivedFrames returns the number of frames of a method, requests and responses, that the running processes have received so far.
+func (c *cluster) receivedFrames(method transport.Method) (frames float64) {
 	c.t.Helper()
-	for _, each := range c.edges {
-		if !each.up {
+	for _, member := range c.edges {
+		if !member.up {
 			continue
 		}
-		families, err := each.registry.Gather()
+		families, err := member.registry.Gather()
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/quota/fx.go
+++ b/internal/quota/fx.go
@@ -10,11 +10,17 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Module provides the Service of an edge.
+// Module provides an edge's Service.
 var Module = fx.Module("quota", fx.Provide(provide))
 
-func provide(lifecycle fx.Lifecycle, own settings.Settings, members *membership.Service, caller transport.Caller, registrar transport.Registrar, registerer prometheus.Registerer, logger zerolog.Logger) *Service {
-	service := NewService(Allowance{Window: own.Bounds.QuotaWindow, Tolerance: own.Bounds.QuotaTolerance, Slack: own.Bounds.QuotaSlack}, members, caller, registrar, registerer, logger)
+func provide(
+	lifecycle fx.Lifecycle, config settings.Settings, members *membership.Service, caller transport.Caller, registrar transport.Registrar,
+	registerer prometheus.Registerer, logger zerolog.Logger,
+) *Service {
+	service := NewService(
+		Allowance{Window: config.Bounds.QuotaWindow, Tolerance: config.Bounds.QuotaTolerance, Slack: config.Bounds.QuotaSlack},
+		members, caller, registrar, registerer, logger,
+	)
 	lifecycle.Append(fx.StopHook(service.Stop))
 	return service
 }
--- a/internal/quota/grantor.go
+++ b/internal/quota/grantor.go
@@ -16,91 +16,93 @@
 )
 
 const (
-	// relayTimeout bounds the wait for an edge that ranks before this one: a message between zones takes some ms there and back, also
-	// where the other has a fifth of a core. One that stands still for longer, having spent its processor time, is stood in for, and
-	// takes the tenant back when it is asked again.
+	// relayTimeout bounds the wait for a higher-ranked edge: a round trip between zones takes some milliseconds, also where the other edge
+	// has a fifth of a core. An edge that is paused for longer, because it has used up its CPU quota, is stood in for, and takes the
+	// tenant back when it is asked again.
 	relayTimeout = 30 * time.Millisecond
-	// releaseTimeout bounds the wait for the grantor before, and is on the way of the first request after a change of the grantor.
+	// releaseTimeout bounds the wait for the former grantors. It delays the first request after a change of grantor.
 	releaseTimeout = 25 * time.Millisecond
-	// releasedSuccessors is the number of edges behind this one in rank that may have granted before: the next one, and the one that
-	// stood in for it.
+	// releasedSuccessors is the number of lower-ranked edges that may have granted before this one: the next in rank, and the one that
+	// stood in for that.
 	releasedSuccessors = 2
-	// idleAfter is the time without requests after which another edge may have become the grantor and ceased again.
+	// idleAfter is the time without requests after which another edge may have become the grantor and stopped again.
 	idleAfter = 3 * time.Second
-	// joinTime is how long after its start an edge that knows no other does not grant: it has not met the others yet.
-	joinTime = 2 * time.Second
+	// joinGracePeriod is how long after its start an edge that knows no other edge does not grant, since it may not have joined yet.
+	joinGracePeriod = 2 * time.Second
 )
 
-// grants is what this node knows of one tenant that it grants for. Its bucket is used once ready is closed.
-type grants struct {
+// grantState is the state of one tenant that this node grants for from a bucket of its own.
+type grantState struct {
+	// ready is closed when bucket has been set.
 	ready chan struct{}
 	// mutex guards the fields below.
 	mutex    sync.Mutex
 	bucket   *bucket
 	lastUsed time.Time
-	// released says that another node grants from now on.
+	// released is set when another node has taken over as grantor.
 	released bool
-	// begunAt is when this node began to grant; zero where the one before handed over.
-	begunAt time.Time
+	// startedAt is when this node began to grant; zero where the previous grantor handed over.
+	startedAt time.Time
 }
 
-// grant answers a request as the tenant's grantor, or has one that ranks before this node answer it.
+// grant relays a request to the higher-ranked edges, and answers it as the tenant's grantor where none of them does.
 func (s *Service) grant(ctx context.Context, request *quotapb.GrantRequest) *quotapb.GrantResponse {
 	ranked := s.rankingOf(request.GetTenant())
-	if ranked.self < 0 || s.mayNotHaveJoined(ranked) {
+	if ranked.selfIndex < 0 || s.mayNotHaveJoined(ranked) {
 		return &quotapb.GrantResponse{Elsewhere: true}
 	}
-	for _, before := range ranked.edges[:ranked.self] {
-		if response := s.askPeer(ctx, before, request, relayTimeout); response != nil {
+	for _, higherRanked := range ranked.edges[:ranked.selfIndex] {
+		if response := s.askPeer(ctx, higherRanked, request, relayTimeout); response != nil {
 			return response
 		}
 	}
-	if s.allowance.lent(limitOf(request)) {
+	if s.allowance.usesLeases(limitOf(request)) {
 		return s.grantFromParts(ctx, request, ranked)
 	}
 	if !s.contact.established(ctx, s, ranked) {
 		return &quotapb.GrantResponse{Elsewhere: true}
 	}
 	for ctx.Err() == nil {
-		held := s.grantsOf(ctx, request, ranked)
-		if response := held.answer(request, s.shareOf(ranked, limitOf(request), held.begun(), clock.Now()), clock.Now()); response != nil {
+		state := s.grantStateOf(ctx, request, ranked)
+		if response := state.serve(request, s.shareOf(ranked, limitOf(request), state.startTime(), clock.Now()), clock.Now()); response != nil {
 			return response
 		}
 	}
 	return &quotapb.GrantResponse{Elsewhere: true}
 }
 
-// begun returns when this node began to grant without a handover.
-func (g *grants) begun() time.Time {
+// startTime returns when this node began to grant; zero where the previous grantor handed over.
+func (g *grantState) startTime() time.Time {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.begunAt
+	return g.startedAt
 }
 
-// shareOf returns the part of the limit that this node grants, which began to at begunAt. Where some edges are not known to live, the other
-// side of a cut may learn of it later than this one, and grants the whole limit until then.
-func (s *Service) shareOf(ranked ranking, limit tenant.Limit, begunAt, now time.Time) float64 {
-	otherSide := ranked.share < 1 && !begunAt.IsZero() && now.Sub(begunAt) < detectionTime
-	if ranked.self > 0 || otherSide {
-		return ranked.share * s.allowance.standInShare(limit)
+// shareOf returns the share of the limit that this node grants, having started at startedAt. Where some edges are not considered alive, the
+// other side of a partition may detect it later than this one and grant the whole limit until then.
+func (s *Service) shareOf(ranked ranking, limit tenant.Limit, startedAt, now time.Time) float64 {
+	otherSideMayGrant := ranked.liveShare < 1 && !startedAt.IsZero() && now.Sub(startedAt) < detectionTime
+	if ranked.selfIndex > 0 || otherSideMayGrant {
+		return ranked.liveShare * s.allowance.standInShare(limit)
 	}
-	return ranked.share
+	return ranked.liveShare
 }
 
-// mayNotHaveJoined says that this node knows no other edge, soon after its start.
+// mayNotHaveJoined reports whether this node knows no other edge and has started within joinGracePeriod.
 func (s *Service) mayNotHaveJoined(ranked ranking) bool {
-	return ranked.known <= 1 && clock.Since(s.started) < joinTime
+	return ranked.knownCount <= 1 && clock.Since(s.started) < joinGracePeriod
 }
 
-// askPeer asks another edge; nil where it gives no answer or does not grant. Ranks do not depend on a node's view, so that a request that
-// is passed on comes to ever higher ranks and ends.
-func (s *Service) askPeer(ctx context.Context, peer membership.Member, request *quotapb.GrantRequest, longest time.Duration) *quotapb.GrantResponse {
-	if s.notReached(peer, clock.Now()) {
+// askPeer asks another edge for a grant. It returns nil where the edge does not answer or does not grant. The order of any two edges is the
+// same in every view, so a relayed request only moves to higher ranks and cannot loop.
+func (s *Service) askPeer(ctx context.Context, peer membership.Member, request *quotapb.GrantRequest, timeout time.Duration) *quotapb.GrantResponse {
+	if s.unreachable(peer, clock.Now()) {
 		return nil
 	}
 	response := &quotapb.GrantResponse{}
-	if err := s.callEdge(ctx, peer, methodGrant, request, response, longest); err != nil {
-		s.logger.Info().Str(logging.FieldTenant, request.GetTenant()).Str(logging.FieldPeer, string(peer.ID)).Err(err).Msg("grantor_not_reached")
+	if err := s.callEdge(ctx, peer, methodGrant, request, response, timeout); err != nil {
+		s.logger.Info().Str(logging.FieldTenant, request.GetTenant()).Str(logging.FieldPeer, string(peer.ID)).Err(err).
+			Msg("grantor_not_reached")
 		return nil
 	}
 	if response.GetElsewhere() {
@@ -109,50 +111,53 @@
 	return response
 }
 
-// callEdge calls another edge, and notes whether it is reached.
-func (s *Service) callEdge(ctx context.Context, peer membership.Member, method transport.Method, request, response proto.Message, longest time.Duration) error {
-	bounded, cancel := context.WithTimeout(ctx, longest)
+// callEdge calls another edge and records whether it was reached.
+func (s *Service) callEdge(
+	ctx context.Context, peer membership.Member, method transport.Method, request, response proto.Message, timeout time.Duration,
+) error {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if err := s.caller.Call(bounded, peer.PeerAddress, method, request, response); err != nil {
-		// Where the caller's own time ended first the edge may answer yet.
-		s.noteNoAnswer(peer, ctx.Err() == nil && bounded.Err() != nil, clock.Now())
+	if err := s.caller.Call(callCtx, peer.PeerAddress, method, request, response); err != nil {
+		// Where the caller's context ended first the edge might still have answered, so this is no timeout of the edge.
+		s.noteCallFailure(peer, ctx.Err() == nil && callCtx.Err() != nil, clock.Now())
 		return err
 	}
 	now := clock.Now()
-	s.contact.note(now)
+	s.contact.record(now)
 	s.zones.Of(peer.Zone).NoteAnswer(now)
 	return nil
 }
 
-// noteNoAnswer takes in that an edge gave no answer; silent says that it did not refuse either, as an edge does whose process has ended.
-func (s *Service) noteNoAnswer(peer membership.Member, silent bool, now time.Time) {
+// noteCallFailure records that an edge did not answer. timedOut is set where the connection was not refused either, as it is where the edge's
+// process has ended.
+func (s *Service) noteCallFailure(peer membership.Member, timedOut bool, now time.Time) {
 	s.unreached.Note(peer.PeerAddress, now)
-	if silent && s.zones.Of(peer.Zone).NoteSilence(string(peer.ID), now) {
+	if timedOut && s.zones.Of(peer.Zone).NoteSilence(string(peer.ID), now) {
 		s.logger.Info().Str("zone_cut_off", peer.Zone).Str(logging.FieldPeer, string(peer.ID)).Msg("zone_not_reached")
 	}
 }
 
-// grantsOf returns the tenant's bucket, which is taken over from the grantor before where this node has none.
-func (s *Service) grantsOf(ctx context.Context, request *quotapb.GrantRequest, ranked ranking) *grants {
+// grantStateOf returns the tenant's state. Where this node has none, or an idle one, it takes over from the previous grantor first.
+func (s *Service) grantStateOf(ctx context.Context, request *quotapb.GrantRequest, ranked ranking) *grantState {
 	name := request.GetTenant()
 	s.mutex.Lock()
-	held, known := s.granting[name]
-	if !known || held.isIdle(clock.Now()) {
-		next := &grants{ready: make(chan struct{}), lastUsed: clock.Now()}
-		s.granting[name] = next
+	existing, known := s.grantStates[name]
+	if !known || existing.isIdle(clock.Now()) {
+		created := &grantState{ready: make(chan struct{}), lastUsed: clock.Now()}
+		s.grantStates[name] = created
 		s.mutex.Unlock()
-		next.begin(s.takeOver(ctx, request, ranked, held))
-		return next
+		created.activate(s.takeOver(ctx, request, ranked, existing))
+		return created
 	}
 	s.mutex.Unlock()
 	select {
-	case <-held.ready:
+	case <-existing.ready:
 	case <-ctx.Done():
 	}
-	return held
+	return existing
 }
 
-func (g *grants) isIdle(now time.Time) bool {
+func (g *grantState) isIdle(now time.Time) bool {
 	select {
 	case <-g.ready:
 	default:
@@ -163,19 +168,19 @@
 	return now.Sub(g.lastUsed) > idleAfter
 }
 
-// begin makes the grants usable.
-func (g *grants) begin(taken *bucket, handedOver bool) {
+// activate sets the bucket and marks the state ready.
+func (g *grantState) activate(initial *bucket, handedOver bool) {
 	g.mutex.Lock()
-	g.bucket = taken
+	g.bucket = initial
 	if !handedOver {
-		g.begunAt = clock.Now()
+		g.startedAt = clock.Now()
 	}
 	g.mutex.Unlock()
 	close(g.ready)
 }
 
-// answer takes requests from the bucket; nil where another node grants by now.
-func (g *grants) answer(request *quotapb.GrantRequest, share float64, now time.Time) *quotapb.GrantResponse {
+// serve takes requests from the bucket. It returns nil where another node has taken over, or the state is not ready.
+func (g *grantState) serve(request *quotapb.GrantRequest, share float64, now time.Time) *quotapb.GrantResponse {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.bucket == nil || g.released {
@@ -183,55 +188,58 @@
 	}
 	g.lastUsed = now
 	g.bucket.setLimit(limitOf(request), request.GetConfigVersion())
-	return g.bucket.answer(request, share, now)
+	return g.bucket.serve(request, share, now)
 }
 
-// takeOver has the others that may have granted before cease to, and returns the bucket that this node goes on with; before is what
-// this node itself had when it granted last, or nil.
-func (s *Service) takeOver(ctx context.Context, request *quotapb.GrantRequest, ranked ranking, before *grants) (taken *bucket, handedOver bool) {
+// takeOver makes the other edges that may have granted before stop, and returns the bucket that this node starts with; previous is this
+// node's own state from when it last granted, or nil.
+func (s *Service) takeOver(
+	ctx context.Context, request *quotapb.GrantRequest, ranked ranking, previous *grantState,
+) (initial *bucket, handedOver bool) {
 	limit := limitOf(request)
-	s.releaseThoseBefore(request.GetTenant(), ranked)
-	level, ended := s.release(ctx, request.GetTenant(), ranked)
-	handedOver = len(ended) > 0
+	s.releaseHigherRanked(request.GetTenant(), ranked)
+	level, endedHolders := s.releaseFormerGrantors(ctx, request.GetTenant(), ranked)
+	handedOver = len(endedHolders) > 0
 	now := clock.Now()
-	own := before.bucketBefore()
+	ownBucket := previous.lastBucket()
 	switch {
-	case handedOver && own != nil:
-		own.fill(ranked.share, now)
-		level = min(level, own.level)
+	case handedOver && ownBucket != nil:
+		ownBucket.refill(ranked.liveShare, now)
+		level = min(level, ownBucket.level)
 	case handedOver:
-		// The level is that of the grantor before.
-	case own != nil && ranked.self == 0:
-		own.fill(ranked.share, now)
-		level = own.level
-		if ranked.share < 1 {
-			// Another edge may have granted meanwhile that is cut off from this one now.
-			level = min(level, s.allowance.initial(limit)*ranked.share)
+		// The level is the one that the previous grantor handed over.
+	case ownBucket != nil && ranked.selfIndex == 0:
+		ownBucket.refill(ranked.liveShare, now)
+		level = ownBucket.level
+		if ranked.liveShare < 1 {
+			// An edge that is now partitioned from this one may have granted in the meantime.
+			level = min(level, s.allowance.initialLevel(limit)*ranked.liveShare)
 		}
-	case s.mayBeginAnew(request.GetTenant(), now):
-		// Each side of a cut, which may be one edge, begins with its share.
-		level = s.allowance.initial(limit) * ranked.share
+	case s.claimInitialLevel(request.GetTenant(), now):
+		// Each side of a partition, which may be a single edge, starts with its share.
+		level = s.allowance.initialLevel(limit) * ranked.liveShare
 	default:
 		level = 0
 	}
 	s.logger.Info().Str(logging.FieldTenant, request.GetTenant()).Bool("handed_over", handedOver).Float64("level", level).
-		Int("rank", ranked.self).Float64("share", ranked.share).Msg("quota_taken_over")
+		Int("rank", ranked.selfIndex).Float64("share", ranked.liveShare).Msg("quota_taken_over")
 	return newBucket(limit, request.GetConfigVersion(), level, now), handedOver
 }
 
-// mayBeginAnew says that this node has not begun to grant with a part of the slack within the last window.
-func (s *Service) mayBeginAnew(tenantName string, now time.Time) bool {
+// claimInitialLevel reports whether this node may start a bucket with a part of the slack, which it may once per window, and records that it
+// does.
+func (s *Service) claimInitialLevel(tenantName string, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if last, known := s.begun[tenantName]; known && now.Sub(last) < s.allowance.Window {
+	if last, known := s.initialLevelUsedAt[tenantName]; known && now.Sub(last) < s.allowance.Window {
 		return false
 	}
-	s.begun[tenantName] = now
+	s.initialLevelUsedAt[tenantName] = now
 	return true
 }
 
-// bucketBefore returns the bucket of grants that are over; nil where there are none.
-func (g *grants) bucketBefore() *bucket {
+// lastBucket returns the bucket of g; nil where g is nil.
+func (g *grantState) lastBucket() *bucket {
 	if g == nil {
 		return nil
 	}
@@ -240,24 +248,26 @@
 	return g.bucket
 }
 
-// releaseThoseBefore has edges that rank before this one cease to grant; they do not answer, and may read this later.
-func (s *Service) releaseThoseBefore(tenantName string, ranked ranking) {
-	for _, before := range ranked.edges[:ranked.self] {
-		if err := s.caller.Send(before.PeerAddress, methodRelease, &quotapb.ReleaseRequest{Tenant: tenantName}); err != nil {
-			s.logger.Debug().Err(err).Str(logging.FieldPeer, string(before.ID)).Msg("release_not_sent")
+// releaseHigherRanked tells the higher-ranked edges to stop granting. It does not wait for an answer: they were not reached, and may receive
+// the message later.
+func (s *Service) releaseHigherRanked(tenantName string, ranked ranking) {
+	for _, higherRanked := range ranked.edges[:ranked.selfIndex] {
+		if err := s.caller.Send(higherRanked.PeerAddress, methodRelease, &quotapb.ReleaseRequest{Tenant: tenantName}); err != nil {
+			s.logger.Debug().Err(err).Str(logging.FieldPeer, string(higherRanked.ID)).Msg("release_not_sent")
 		}
 	}
 }
 
-// release has those cease to grant that may have stood in for this edge; ended names what they borrowed, an empty text each where that
-// was nothing, and level is the least that one of them had left.
-func (s *Service) release(ctx context.Context, tenantName string, ranked ranking) (level float64, ended []string) {
+// releaseFormerGrantors makes the edges that may have granted before this one stop, and waits for their answers. endedHolders has an entry
+// for each that did grant: its lease holder, or an empty string where it leased no parts. level is the lowest level that one of them had
+// left.
+func (s *Service) releaseFormerGrantors(ctx context.Context, tenantName string, ranked ranking) (level float64, endedHolders []string) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	message := &quotapb.ReleaseRequest{Tenant: tenantName}
-	asked := ranked.formerGrantors(releasedSuccessors)
-	answers := make(chan *quotapb.ReleaseResponse, len(asked))
-	for _, peer := range asked {
+	former := ranked.formerGrantors(releasedSuccessors)
+	answers := make(chan *quotapb.ReleaseResponse, len(former))
+	for _, peer := range former {
 		go func() {
 			response := &quotapb.ReleaseResponse{}
 			if err := s.caller.Call(ctx, peer.PeerAddress, methodRelease, message, response); err != nil {
@@ -266,26 +276,26 @@
 			answers <- response
 		}()
 	}
-	for range asked {
+	for range former {
 		answer := <-answers
 		if !answer.GetHeld() {
 			continue
 		}
-		if len(ended) == 0 || answer.GetLevel() < level {
+		if len(endedHolders) == 0 || answer.GetLevel() < level {
 			level = answer.GetLevel()
 		}
-		ended = append(ended, answer.GetCeded())
+		endedHolders = append(endedHolders, answer.GetCeded())
 	}
-	return level, ended
+	return level, endedHolders
 }
 
-// handOver ceases to grant for a tenant.
+// handOver stops granting for a tenant and returns what was left.
 func (s *Service) handOver(tenantName string) *quotapb.ReleaseResponse {
 	s.mutex.Lock()
-	borrower, borrows := s.borrowing[tenantName]
-	delete(s.borrowing, tenantName)
-	held, known := s.granting[tenantName]
-	delete(s.granting, tenantName)
+	borrower, borrows := s.borrowers[tenantName]
+	delete(s.borrowers, tenantName)
+	state, known := s.grantStates[tenantName]
+	delete(s.grantStates, tenantName)
 	s.mutex.Unlock()
 	if borrows {
 		return borrower.release(clock.Now())
@@ -293,19 +303,19 @@
 	if !known {
 		return &quotapb.ReleaseResponse{}
 	}
-	share := s.rankingOf(tenantName).share
-	held.mutex.Lock()
-	defer held.mutex.Unlock()
-	held.released = true
-	if held.bucket == nil {
-		// It was just taking over itself.
+	share := s.rankingOf(tenantName).liveShare
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	state.released = true
+	if state.bucket == nil {
+		// This node was itself still taking over.
 		return &quotapb.ReleaseResponse{}
 	}
-	held.bucket.fill(share, clock.Now())
-	return &quotapb.ReleaseResponse{Held: true, Level: held.bucket.level}
+	state.bucket.refill(share, clock.Now())
+	return &quotapb.ReleaseResponse{Held: true, Level: state.bucket.level}
 }
 
-// limitOf returns the limit that a message names.
+// limitOf returns the limit carried by a message.
 func limitOf(request interface {
 	GetRate() float64
 	GetBurst() float64
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -8,81 +8,85 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// lendingTime is how long a part is lent. When a grantor dies its parts lie idle for so long, and so do the parts of an edge that was
-// started, which does not know to whom it lent before. Grantors renew after half of it: two calls a second, large tenant and edge.
-const lendingTime = time.Second
+// leaseDuration is how long a part is leased. When a grantor dies, its parts are unused until their leases expire. An edge that has restarted
+// does not know its leases from before, and lends at most startupShare of its parts for this time. Grantors renew after half of it: two calls
+// per second for each tenant whose limit is leased and each edge.
+const leaseDuration = time.Second
 
-// startShare is the share of its part that an edge lends within lendingTime of its start, as the whole part may be lent to a grantor that
-// lives on. After all edges were killed it lets half the limit through at once. The price: half the rate for a second of the edges that
-// were started and cut off from their grantor at once; the slack is that of half the rate of all edges for a second, or more.
-const startShare = 0.5
+// startupShare is the share of its part that an edge lends within leaseDuration of its start, since the part may still be leased in full to a
+// live grantor. It lets half the limit through at once after all edges were killed. The cost is an excess of half the rate for one second
+// of those edges that restarted and were at once partitioned from their grantor; the slack covers half the rate of all edges for a second
+// or more.
+const startupShare = 0.5
 
-// lender lends this edge's part of each tenant's limit: one part in all known edges, of the rate and of the burst.
+// lender leases out this edge's part of each tenant's limit: of the rate and of the burst, divided equally among all known edges.
 //
-// Invariant: a part is lent to one borrowing at a time, and to the next only once the time of the one before is over or that was
-// ceded. So what all grantors grant together in any window is at most the limit, whoever reaches whom and whatever each knows of the
-// others. Two things can make it more: edges that disagree on the number of edges, by as much as they do, and startShare.
+// Invariant: a part is leased to one holder at a time, and to the next only once the previous lease has expired or its holder's term has
+// ended. So all grantors together grant at most the limit in any window, whichever edges reach each other and whatever their views of the
+// membership. Two things can exceed it: edges that disagree on the number of edges, in proportion to the disagreement, and startupShare.
 type lender struct {
 	// mutex guards parts.
 	mutex   sync.Mutex
 	started time.Time
-	parts   map[string]*part
+	parts   map[string]*partLease
 }
 
-// part is the part of one tenant. What it collects while nobody has borrowed it follows from until: nothing is left of it when it is lent.
-type part struct {
-	// borrowing is the one that the part was last lent to, until is the end of its time.
-	borrowing string
-	until     time.Time
+// partLease is the last lease of this edge's part of one tenant's limit. A lease hands out the part's whole level, so the level that has
+// accrued while the part is free follows from expiresAt.
+type partLease struct {
+	holder    string
+	expiresAt time.Time
 }
 
-func newLender(now time.Time) *lender { return &lender{started: now, parts: map[string]*part{}} }
+func newLender(now time.Time) *lender { return &lender{started: now, parts: map[string]*partLease{}} }
 
-// lending is what a borrower gets; a share of 0 is nothing.
-type lending struct {
-	// share is the share of the part, level the requests that come with it.
+// lease is the result of a call for a part; it is refused where share is 0.
+type lease struct {
+	// share is the leased share of the part, from 0 to 1.
 	share float64
+	// level is the number of requests that have accrued to the part.
 	level float64
-	// freeIn is how long the part is still lent to another.
-	freeIn time.Duration
+	// availableIn is how long the part is still leased to another holder.
+	availableIn time.Duration
 }
 
-// lend lends the tenant's part, of which there are so many in all, to a borrowing; ceded are borrowings that have ended.
-func (l *lender) lend(tenantName, borrowing string, ceded []string, limit tenant.Limit, parts int, now time.Time) lending {
+// lend leases this edge's part of the tenant's limit to holder; parts is the number of parts that the limit is divided into. The leases of
+// endedHolders count as expired.
+func (l *lender) lend(tenantName, holder string, endedHolders []string, limit tenant.Limit, parts int, now time.Time) lease {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	held := l.parts[tenantName]
-	if held == nil {
-		held = &part{}
-		l.parts[tenantName] = held
+	current := l.parts[tenantName]
+	if current == nil {
+		current = &partLease{}
+		l.parts[tenantName] = current
 	}
-	if now.Before(held.until) && held.borrowing != borrowing && !slices.Contains(ceded, held.borrowing) {
-		return lending{freeIn: held.until.Sub(now)}
+	if now.Before(current.expiresAt) && current.holder != holder && !slices.Contains(endedHolders, current.holder) {
+		return lease{availableIn: current.expiresAt.Sub(now)}
 	}
-	full := l.started.Add(lendingTime)
-	given := lending{share: 1, level: collected(partOf(limit, parts), later(held.until, full), now)}
-	if now.Before(full) {
-		given.share = startShare
+	startupEnd := l.started.Add(leaseDuration)
+	granted := lease{share: 1, level: accruedLevel(equalPart(limit, parts), laterOf(current.expiresAt, startupEnd), now)}
+	if now.Before(startupEnd) {
+		granted.share = startupShare
 	}
-	held.borrowing, held.until = borrowing, now.Add(lendingTime)
-	return given
+	current.holder, current.expiresAt = holder, now.Add(leaseDuration)
+	return granted
 }
 
-// later returns the later of two times.
-func later(one, other time.Time) time.Time {
-	if one.After(other) {
-		return one
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	return other
+	return b
 }
 
-// collected returns what a part that was empty at since holds at now: at most its burst, which may be less than one request.
-func collected(own tenant.Limit, since, now time.Time) float64 {
-	return min(own.Burst, max(0, now.Sub(since).Seconds())*own.RequestsPerSecond)
+// accruedLevel returns the level at now of a part that was empty at since: at most its burst, which may be less than one request.
+func accruedLevel(part tenant.Limit, since, now time.Time) float64 {
+	return min(part.Burst, max(0, now.Sub(since).Seconds())*part.RequestsPerSecond)
 }
 
-// partOf is one of so many equal parts of limit.
-func partOf(limit tenant.Limit, parts int) tenant.Limit {
+// equalPart returns one of the given number of equal parts of limit.
+func equalPart(limit tenant.Limit, parts int) tenant.Limit {
 	count := float64(max(1, parts))
 	return tenant.Limit{RequestsPerSecond: limit.RequestsPerSecond / count, Burst: limit.Burst / count}
 }
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -10,23 +10,25 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// ranking is who may grant for a tenant, by one view of the members.
+// ranking is the order of the edges that may grant for a tenant, in one view of the membership.
 type ranking struct {
-	// edges are the live edges, the grantor first, then those that stand in for it in turn.
+	// edges are the live edges: the grantor first, then those that stand in for it, in order.
 	edges []membership.Member
-	// self is this node's place among them; -1 where it has none.
-	self int
-	// leaving are the edges that are stopping. They serve on for a while and may have granted.
+	// selfIndex is this node's index in edges; -1 where it is not among them.
+	selfIndex int
+	// leaving are the edges that are stopping. They still serve for a while and may have granted.
 	leaving []membership.Member
-	// share is the part that live edges are of all known ones, the dead among them, which may be cut off and grant on their side.
-	share float64
-	// known is the number of all known edges.
-	known int
+	// liveShare is the fraction of the known edges that are alive. The known ones include the dead, which may be partitioned off and grant
+	// on their side.
+	liveShare float64
+	// knownCount is the number of known edges, dead or alive.
+	knownCount int
 }
 
-// rank ranks the edges for a tenant by rendezvous hashing, so that a change of members moves only the tenants of those who came or went.
+// rank orders the edges for a tenant by rendezvous hashing, so that a membership change moves only the tenants of the edges that joined or
+// left.
 func rank(view *membership.View, tenantName string) ranking {
-	found := ranking{self: -1}
+	ranked := ranking{selfIndex: -1}
 	type weighted struct {
 		member *membership.Member
 		weight uint64
@@ -38,45 +40,45 @@
 		if member.Store {
 			continue
 		}
-		found.known++
+		ranked.knownCount++
 		if member.State == membership.Dead {
 			continue
 		}
 		alive++
 		if member.State == membership.Leaving {
-			found.leaving = append(found.leaving, *member)
+			ranked.leaving = append(ranked.leaving, *member)
 			continue
 		}
 		live = append(live, weighted{member, xxhash.Sum64String(tenantName + "\x00" + string(member.ID))})
 	}
-	slices.SortFunc(live, func(one, other weighted) int {
-		return cmp.Or(-cmp.Compare(one.weight, other.weight), cmp.Compare(one.member.ID, other.member.ID))
+	slices.SortFunc(live, func(a, b weighted) int {
+		return cmp.Or(-cmp.Compare(a.weight, b.weight), cmp.Compare(a.member.ID, b.member.ID))
 	})
-	for place, each := range live {
-		if each.member.ID == view.Self {
-			found.self = place
+	for position, candidate := range live {
+		if candidate.member.ID == view.Self {
+			ranked.selfIndex = position
 		}
-		found.edges = append(found.edges, *each.member)
+		ranked.edges = append(ranked.edges, *candidate.member)
 	}
-	found.share = float64(alive) / float64(max(1, found.known))
-	return found
+	ranked.liveShare = float64(alive) / float64(max(1, ranked.knownCount))
+	return ranked
 }
 
-// formerGrantors returns the edges that may have granted until this one began to: those that are stopping, and up to successors behind it
-// in rank, which stood in for it.
+// formerGrantors returns the edges that may have granted before this one: those that are leaving, and the next edges in rank, at most
+// successors of them, which may have stood in for it.
 func (r ranking) formerGrantors(successors int) []membership.Member {
-	behind := r.edges[r.self+1:]
-	return append(slices.Clone(r.leaving), behind[:min(successors, len(behind))]...)
+	lowerRanked := r.edges[r.selfIndex+1:]
+	return append(slices.Clone(r.leaving), lowerRanked[:min(successors, len(lowerRanked))]...)
 }
 
-// rankings keeps the rankings by the last view of the members. It is safe for concurrent use.
+// rankings caches the rankings of the latest membership view. It is safe for concurrent use.
 type rankings struct {
 	mutex    sync.Mutex
 	view     *membership.View
 	byTenant map[string]ranking
 }
 
-func (r *rankings) of(view *membership.View, tenantName string) ranking {
+func (r *rankings) get(view *membership.View, tenantName string) ranking {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.view != view {
@@ -90,10 +92,10 @@
 	return found
 }
 
-// others returns the live edges other than this one, those that follow it in rank first.
+// others returns the live edges other than this one, the lower-ranked ones first.
 func (r ranking) others() []membership.Member {
-	if r.self < 0 {
+	if r.selfIndex < 0 {
 		return r.edges
 	}
-	return append(slices.Clone(r.edges[r.self+1:]), r.edges[:r.self]...)
+	return append(slices.Clone(r.edges[r.selfIndex+1:]), r.edges[:r.selfIndex]...)
 }
--- a/internal/quota/requester.go
+++ b/internal/quota/requester.go
@@ -13,71 +13,73 @@
 )
 
 const (
-	// askTimeout bounds the wait for one edge's answer, and with it the time for which a request is held. An edge that asks two before it
-	// in vain, seeks a sign of others and takes over needs 2 relayTimeout, contactTimeout and releaseTimeout.
+	// askTimeout bounds the wait for one edge's answer, and with it the time for which a request is held. An edge that relays to two
+	// higher-ranked edges without an answer, probes for contact and takes over needs 2*relayTimeout + contactTimeout + releaseTimeout.
 	askTimeout = 120 * time.Millisecond
-	// maxAsked is the number of edges that are asked for one request, beside those that are known not to answer.
-	maxAsked = 2
-	// pauseAfterRefusal is how long requests are refused without a question after the limit was reached, so that a tenant far above it
-	// does not keep its grantor busy: at most 17 questions a second of an edge.
-	pauseAfterRefusal = 60 * time.Millisecond
-	// refusalLogInterval is the least time between two log lines on a tenant that has reached its limit.
+	// maxEdgesAsked is the number of edges that are asked for one batch, not counting those known to be unreachable.
+	maxEdgesAsked = 2
+	// refusalHoldTime is how long requests are refused locally after the grantor refused one, so that a tenant far above its limit does
+	// not overload its grantor: at most 17 calls per second from each edge.
+	refusalHoldTime = 60 * time.Millisecond
+	// refusalLogInterval is the minimum time between two log lines about a tenant that has reached its limit.
 	refusalLogInterval = time.Second
 )
 
-// Who decided on a request, in the metrics.
+// Values of the metric label decided_by.
 const (
-	decidedByGrantor = "grantor"
-	decidedAlone     = "edge_alone"
+	decidedByGrantor      = "grantor"
+	decidedWithoutGrantor = "edge_alone"
 )
 
-// requester asks for one tenant's requests. It is safe for concurrent use.
+// requester obtains grants for one tenant's requests on this edge. It is safe for concurrent use.
 type requester struct {
 	service *Service
 	tenant  string
 
 	mutex sync.Mutex
-	// waiting are the requests that the next question asks for; underWay says that one is under way.
-	waiting  []*waiter
-	underWay bool
-	// limit and version are the newest that a request came with.
+	// pending are the requests that the next call asks for.
+	pending []*waiter
+	// asking is set while askUntilEmpty runs.
+	asking bool
+	// limit and version are the newest that a request has brought.
 	limit   tenant.Limit
 	version int64
-	// unused are granted requests that were not sent.
-	unused int
-	// refusedUntil is until when requests are refused without a question, retryAt when those may come back.
+	// unsent is the number of granted requests that were not sent and are to be given back with the next call.
+	unsent int
+	// refusedUntil is until when requests are refused without a call.
 	refusedUntil time.Time
-	retryAt      time.Time
-	loggedAt     time.Time
-	// alone is what may be sent while no grantor is reached.
-	alone *bucket
+	// retryAt is when the callers of these requests may retry.
+	retryAt         time.Time
+	refusalLoggedAt time.Time
+	// localBucket limits the requests sent while no grantor is reached.
+	localBucket *bucket
 }
 
-// waiter is a request that waits for the answer.
+// waiter is a request that waits for its verdict.
 type waiter struct {
 	decided chan Verdict
-	// gone says that the caller waits no more.
-	gone bool
+	// abandoned is set when the caller no longer waits.
+	abandoned bool
 }
 
-// admit returns whether a request may be sent.
+// admit decides whether a request may be sent. It waits for the grantor's answer, at most until ctx ends.
 func (r *requester) admit(ctx context.Context, limit tenant.Limit, version int64) Verdict {
-	waiting, verdict := r.enqueue(limit, version, clock.Now())
-	if waiting == nil {
+	queued, verdict := r.enqueue(limit, version, clock.Now())
+	if queued == nil {
 		r.service.count(verdict, decidedByGrantor)
 		return verdict
 	}
 	select {
-	case verdict = <-waiting.decided:
+	case verdict = <-queued.decided:
 		return verdict
 	case <-ctx.Done():
-		r.leave(waiting)
+		r.abandon(queued)
 		return Verdict{RetryAfter: askTimeout}
 	}
 }
 
-// enqueue has the request wait for the next question; waiting is nil where it is refused without one.
-func (r *requester) enqueue(limit tenant.Limit, version int64, now time.Time) (waiting *waiter, verdict Verdict) {
+// enqueue adds the request to the next call. It returns a nil waiter and a verdict where the request is refused without a call.
+func (r *requester) enqueue(limit tenant.Limit, version int64, now time.Time) (queued *waiter, verdict Verdict) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if version > r.version {
@@ -87,87 +89,88 @@
 	if now.Before(r.refusedUntil) {
 		return nil, Verdict{RetryAfter: r.retryAt.Sub(now)}
 	}
-	waiting = &waiter{decided: make(chan Verdict, 1)}
-	r.waiting = append(r.waiting, waiting)
-	if !r.underWay {
-		r.underWay = r.service.begin(r.ask)
-		if !r.underWay {
-			r.waiting = nil
+	queued = &waiter{decided: make(chan Verdict, 1)}
+	r.pending = append(r.pending, queued)
+	if !r.asking {
+		r.asking = r.service.startBackground(r.askUntilEmpty)
+		if !r.asking {
+			r.pending = nil
 			return nil, Verdict{RetryAfter: askTimeout}
 		}
 	}
-	return waiting, Verdict{}
+	return queued, Verdict{}
 }
 
-// leave drops a request whose caller is gone; where it was granted already, that is returned.
-func (r *requester) leave(left *waiter) {
+// abandon marks a request whose caller no longer waits. Where it was already granted, the grant is given back.
+func (r *requester) abandon(queued *waiter) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	left.gone = true
+	queued.abandoned = true
 	select {
-	case verdict := <-left.decided:
+	case verdict := <-queued.decided:
 		if verdict.Admitted {
-			r.unused++
+			r.unsent++
 		}
 	default:
 	}
 }
 
-// giveBack returns a request that was granted and did not run.
+// giveBack returns a request that was granted but did not run.
 func (r *requester) giveBack() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.unused++
+	r.unsent++
 }
 
-// ask puts questions until no request waits.
-func (r *requester) ask() {
+// askUntilEmpty calls for grants until no request is pending.
+func (r *requester) askUntilEmpty() {
 	for {
-		asked, request := r.next()
-		if asked == nil {
+		batch, request := r.nextBatch()
+		if batch == nil {
 			return
 		}
-		response := r.service.question(request)
-		r.resolve(asked, request, response, clock.Now())
+		response := r.service.requestGrant(request)
+		r.resolve(batch, request, response, clock.Now())
 	}
 }
 
-// next takes the requests that wait; nil where there are none, after which no question is under way.
-func (r *requester) next() (asked []*waiter, request *quotapb.GrantRequest) {
+// nextBatch takes the pending requests. Where there are none, or the Service has stopped, it refuses those left, clears asking and returns
+// nil.
+func (r *requester) nextBatch() (batch []*waiter, request *quotapb.GrantRequest) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.waiting) == 0 || r.service.ctx.Err() != nil {
-		for _, each := range r.waiting {
-			each.decided <- Verdict{RetryAfter: askTimeout}
+	if len(r.pending) == 0 || r.service.ctx.Err() != nil {
+		for _, queued := range r.pending {
+			queued.decided <- Verdict{RetryAfter: askTimeout}
 		}
-		r.waiting, r.underWay = nil, false
+		r.pending, r.asking = nil, false
 		return nil, nil
 	}
-	asked, r.waiting = r.waiting, nil
+	batch, r.pending = r.pending, nil
 	request = &quotapb.GrantRequest{
-		Tenant: r.tenant, Wanted: uint32(len(asked)), Returned: uint32(r.unused),
+		Tenant: r.tenant, Wanted: uint32(len(batch)), Returned: uint32(r.unsent),
 		Rate: r.limit.RequestsPerSecond, Burst: r.limit.Burst, ConfigVersion: r.version,
 	}
-	r.unused = 0
-	return asked, request
+	r.unsent = 0
+	return batch, request
 }
 
-// question asks the edges that may grant, in their order; nil where none answers.
-func (s *Service) question(request *quotapb.GrantRequest) *quotapb.GrantResponse {
+// requestGrant asks the edges in rank order for a grant; nil where none of them grants.
+func (s *Service) requestGrant(request *quotapb.GrantRequest) *quotapb.GrantResponse {
 	ranked := s.rankingOf(request.GetTenant())
 	asked := 0
-	for place, peer := range ranked.edges {
-		if asked >= maxAsked {
+	for index, peer := range ranked.edges {
+		if asked >= maxEdgesAsked {
 			break
 		}
-		if place == ranked.self {
-			if response := s.grantHere(request); !response.GetElsewhere() {
+		if index == ranked.selfIndex {
+			if response := s.grantLocally(request); !response.GetElsewhere() {
 				return response
 			}
 			asked++
 			continue
 		}
-		if s.notReached(peer, clock.Now()) {
+		if s.unreachable(peer, clock.Now()) {
 			continue
 		}
 		asked++
@@ -178,70 +181,71 @@
 	return nil
 }
 
-func (s *Service) grantHere(request *quotapb.GrantRequest) *quotapb.GrantResponse {
+func (s *Service) grantLocally(request *quotapb.GrantRequest) *quotapb.GrantResponse {
 	ctx, cancel := context.WithTimeout(s.ctx, askTimeout)
 	defer cancel()
 	return s.grant(ctx, request)
 }
 
-// resolve decides on the requests that were asked for; without an answer this edge decides alone.
-func (r *requester) resolve(asked []*waiter, request *quotapb.GrantRequest, response *quotapb.GrantResponse, now time.Time) {
+// resolve decides the requests of a batch by the grantor's response, or by the local bucket where response is nil.
+func (r *requester) resolve(batch []*waiter, request *quotapb.GrantRequest, response *quotapb.GrantResponse, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	decidedBy := decidedByGrantor
 	granted, retryAfter := int(response.GetGranted()), time.Duration(response.GetRetryMicros())*time.Microsecond
 	if response == nil {
-		decidedBy = decidedAlone
-		r.unused += int(request.GetReturned())
-		granted, retryAfter = r.takeAlone(len(asked), now)
+		decidedBy = decidedWithoutGrantor
+		r.unsent += int(request.GetReturned())
+		granted, retryAfter = r.takeWithoutGrantor(len(batch), now)
 	}
-	for index, each := range asked {
+	for index, queued := range batch {
 		verdict := Verdict{Admitted: index < granted, RetryAfter: retryAfter}
 		if verdict.Admitted {
 			verdict.RetryAfter = 0
 		}
 		r.service.count(verdict, decidedBy)
-		if each.gone && verdict.Admitted {
-			r.unused++
+		if queued.abandoned && verdict.Admitted {
+			r.unsent++
 			continue
 		}
-		each.decided <- verdict
+		queued.decided <- verdict
 	}
-	if granted < len(asked) {
-		r.noteRefusal(len(asked)-granted, retryAfter, decidedBy, now)
+	if granted < len(batch) {
+		r.noteRefusal(len(batch)-granted, retryAfter, decidedBy, now)
 	}
 }
 
-// takeAlone takes from what this edge may send while it reaches no grantor. The mutex is held.
-func (r *requester) takeAlone(wanted int, now time.Time) (taken int, retryAfter time.Duration) {
+// takeWithoutGrantor takes requests from the local bucket, which is used while no grantor is reached. The caller must hold mutex.
+func (r *requester) takeWithoutGrantor(wanted int, now time.Time) (taken int, retryAfter time.Duration) {
 	ranked := r.service.rankingOf(r.tenant)
-	rate := r.service.allowance.unansweredRate(r.limit, ranked.known)
+	rate := r.service.allowance.rateWithoutGrantor(r.limit, ranked.knownCount)
 	if r.service.mayNotHaveJoined(ranked) {
-		// How many edges share the slack is not known.
+		// The number of edges that share the slack is not known yet.
 		rate = 0
 	}
-	if r.alone == nil {
+	if r.localBucket == nil {
 		level := 1.0
-		if r.service.allowance.lent(r.limit) {
-			// One request of each edge at the same moment would be more than the slack where there are many edges.
+		if r.service.allowance.usesLeases(r.limit) {
+			// With many edges, one request from each at the same moment would exceed the slack.
 			level = rand.Float64()
 		}
-		r.alone = newBucket(tenant.Limit{RequestsPerSecond: rate}, 0, level, now)
+		r.localBucket = newBucket(tenant.Limit{RequestsPerSecond: rate}, 0, level, now)
 	}
-	r.alone.limit.RequestsPerSecond = rate
-	return r.alone.take(wanted, 1, now)
+	r.localBucket.limit.RequestsPerSecond = rate
+	return r.localBucket.take(wanted, 1, now)
 }
 
-// noteRefusal has further requests refused for a while. The mutex is held.
+// noteRefusal makes further requests be refused locally for a while where the grantor refused, and logs the refusal. The caller must hold
+// mutex.
 func (r *requester) noteRefusal(count int, retryAfter time.Duration, decidedBy string, now time.Time) {
 	r.retryAt = now.Add(retryAfter)
 	if decidedBy == decidedByGrantor {
-		r.refusedUntil = now.Add(min(pauseAfterRefusal, retryAfter))
+		r.refusedUntil = now.Add(min(refusalHoldTime, retryAfter))
 	}
-	if now.Sub(r.loggedAt) >= refusalLogInterval {
-		r.loggedAt = now
-		r.service.logger.Info().Str(logging.FieldTenant, r.tenant).Int("refused", count).Dur("retry_after", retryAfter).Str("decided_by", decidedBy).
-			Float64("rate", r.limit.RequestsPerSecond).Float64("burst", r.limit.Burst).Msg("quota_reached")
+	if now.Sub(r.refusalLoggedAt) >= refusalLogInterval {
+		r.refusalLoggedAt = now
+		r.service.logger.Info().Str(logging.FieldTenant, r.tenant).Int("refused", count).Dur("retry_after", retryAfter).
+			Str("decided_by", decidedBy).Float64("rate", r.limit.RequestsPerSecond).Float64("burst", r.limit.Burst).Msg("quota_reached")
 	}
 }
 
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -19,25 +19,25 @@
 	"github.com/sloelift/sloelift/internal/unreached"
 )
 
-// Methods between edges.
+// Transport methods between edges.
 const (
 	methodGrant   transport.Method = "quota.grant"
 	methodRelease transport.Method = "quota.release"
 	methodLend    transport.Method = "quota.lend"
 )
 
-// unreachedFor is how long an edge that gave no answer is passed over. A killed process is back within a second or two, and one request
-// a second and edge waits for an answer that does not come.
-const unreachedFor = time.Second
+// unreachedDuration is how long an edge that did not answer is skipped. A killed process is back within a second or two, and meanwhile one
+// request per second and edge waits for an answer that does not come.
+const unreachedDuration = time.Second
 
-// Verdict says whether a request may be sent to a replica.
+// Verdict is the decision whether a request may be sent to a replica.
 type Verdict struct {
 	Admitted bool
-	// RetryAfter is when a refused caller may come back.
+	// RetryAfter is the time after which a refused caller may retry.
 	RetryAfter time.Duration
 }
 
-// Service keeps the limits of tenants together with the other edges. It is safe for concurrent use.
+// Service enforces the limits of tenants together with the other edges. It is safe for concurrent use.
 type Service struct {
 	allowance Allowance
 	viewer    membership.Viewer
@@ -46,34 +46,41 @@
 	requests  *prometheus.CounterVec
 	started   time.Time
 	unreached *unreached.Peers
-	// zones are those whose edges are not reached: of a zone that is cut off each edge would cost the requests of its tenants askTimeout.
-	zones    *unreached.Zones
-	rankings rankings
-	contact  contact
-	lender   *lender
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-
-	// mutex guards the fields below: the tenants that this node grants for, and those whose requests it asks for.
-	mutex     sync.Mutex
-	granting  map[string]*grants
-	borrowing map[string]*borrower
-	// begun is when this node last began to grant for a tenant with a part of the slack.
-	begun   map[string]time.Time
-	asking  map[string]*requester
-	stopped bool
+	// zones tracks the zones that are partitioned off. Without it, each edge of such a zone would delay its tenants' requests by askTimeout.
+	zones      *unreached.Zones
+	rankings   rankings
+	contact    contact
+	lender     *lender
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+
+	// mutex guards the fields below. The keys of the maps are names of tenants.
+	mutex sync.Mutex
+	// grantStates and borrowers are the tenants that this node grants for, the latter from leased parts.
+	grantStates map[string]*grantState
+	borrowers   map[string]*borrower
+	// initialLevelUsedAt is when this node last started a bucket with a part of the slack.
+	initialLevelUsedAt map[string]time.Time
+	// requesters are the tenants for whose requests this node asks for grants.
+	requesters map[string]*requester
+	stopped    bool
 }
 
-// NewService returns a Service and registers its methods.
-func NewService(allowance Allowance, viewer membership.Viewer, caller transport.Caller, registrar transport.Registrar, registerer prometheus.Registerer, logger zerolog.Logger) *Service {
+// NewService returns a Service and registers its transport methods and metrics.
+func NewService(
+	allowance Allowance, viewer membership.Viewer, caller transport.Caller, registrar transport.Registrar,
+	registerer prometheus.Registerer, logger zerolog.Logger,
+) *Service {
 	service := &Service{
-		allowance: allowance, viewer: viewer, caller: caller, started: clock.Now(), unreached: unreached.NewPeers(unreachedFor), zones: unreached.NewZones(),
+		allowance: allowance, viewer: viewer, caller: caller, started: clock.Now(),
+		unreached: unreached.NewPeers(unreachedDuration), zones: unreached.NewZones(),
 		logger: logger.With().Str(logging.FieldSlice, "quota").Logger(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sloelift_quota_requests_total", Help: "Requests of tenants with a limit, by verdict and by whether a grantor decided.",
 		}, []string{"verdict", "decided_by"}),
-		granting: map[string]*grants{}, borrowing: map[string]*borrower{}, lender: newLender(clock.Now()), begun: map[string]time.Time{}, asking: map[string]*requester{},
+		grantStates: map[string]*grantState{}, borrowers: map[string]*borrower{}, lender: newLender(clock.Now()),
+		initialLevelUsedAt: map[string]time.Time{}, requesters: map[string]*requester{},
 	}
 	service.ctx, service.cancel = context.WithCancel(context.Background())
 	registerer.MustRegister(service.requests)
@@ -95,16 +102,17 @@
 	return service
 }
 
-// Stop ends the questions under way; requests that wait for them are refused.
+// Stop cancels the calls in flight and waits for background work to end; pending requests are refused.
 func (s *Service) Stop() {
 	s.mutex.Lock()
 	s.stopped = true
 	s.mutex.Unlock()
 	s.cancel()
-	s.running.Wait()
+	s.background.Wait()
 }
 
-// Admit says whether a request of holder may be sent, by the configuration of that version. It returns at once where ctx ends.
+// Admit decides whether a request of the tenant holder may be sent, under the limit from the given version of the configuration. It returns a
+// refusal as soon as ctx ends.
 func (s *Service) Admit(ctx context.Context, holder *tenant.Tenant, version int64) Verdict {
 	if holder.Limit.Unlimited() {
 		return Verdict{Admitted: true}
@@ -112,7 +120,7 @@
 	return s.requesterOf(holder.Name).admit(ctx, holder.Limit, version)
 }
 
-// GiveBack returns an admitted request that no replica has run or will run.
+// GiveBack returns the grant of an admitted request that no replica has run or will run.
 func (s *Service) GiveBack(holder *tenant.Tenant) {
 	if !holder.Limit.Unlimited() {
 		s.requesterOf(holder.Name).giveBack()
@@ -122,36 +130,37 @@
 func (s *Service) requesterOf(tenantName string) *requester {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found := s.asking[tenantName]
-	if found == nil {
-		found = &requester{service: s, tenant: tenantName}
-		s.asking[tenantName] = found
+	current := s.requesters[tenantName]
+	if current == nil {
+		current = &requester{service: s, tenant: tenantName}
+		s.requesters[tenantName] = current
 	}
-	return found
+	return current
 }
 
-// noteContact takes in that an edge called: this node is in touch, and that edge is there.
+// noteContact records that another edge called: this node is connected, and that edge is reachable.
 func (s *Service) noteContact(from netip.AddrPort) {
-	s.contact.note(clock.Now())
+	s.contact.record(clock.Now())
 	s.unreached.Forget(from)
 }
 
-// notReached says that a peer gave no answer a short while ago, or that its zone is cut off. It has a zone that is cut off probed.
-// This node itself is always reached, also where the rest of its zone is not: else it would not lend itself its own part.
-func (s *Service) notReached(peer membership.Member, now time.Time) bool {
+// unreachable reports whether a peer recently did not answer, or is in a zone that is partitioned off. It starts a probe of such a zone when
+// one is due. This node itself always counts as reachable, also where the rest of its zone is not: otherwise it would not lend itself its own
+// part.
+func (s *Service) unreachable(peer membership.Member, now time.Time) bool {
 	if peer.ID == s.viewer.View().Self {
 		return false
 	}
 	zone := s.zones.Of(peer.Zone)
 	if zone.ProbeDue(now) {
-		s.begin(func() { s.probe(peer.Zone) })
+		s.startBackground(func() { s.probeZone(peer.Zone) })
 	}
 	return zone.CutOff() || s.unreached.Recent(peer.PeerAddress, now)
 }
 
-// probe looks whether some other edge of a zone answers again: by an answer of its own an edge that is cut off would count as in touch, and
-// grant beside the others. A release of no tenant changes nothing.
-func (s *Service) probe(zone string) {
+// probeZone probes whether another edge of a zone answers again. It leaves out this node: by its own answer a partitioned edge would count as
+// connected, and grant in addition to the others. The probe is a release for an empty tenant name, which changes nothing.
+func (s *Service) probeZone(zone string) {
 	var edges []membership.Member
 	view := s.viewer.View()
 	for _, member := range view.Members {
@@ -160,27 +169,27 @@
 		}
 	}
 	rand.Shuffle(len(edges), func(i, j int) { edges[i], edges[j] = edges[j], edges[i] })
-	var asked sync.WaitGroup
-	for _, edge := range edges[:min(contactsAsked, len(edges))] {
-		asked.Go(func() {
+	var calls sync.WaitGroup
+	for _, edge := range edges[:min(contactProbeCount, len(edges))] {
+		calls.Go(func() {
 			err := s.callEdge(s.ctx, edge, methodRelease, &quotapb.ReleaseRequest{}, &quotapb.ReleaseResponse{}, askTimeout)
 			s.logger.Debug().Str(logging.FieldPeer, string(edge.ID)).Err(err).Msg("zone_probed")
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 }
 
 func (s *Service) rankingOf(tenantName string) ranking {
-	return s.rankings.of(s.viewer.View(), tenantName)
+	return s.rankings.get(s.viewer.View(), tenantName)
 }
 
-// begin runs work in the background unless the Service has stopped.
-func (s *Service) begin(work func()) bool {
+// startBackground runs work in the background. It returns false, without running it, once the Service has stopped.
+func (s *Service) startBackground(work func()) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.stopped {
 		return false
 	}
-	s.running.Go(work)
+	s.background.Go(work)
 	return true
 }
--- a/internal/quota/zone_cut_test.go
+++ b/internal/quota/zone_cut_test.go
@@ -10,91 +10,91 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// inZones puts the edges into so many zones, and has all know it.
-func (c *cluster) inZones(count int) {
-	for index, each := range c.edges {
-		each.zone = fmt.Sprintf("zone-%d", index%count)
+// assignZones distributes the edges over count zones and updates all views.
+func (c *cluster) assignZones(count int) {
+	for index, member := range c.edges {
+		member.zone = fmt.Sprintf("zone-%d", index%count)
 	}
-	c.agree()
+	c.updateViews()
 }
 
 // edgesOf returns the edges of a zone.
 func (c *cluster) edgesOf(zone string) (edges []*edge) {
-	for _, each := range c.edges {
-		if each.zone == zone {
-			edges = append(edges, each)
+	for _, member := range c.edges {
+		if member.zone == zone {
+			edges = append(edges, member)
 		}
 	}
 	return edges
 }
 
-// askForMany has an edge ask for one request of each of so many tenants, each a moment after the one before; it returns how many were held for
-// longer than longest.
-func (c *cluster) askForMany(at *edge, tenants int, longest time.Duration) (held int) {
+// requestForTenants makes one request for each of the given number of tenants at an edge, 50 ms apart. It returns how many of them were delayed
+// for longer than maxWait.
+func (c *cluster) requestForTenants(origin *edge, tenants int, maxWait time.Duration) (delayed int) {
 	var mutex sync.Mutex
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for number := range tenants {
 		holder := &tenant.Tenant{Name: fmt.Sprintf("tenant-%d", number), Limit: tenant.Limit{RequestsPerSecond: 1, Burst: 5}}
-		asking.Go(func() {
-			began := time.Now()
-			at.service.Admit(c.t.Context(), holder, 1)
+		requests.Go(func() {
+			start := time.Now()
+			origin.service.Admit(c.t.Context(), holder, 1)
 			mutex.Lock()
 			defer mutex.Unlock()
-			if time.Since(began) > longest {
-				held++
+			if time.Since(start) > maxWait {
+				delayed++
 			}
 		})
 		time.Sleep(50 * time.Millisecond)
 	}
-	asking.Wait()
-	return held
+	requests.Wait()
+	return delayed
 }
 
-// TestZoneThatIsCutOffHoldsFewRequests: an edge that is cut off from the grantors of other zones, with its own zone, finds out by the first few
-// requests, not by one for each grantor; and it knows the end of the cut without holding a request.
+// TestZoneThatIsCutOffHoldsFewRequests: an edge whose zone is partitioned from the grantors of other zones detects that by the first few
+// requests, not by one for each grantor. It detects the end of the partition without delaying a request.
 func TestZoneThatIsCutOffHoldsFewRequests(t *testing.T) {
 	const (
 		tenants = 60
-		longest = 100 * time.Millisecond
+		maxWait = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 30)
-		cluster.inZones(3)
-		at := cluster.edgesOf("zone-0")[0]
-		if held := cluster.askForMany(at, tenants, longest); held > 0 {
-			t.Errorf("%d requests held before the cut", held)
+		cluster.assignZones(3)
+		origin := cluster.edgesOf("zone-0")[0]
+		if delayed := cluster.requestForTenants(origin, tenants, maxWait); delayed > 0 {
+			t.Errorf("%d requests delayed before the partition", delayed)
 		}
-		cluster.split(cluster.edgesOf("zone-0")...)
-		if held := cluster.askForMany(at, tenants, longest); held > 8 {
-			t.Errorf("%d of %d requests held while the zone is cut off, want 8 or fewer: two zones, two grantors each, and what came meanwhile", held, tenants)
+		cluster.partition(cluster.edgesOf("zone-0")...)
+		if delayed := cluster.requestForTenants(origin, tenants, maxWait); delayed > 8 {
+			t.Errorf("%d of %d requests delayed during the partition, want 8 or fewer: two zones, two grantors each, and concurrent ones", delayed, tenants)
 		}
-		cluster.split()
+		cluster.partition()
 		time.Sleep(2 * time.Second)
-		if held := cluster.askForMany(at, tenants, longest); held > 0 {
-			t.Errorf("%d requests held after the cut", held)
+		if delayed := cluster.requestForTenants(origin, tenants, maxWait); delayed > 0 {
+			t.Errorf("%d requests delayed after the partition", delayed)
 		}
-		if at.service.zones.Of("zone-1").CutOff() || at.service.zones.Of("zone-2").CutOff() {
-			t.Error("a zone that is reached again still counts as cut off")
+		if origin.service.zones.Of("zone-1").CutOff() || origin.service.zones.Of("zone-2").CutOff() {
+			t.Error("a zone that is reachable again still counts as cut off")
 		}
 		cluster.stop()
 	})
 }
 
-// TestEdgeIsNoSignOfItsOwnZone: an edge that reaches nobody does not take itself for an edge of its zone that answers.
+// TestEdgeIsNoSignOfItsOwnZone: an isolated edge does not count its own answer as one from its zone.
 func TestEdgeIsNoSignOfItsOwnZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 6)
-		cluster.inZones(2)
-		own := cluster.edgesOf("zone-0")
-		at := own[0]
-		cluster.cut(at)
-		time.Sleep(2 * contactFor)
-		for _, silent := range own[1:] {
-			at.service.zones.Of(at.zone).NoteSilence(string(silent.id), time.Now())
+		cluster.assignZones(2)
+		zoneEdges := cluster.edgesOf("zone-0")
+		isolated := zoneEdges[0]
+		cluster.isolate(isolated)
+		time.Sleep(2 * contactValidity)
+		for _, silent := range zoneEdges[1:] {
+			isolated.service.zones.Of(isolated.zone).NoteSilence(string(silent.id), time.Now())
 		}
-		at.service.probe(at.zone)
-		if !at.service.zones.Of(at.zone).CutOff() || at.service.contact.recent(time.Now()) {
-			t.Error("an edge that is cut off counts itself as reached")
+		isolated.service.probeZone(isolated.zone)
+		if !isolated.service.zones.Of(isolated.zone).CutOff() || isolated.service.contact.recent(time.Now()) {
+			t.Error("an isolated edge counts its own zone as reachable")
 		}
 		cluster.stop()
 	})
