--- a/internal/loadshare/board_test.go
+++ b/internal/loadshare/board_test.go
@@ -18,7 +18,7 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))
 }
 
-// origins makes the origins of one sender.
+// origins generates the consecutive origins of one sender.
 type origins struct{ sequence uint64 }
 
 func (o *origins) next() *loadsharepb.Origin {
@@ -27,66 +27,65 @@
 }
 
 func loadOf(origin *loadsharepb.Origin, kind loadsharepb.Kind, loads map[string]int) *loadsharepb.NodeLoad {
-	byKey, all := replicaLoads{}, demands{}
+	byKey, serviceDemands := replicaLoads{}, demands{}
 	for id, inUse := range loads {
 		byKey[replica.KeyOf(id)] = replica.Use{Requests: inUse, Reading: 100 * inUse}
-		all.add(demands{"s": {InUse: inUse}}, 1)
+		serviceDemands.add(demands{"s": {InUse: inUse}}, 1)
 	}
-	return &loadsharepb.NodeLoad{Origin: origin, Kind: kind, Replicas: encodeReplicas(byKey), Demands: encodeDemands(all)}
+	return &loadsharepb.NodeLoad{Origin: origin, Kind: kind, Replicas: encodeReplicas(byKey), Demands: encodeDemands(serviceDemands)}
 }
 
-// fleetOf is what a node knows that has asked board once.
+// fleetOf returns the fleet of a node that has queried board once.
 func fleetOf(board *Board, now time.Time) *fleet {
-	known := newFleet(now)
-	known.take(board.Answer(0, 0), state{}, now)
-	return known
+	nodeFleet := newFleet(now)
+	nodeFleet.applyAnswer(board.Answer(0, 0), nodeLoad{}, now)
+	return nodeFleet
 }
 
 func TestBoardForgetsNodesThatFallSilent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	board := NewBoard(now)
 	var first, second origins
-	board.takeReport(nodeAt(1), loadOf(first.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 5}), now)
-	board.takeReport(nodeAt(2), loadOf(second.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 7}), now.Add(reportStale))
+	board.recordReport(nodeAt(1), loadOf(first.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 5}), now)
+	board.recordReport(nodeAt(2), loadOf(second.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 7}), now.Add(reportStaleAfter))
 	for _, test := range []struct {
 		at   time.Time
 		want int
-	}{{now.Add(reportStale), 12}, {now.Add(reportStale + 1), 7}, {now.Add(3 * reportStale), 0}} {
+	}{{now.Add(reportStaleAfter), 12}, {now.Add(reportStaleAfter + 1), 7}, {now.Add(3 * reportStaleAfter), 0}} {
 		board.prune(test.at)
-		known := fleetOf(board, test.at)
-		if got, _ := known.demand("s", test.at); got.Online() != test.want {
+		nodeFleet := fleetOf(board, test.at)
+		if got, _ := nodeFleet.otherDemand("s", test.at); got.Online() != test.want {
 			t.Errorf("%d online requests after %s, want %d", got.Online(), test.at.Sub(now), test.want)
 		}
-		if got := known.others()[replica.KeyOf("a")]; got != (replica.Use{Requests: test.want, Reading: 100 * test.want}) {
+		if got := nodeFleet.otherLoads()[replica.KeyOf("a")]; got != (replica.Use{Requests: test.want, Reading: 100 * test.want}) {
 			t.Errorf("%+v at the replica after %s, want %d requests", got, test.at.Sub(now), test.want)
 		}
 	}
 }
 
-// TestLateReportsAreDropped: handlers of one link run side by side, so that an older report may be taken in after a newer one.
+// TestLateReportsAreDropped: the handlers of one link run concurrently, so an older report may be processed after a newer one.
 func TestLateReportsAreDropped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	board := NewBoard(now)
 	var sender origins
 	older, newer := sender.next(), sender.next()
-	board.takeReport(nodeAt(1), loadOf(newer, loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 1}), now)
-	board.takeReport(nodeAt(1), loadOf(older, loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 9}), now)
-	if got := fleetOf(board, now).others()[replica.KeyOf("a")].Requests; got != 1 {
+	board.recordReport(nodeAt(1), loadOf(newer, loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 1}), now)
+	board.recordReport(nodeAt(1), loadOf(older, loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 9}), now)
+	if got := fleetOf(board, now).otherLoads()[replica.KeyOf("a")].Requests; got != 1 {
 		t.Errorf("%d requests, want those of the newer report", got)
 	}
 	restarted := &loadsharepb.Origin{Run: 2, Sequence: 1}
-	board.takeReport(nodeAt(1), loadOf(restarted, loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 3}), now)
-	if got := fleetOf(board, now).others()[replica.KeyOf("a")].Requests; got != 3 {
+	board.recordReport(nodeAt(1), loadOf(restarted, loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 3}), now)
+	if got := fleetOf(board, now).otherLoads()[replica.KeyOf("a")].Requests; got != 3 {
 		t.Errorf("%d requests, want those that the restarted node reported", got)
 	}
 }
 
-// TestBoardSums: however nodes and exchanges report, fall silent and ask, an asker knows the sums of what each sent last, without its
-// own.
+// TestBoardSums: for any order of reports, relays, purges and queries, a querying node knows the sums of the other nodes' last reports.
 func TestBoardSums(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		now := time.Unix(1000, 0)
-		board, other, known := NewBoard(now), NewBoard(now), newFleet(now)
+		board, remoteBoard, nodeFleet := NewBoard(now), NewBoard(now), newFleet(now)
 		last := map[int]map[string]int{}
 		var sent [6]origins
 		var relayOrigin origins
@@ -101,30 +100,31 @@
 				}
 			}
 			last[node] = loads
-			// All nodes report anew in each step, so that none falls silent; nodes 4 and 5 report to the other exchange.
-			for each := range 5 {
+			// All nodes repeat their reports in each step, so that none becomes stale. Nodes 4 and 5 report to the remote exchange.
+			for index := range 5 {
 				target := board
-				if each+1 >= 4 {
-					target = other
+				if index+1 >= 4 {
+					target = remoteBoard
 				}
-				target.takeReport(nodeAt(each+1), loadOf(sent[each+1].next(), loadsharepb.Kind_KIND_ONLINE, last[each+1]), now)
+				target.recordReport(nodeAt(index+1), loadOf(sent[index+1].next(), loadsharepb.Kind_KIND_ONLINE, last[index+1]), now)
 			}
 			whole := rapid.Bool().Draw(r, "whole")
-			message, version := other.relayed(relayedVersion, whole)
+			message, version := remoteBoard.changesToRelay(relayedVersion, whole)
 			message.Origin, relayedVersion = relayOrigin.next(), version
-			board.takeRelay(nodeAt(9), message, now)
+			board.recordRelay(nodeAt(9), message, now)
 			board.prune(now)
-			other.prune(now)
+			remoteBoard.prune(now)
 			if rapid.Bool().Draw(r, "asks") {
-				own := state{replicas: decodeReplicas(loadOf(nil, 0, last[1]).Replicas)}
-				known.take(board.Answer(known.known()), own, now)
-				checkSums(r, known, last)
+				own := nodeLoad{replicas: decodeReplicas(loadOf(nil, 0, last[1]).Replicas)}
+				nodeFleet.applyAnswer(board.Answer(nodeFleet.lastAnswer()), own, now)
+				checkSums(r, nodeFleet, last)
 			}
 		}
 	})
 }
 
-func checkSums(r *rapid.T, known *fleet, last map[int]map[string]int) {
+// checkSums fails if nodeFleet does not hold the sums of the last reports of all nodes but node 1.
+func checkSums(r *rapid.T, nodeFleet *fleet, last map[int]map[string]int) {
 	want := map[string]int{}
 	for node, loads := range last {
 		for id, inUse := range loads {
@@ -135,7 +135,7 @@
 	}
 	got := map[string]int{}
 	for _, id := range []string{"a", "b", "c"} {
-		use := known.others()[replica.KeyOf(id)]
+		use := nodeFleet.otherLoads()[replica.KeyOf(id)]
 		if use.Reading != 100*use.Requests {
 			r.Fatalf("%s has %+v, want 100 tokens a request", id, use)
 		}
@@ -148,17 +148,17 @@
 	}
 }
 
-// TestAnswersHoldChangesOnly: a fleet of many replicas is not sent anew with each answer.
+// TestAnswersHoldChangesOnly: an answer does not repeat the replicas whose load has not changed.
 func TestAnswersHoldChangesOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	board := NewBoard(now)
 	var first, second origins
-	board.takeReport(nodeAt(1), loadOf(first.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 5, "b": 2}), now)
+	board.recordReport(nodeAt(1), loadOf(first.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"a": 5, "b": 2}), now)
 	answer := board.Answer(0, 0)
 	if !answer.Whole || len(answer.Replicas.Replicas) != 2 {
 		t.Errorf("the first answer is %v, want both replicas", answer)
 	}
-	board.takeReport(nodeAt(2), loadOf(second.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"b": 1}), now)
+	board.recordReport(nodeAt(2), loadOf(second.next(), loadsharepb.Kind_KIND_ONLINE, map[string]int{"b": 1}), now)
 	answer = board.Answer(answer.Run, answer.Version)
 	if answer.Whole || len(answer.Replicas.Replicas) != 1 || answer.Replicas.InUse[0] != 3 {
 		t.Errorf("the second answer is %v, want the replica that changed", answer)
@@ -167,21 +167,28 @@
 
 func TestOnlineNodesThatComeBackAreNoticed(t *testing.T) {
 	start := time.Unix(1000, 0)
-	known := newFleet(start)
+	nodeFleet := newFleet(start)
 	for _, step := range []struct {
 		after time.Duration
 		nodes uint32
 		want  time.Duration
-	}{{time.Second, 2, 0}, {2 * time.Second, 1, 0}, {3 * time.Second, 0, 0}, {4 * time.Second, 0, 0}, {5 * time.Second, 3, 5 * time.Second}, {6 * time.Second, 3, 5 * time.Second}} {
-		known.take(&loadsharepb.FleetLoad{OnlineNodes: step.nodes}, state{}, start.Add(step.after))
-		if got := known.reportingSince().Sub(start); got != step.want {
-			t.Errorf("after %s: heard since %s, want %s", step.after, got, step.want)
+	}{
+		{time.Second, 2, 0},
+		{2 * time.Second, 1, 0},
+		{3 * time.Second, 0, 0},
+		{4 * time.Second, 0, 0},
+		{5 * time.Second, 3, 5 * time.Second},
+		{6 * time.Second, 3, 5 * time.Second},
+	} {
+		nodeFleet.applyAnswer(&loadsharepb.FleetLoad{OnlineNodes: step.nodes}, nodeLoad{}, start.Add(step.after))
+		if got := nodeFleet.reportingSince().Sub(start); got != step.want {
+			t.Errorf("after %s: reporting since %s, want %s", step.after, got, step.want)
 		}
 	}
 }
 
-// TestAnswerToANodeWithAPart holds the replicas that it names, as they are, and no more however many are in use; after it a question about all
-// gets all.
+// TestAnswerToANodeWithAPart: the answer to a query that names replicas holds the current load of just these, however many others are in use.
+// A later query for all replicas gets all of them.
 func TestAnswerToANodeWithAPart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, inUse := range []int{1000, 10000, 20000} {
@@ -190,21 +197,22 @@
 		for number := range inUse {
 			loads[fmt.Sprintf("replica-%d", number)] = 1 + number%8
 		}
-		board.takeReport(nodeAt(1), loadOf(sender.next(), loadsharepb.Kind_KIND_ONLINE, loads), now)
-		question := &loadsharepb.NodeLoad{KnownRun: 7, KnownVersion: 9}
+		board.recordReport(nodeAt(1), loadOf(sender.next(), loadsharepb.Kind_KIND_ONLINE, loads), now)
+		query := &loadsharepb.NodeLoad{KnownRun: 7, KnownVersion: 9}
 		for number := range 64 {
-			question.Of = append(question.Of, uint64(replica.KeyOf(fmt.Sprintf("replica-%d", number*7))), uint64(replica.KeyOf(fmt.Sprintf("idle-%d", number))))
+			query.Of = append(query.Of,
+				uint64(replica.KeyOf(fmt.Sprintf("replica-%d", number*7))), uint64(replica.KeyOf(fmt.Sprintf("idle-%d", number))))
 		}
-		answer := board.AnswerTo(question)
+		answer := board.AnswerTo(query)
 		if size := proto.Size(answer); size > 1500 {
-			t.Errorf("%d bytes for a part of %d replicas in use", size, inUse)
+			t.Errorf("%d bytes for 64 of %d replicas in use, want 1500 at most", size, inUse)
 		}
-		known := newFleet(now)
-		known.take(answer, state{}, now)
-		if use := known.others()[replica.KeyOf("replica-7")]; use.Requests != 8 || len(known.others()) != 64 {
-			t.Errorf("%d requests at one of the part, %d replicas in all", use.Requests, len(known.others()))
+		nodeFleet := newFleet(now)
+		nodeFleet.applyAnswer(answer, nodeLoad{}, now)
+		if use := nodeFleet.otherLoads()[replica.KeyOf("replica-7")]; use.Requests != 8 || len(nodeFleet.otherLoads()) != 64 {
+			t.Errorf("%d requests at replica-7, %d replicas in all; want 8 and 64", use.Requests, len(nodeFleet.otherLoads()))
 		}
-		run, version := known.known()
+		run, version := nodeFleet.lastAnswer()
 		if all := board.AnswerTo(&loadsharepb.NodeLoad{KnownRun: run, KnownVersion: version}); !all.GetWhole() || len(all.GetReplicas().GetReplicas()) != inUse {
 			t.Errorf("%d replicas in the answer about all %d, whole %t", len(all.GetReplicas().GetReplicas()), inUse, all.GetWhole())
 		}
--- a/internal/loadshare/codec.go
+++ b/internal/loadshare/codec.go
@@ -5,7 +5,7 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// replicaLoads is what nodes have at replicas; one without anything may be left out.
+// replicaLoads is the load of one or more nodes by replica. Replicas without load may be left out.
 type replicaLoads map[replica.Key]replica.Use
 
 func encodeReplicas(loads replicaLoads) *loadsharepb.ReplicaLoads {
@@ -22,7 +22,7 @@
 	return encoded
 }
 
-// decodeReplicas takes as many entries as all lists have.
+// decodeReplicas decodes as many entries as the shortest of the lists has.
 func decodeReplicas(encoded *loadsharepb.ReplicaLoads) replicaLoads {
 	count := min(len(encoded.GetReplicas()), len(encoded.GetInUse()), len(encoded.GetReading()), len(encoded.GetAvoiding()))
 	loads := make(replicaLoads, count)
@@ -39,7 +39,8 @@
 	for service, demand := range all {
 		if demand != (Demand{}) {
 			encoded = append(encoded, &loadsharepb.ServiceDemand{
-				Service: service, InUse: uint32(max(0, demand.InUse)), Waiting: uint32(max(0, demand.Waiting)), Batch: uint32(max(0, demand.Batch)),
+				Service: service, InUse: uint32(max(0, demand.InUse)), Waiting: uint32(max(0, demand.Waiting)),
+				Batch: uint32(max(0, demand.Batch)),
 			})
 		}
 	}
@@ -48,8 +49,8 @@
 
 func decodeDemands(encoded []*loadsharepb.ServiceDemand) demands {
 	decoded := make(demands, len(encoded))
-	for _, each := range encoded {
-		decoded[each.Service] = Demand{InUse: int(each.InUse), Waiting: int(each.Waiting), Batch: int(each.Batch)}
+	for _, demand := range encoded {
+		decoded[demand.Service] = Demand{InUse: int(demand.InUse), Waiting: int(demand.Waiting), Batch: int(demand.Batch)}
 	}
 	return decoded
 }
--- a/internal/loadshare/fleet.go
+++ b/internal/loadshare/fleet.go
@@ -8,28 +8,29 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// answersStale is the age at which the last answer no longer counts for the gate of online requests.
-const answersStale = 400 * time.Millisecond
+// answerStaleAfter is the age beyond which the last answer no longer counts for the admission of online requests.
+const answerStaleAfter = 400 * time.Millisecond
 
-// fleet is what a node knows of all nodes by the answers of its exchange. It is safe for concurrent use.
+// fleet is the load of all nodes as known from the answers of this node's exchange. It is safe for concurrent use.
 type fleet struct {
-	mutex   sync.Mutex
-	run     uint64
-	version uint64
-	at      time.Time
-	totals  replicaLoads
-	demands demands
-	// own is what this node reported with its last question; the answer counts it in.
-	own state
-	// onlineNodes is the number of nodes with callers that reported at the last answer, onlineSince when there were some again after
-	// there were none, or when this process started.
+	mutex      sync.Mutex
+	run        uint64
+	version    uint64
+	answeredAt time.Time
+	totals     replicaLoads
+	demands    demands
+	// reported is the load that this node reported with its last answered query; totals and demands include it.
+	reported nodeLoad
+	// onlineNodes is the number of reporting nodes with callers as of the last answer.
 	onlineNodes int
+	// onlineSince is when such nodes last reappeared after there were none, or when this process started.
 	onlineSince time.Time
-	everOnline  bool
+	// seenOnline is set once there was such a node.
+	seenOnline bool
 }
 
-// state is what this node has.
-type state struct {
+// nodeLoad is the load of this node.
+type nodeLoad struct {
 	replicas replicaLoads
 	demands  demands
 }
@@ -38,22 +39,22 @@
 	return &fleet{totals: replicaLoads{}, demands: demands{}, onlineSince: now}
 }
 
-// known names the last answer.
-func (f *fleet) known() (run, version uint64) {
+// lastAnswer returns the run and version of the exchange that the last answer was given for.
+func (f *fleet) lastAnswer() (run, version uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.run, f.version
 }
 
-// age returns the age of the last answer; known is false where there was none.
-func (f *fleet) age(now time.Time) (age time.Duration, known bool) {
+// answerAge returns the age of the last answer; known is false where there was none.
+func (f *fleet) answerAge(now time.Time) (age time.Duration, known bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return now.Sub(f.at), !f.at.IsZero()
+	return now.Sub(f.answeredAt), !f.answeredAt.IsZero()
 }
 
-// take takes in an answer to a question that reported own.
-func (f *fleet) take(answer *loadsharepb.FleetLoad, own state, now time.Time) {
+// applyAnswer applies the answer to a query that carried reported.
+func (f *fleet) applyAnswer(answer *loadsharepb.FleetLoad, reported nodeLoad, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	changed := decodeReplicas(answer.GetReplicas())
@@ -64,8 +65,8 @@
 			f.set(key, use)
 		}
 	}
-	f.countOnline(int(answer.GetOnlineNodes()), now)
-	f.run, f.version, f.at, f.own = answer.GetRun(), answer.GetVersion(), now, own
+	f.noteOnlineNodes(int(answer.GetOnlineNodes()), now)
+	f.run, f.version, f.answeredAt, f.reported = answer.GetRun(), answer.GetVersion(), now, reported
 	f.demands = decodeDemands(answer.GetDemands())
 }
 
@@ -77,35 +78,35 @@
 	f.totals[key] = use
 }
 
-// countOnline notes when nodes with callers are back after there were none. The mutex is held.
-func (f *fleet) countOnline(nodes int, now time.Time) {
-	absent := f.onlineNodes == 0 || now.Sub(f.at) > reportStale
-	if f.everOnline && absent && nodes > 0 {
+// noteOnlineNodes records the number of nodes with callers, and the time when some reappear after there were none. The caller must hold mutex.
+func (f *fleet) noteOnlineNodes(nodes int, now time.Time) {
+	absent := f.onlineNodes == 0 || now.Sub(f.answeredAt) > reportStaleAfter
+	if f.seenOnline && absent && nodes > 0 {
 		f.onlineSince = now
 	}
-	f.everOnline = f.everOnline || nodes > 0
+	f.seenOnline = f.seenOnline || nodes > 0
 	f.onlineNodes = nodes
 }
 
-// others returns what all other nodes have at each replica.
-func (f *fleet) others() replicaLoads {
+// otherLoads returns the load of all other nodes by replica.
+func (f *fleet) otherLoads() replicaLoads {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	left := make(replicaLoads, len(f.totals))
+	loads := make(replicaLoads, len(f.totals))
 	for key, use := range f.totals {
-		left[key] = use.Minus(f.own.replicas[key])
+		loads[key] = use.Minus(f.reported.replicas[key])
 	}
-	return left
+	return loads
 }
 
-// demand returns the other nodes' demand for service and the age of the answer that it is of.
-func (f *fleet) demand(service string, now time.Time) (others Demand, age time.Duration) {
+// otherDemand returns the other nodes' demand for service, and the age of the answer that it comes from.
+func (f *fleet) otherDemand(service string, now time.Time) (others Demand, age time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.demands[service].minus(f.own.demands[service]), now.Sub(f.at)
+	return f.demands[service].minus(f.reported.demands[service]), now.Sub(f.answeredAt)
 }
 
-// reportingSince returns since when nodes with callers have reported without a break.
+// reportingSince returns the time since which nodes with callers have reported without interruption.
 func (f *fleet) reportingSince() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/loadshare/questions.go
+++ b/internal/loadshare/questions.go
@@ -10,179 +10,180 @@
 )
 
 const (
-	// freshFor is the age up to which an answer is good enough for the choice of a replica: about the time in which another request of the
-	// zone begins in a burst.
-	freshFor = 5 * time.Millisecond
-	// refreshWait bounds the wait of a request for a fresh answer; one way within a zone takes 0.2 ms, between zones of a region 1 ms,
-	// and a node with a fifth of a core takes some ms to be scheduled.
-	refreshWait = 15 * time.Millisecond
-	// answerTimeout bounds the wait for an answer that nobody waits for.
-	answerTimeout = 250 * time.Millisecond
-	// missesBorne is the number of answers that may fail to come, one after another, before another exchange is used.
-	missesBorne = 2
-	// ownExchangeAgain is how often the zone's own exchange is tried again after it did not answer.
-	ownExchangeAgain = 5 * time.Second
-	// relayTimeout bounds the wait of a node that passes a question on: the asker waits for answerTimeout.
+	// freshAge is the age up to which an answer is used for the choice of a replica without a new query: about the time between two requests
+	// of a zone in a burst.
+	freshAge = 5 * time.Millisecond
+	// refreshTimeout bounds how long a request waits for a fresh answer. One way takes 0.2 ms within a zone and 1 ms between zones of a
+	// region, and a node with a fifth of a core takes some milliseconds to be scheduled.
+	refreshTimeout = 15 * time.Millisecond
+	// queryTimeout bounds a query; requests wait for at most refreshTimeout.
+	queryTimeout = 250 * time.Millisecond
+	// missesBeforeSwitch is the number of consecutive failed queries before the next route is used.
+	missesBeforeSwitch = 2
+	// ownExchangeRetryInterval is how often the first route is tried again after it failed.
+	ownExchangeRetryInterval = 5 * time.Second
+	// relayTimeout bounds the call of a relaying node to its exchange. It is shorter than the queryTimeout of the node it relays for.
 	relayTimeout = 150 * time.Millisecond
 )
 
-// questions keeps one question at a time, and which exchange answers. It is safe for concurrent use.
-type questions struct {
+// queries runs one query at a time, and selects the route by the outcomes of earlier ones. It is safe for concurrent use.
+type queries struct {
 	mutex sync.Mutex
-	// pending is closed when the present question has ended; nil while there is none.
+	// pending is closed when the query in flight has ended; nil while there is none.
 	pending chan struct{}
-	// missed counts the answers that did not come, one after another, since missedAt.
-	missed   int
-	missedAt time.Time
-	// began is when the present question was put.
-	began   time.Time
-	stopped bool
-	running sync.WaitGroup
+	// misses counts failed queries since the first route failed. It is reset only by an answer from the first route.
+	misses int
+	// ownExchangeFailedAt is when the first route last failed.
+	ownExchangeFailedAt time.Time
+	// startedAt is when the query in flight was started.
+	startedAt  time.Time
+	stopped    bool
+	background sync.WaitGroup
 }
 
-// way returns the way to an exchange to use; known is false where there is none.
-func (q *questions) way(place places, now time.Time) (used way, known bool) {
-	if len(place.ways) == 0 {
-		return way{}, false
+// route returns the route to use; known is false where there is none.
+func (q *queries) route(topo topology, now time.Time) (chosen route, known bool) {
+	if len(topo.routes) == 0 {
+		return route{}, false
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.triesOwn(now) {
-		return place.ways[0], true
+	if q.retriesOwnExchange(now) {
+		return topo.routes[0], true
 	}
-	return place.ways[(q.missed/missesBorne)%len(place.ways)], true
+	return topo.routes[(q.misses/missesBeforeSwitch)%len(topo.routes)], true
 }
 
-// triesOwn says that a question put at that time tries this node's own exchange again. The mutex is held.
-func (q *questions) triesOwn(putAt time.Time) bool {
-	return q.missed > 0 && putAt.Sub(q.missedAt) >= ownExchangeAgain
+// retriesOwnExchange reports whether a query started at startedAt tries the first route again. The caller must hold mutex.
+func (q *queries) retriesOwnExchange(startedAt time.Time) bool {
+	return q.misses > 0 && startedAt.Sub(q.ownExchangeFailedAt) >= ownExchangeRetryInterval
 }
 
-// answered says that this node's own exchange, not one that stands in for it, answered last.
-func (q *questions) answered() bool {
+// ownExchangeAnswers reports whether the first route is in use and has not failed since its last answer.
+func (q *queries) ownExchangeAnswers() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.missed == 0
+	return q.misses == 0
 }
 
-// begin returns the channel that is closed when the present question ends. Where there is none, ask is run to put one; after stop
-// there is none.
-func (q *questions) begin(ask func() error) (ended <-chan struct{}) {
+// start returns a channel that is closed when the query in flight ends. Where there is none, it runs query in the background. After stop it
+// runs none and returns a closed channel.
+func (q *queries) start(query func() error) (done <-chan struct{}) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.pending != nil {
 		return q.pending
 	}
-	ending := make(chan struct{})
+	pending := make(chan struct{})
 	if q.stopped {
-		close(ending)
-		return ending
+		close(pending)
+		return pending
 	}
-	q.pending = ending
-	q.began = clock.Now()
-	q.running.Go(func() { q.end(ask(), clock.Now()) })
-	return ending
+	q.pending = pending
+	q.startedAt = clock.Now()
+	q.background.Go(func() { q.finish(query(), clock.Now()) })
+	return pending
 }
 
-// stop returns once no question is pending; no further one is put.
-func (q *questions) stop() {
+// stop prevents further queries and waits for the one in flight.
+func (q *queries) stop() {
 	q.mutex.Lock()
 	q.stopped = true
 	q.mutex.Unlock()
-	q.running.Wait()
+	q.background.Wait()
 }
 
-// end notes the end of a question.
-func (q *questions) end(err error, now time.Time) {
+// finish records the outcome of a query.
+func (q *queries) finish(err error, now time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	close(q.pending)
 	q.pending = nil
-	if q.triesOwn(q.began) {
-		// The way used before stands in again at once if this one still does not answer: else a node that is cut off for long would know
-		// nothing of the others for half a second of each five.
-		q.missedAt = now
+	if q.retriesOwnExchange(q.startedAt) {
+		// After a single failed retry the previous route is used again. Otherwise a node in a long partition would have no answers for
+		// half a second of every five.
+		q.ownExchangeFailedAt = now
 		if err == nil {
-			q.missed = 0
+			q.misses = 0
 		}
 		return
 	}
 	if err == nil {
-		if q.missed < missesBorne {
-			q.missed = 0
+		if q.misses < missesBeforeSwitch {
+			q.misses = 0
 		}
 		return
 	}
-	if q.missed == 0 {
-		q.missedAt = now
+	if q.misses == 0 {
+		q.ownExchangeFailedAt = now
 	}
-	q.missed++
+	q.misses++
 }
 
-// Refresh returns once this node knows what the others have as of a moment ago, or does not learn it in time.
+// Refresh waits until the load of the other nodes is fresh, for at most refreshTimeout or until ctx ends.
 func (s *Service) Refresh(ctx context.Context) {
 	if s.isFresh() {
 		return
 	}
-	timer := time.NewTimer(refreshWait)
+	timer := time.NewTimer(refreshTimeout)
 	defer timer.Stop()
 	select {
-	case <-s.ask():
+	case <-s.startQuery():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// KeepFresh asks for what the others have, unless the last answer is of a moment ago. It does not wait.
+// KeepFresh starts a query unless the last answer is fresh. It does not wait.
 func (s *Service) KeepFresh() {
 	if !s.isFresh() {
-		s.ask()
+		s.startQuery()
 	}
 }
 
 func (s *Service) isFresh() bool {
-	age, known := s.fleet.age(clock.Now())
-	return known && age <= freshFor
+	age, known := s.fleet.answerAge(clock.Now())
+	return known && age <= freshAge
 }
 
-// ask asks this node's exchange in the background, one question at a time; the returned channel is closed when that has ended.
-func (s *Service) ask() (ended <-chan struct{}) { return s.questions.begin(s.question) }
+// startQuery starts a query in the background unless one is in flight; the returned channel is closed when that ends.
+func (s *Service) startQuery() (done <-chan struct{}) { return s.queries.start(s.query) }
 
-// question puts one question and takes in its answer.
-func (s *Service) question() error {
+// query reports this node's load to an exchange and applies the answer. It returns nil where no exchange is known.
+func (s *Service) query() error {
 	now := clock.Now()
-	place := s.place()
-	used, known := s.chooseWay(place, now)
+	topo := s.currentTopology()
+	chosen, known := s.chooseRoute(topo, now)
 	if !known {
 		return nil
 	}
-	own := s.own()
-	message := s.message(own, now)
-	message.KnownRun, message.KnownVersion = s.fleet.known()
-	message.Of = s.partKnown()
-	if used.node == place.self {
-		s.board.takeReport(used.node, message, now)
-		s.apply(s.board.AnswerTo(message), own, now)
+	load := s.currentLoad()
+	message := s.newReport(load, now)
+	message.KnownRun, message.KnownVersion = s.fleet.lastAnswer()
+	message.Of = s.knownReplicaKeys()
+	if chosen.node == topo.self {
+		s.board.recordReport(chosen.node, message, now)
+		s.applyAnswer(s.board.AnswerTo(message), load, now)
 		return nil
 	}
-	bounded, cancel := context.WithTimeout(s.ctx, answerTimeout)
+	callCtx, cancel := context.WithTimeout(s.ctx, queryTimeout)
 	defer cancel()
 	answer := &loadsharepb.FleetLoad{}
 	method := methodAsk
-	if used.relayed {
+	if chosen.relayed {
 		method = methodAskFor
 	}
-	if err := s.caller.Call(bounded, used.node, method, message, answer); err != nil {
-		s.logger.Debug().Err(err).Stringer("node", used.node).Bool("relayed", used.relayed).Msg("exchange_silent")
+	if err := s.caller.Call(callCtx, chosen.node, method, message, answer); err != nil {
+		s.logger.Debug().Err(err).Stringer("node", chosen.node).Bool("relayed", chosen.relayed).Msg("exchange_silent")
 		return err
 	}
-	s.apply(answer, own, clock.Now())
+	s.applyAnswer(answer, load, clock.Now())
 	return nil
 }
 
-// partKnown returns the keys of the replicas that this node knows, where these are a part of all; else none. The answer then does not grow with
-// the number of replicas.
-func (s *Service) partKnown() []uint64 {
+// knownReplicaKeys returns the keys of the replicas that this node knows if these are only a part of the fleet's, and nil otherwise. The
+// answer is restricted to them, so that its size does not grow with the number of replicas.
+func (s *Service) knownReplicaKeys() []uint64 {
 	view := s.directory.View()
 	if !view.KnowsPart() {
 		return nil
@@ -194,14 +195,14 @@
 	return keys
 }
 
-// apply takes in what all nodes have.
-func (s *Service) apply(answer *loadsharepb.FleetLoad, own state, now time.Time) {
-	s.fleet.take(answer, own, now)
-	others := s.fleet.others()
+// applyAnswer applies the answer to a query that carried reported, and sets the load of the other nodes on the replicas.
+func (s *Service) applyAnswer(answer *loadsharepb.FleetLoad, reported nodeLoad, now time.Time) {
+	s.fleet.applyAnswer(answer, reported, now)
+	others := s.fleet.otherLoads()
 	for handle := range s.directory.View().All() {
 		handle.SetOthers(others[handle.Key()], now)
 	}
-	if s.options.Changed != nil {
-		s.options.Changed()
+	if s.options.OnAnswer != nil {
+		s.options.OnAnswer()
 	}
 }
--- a/internal/loadshare/relayed_test.go
+++ b/internal/loadshare/relayed_test.go
@@ -9,88 +9,89 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// cutFromStores cuts the links between the nodes at the given places and both storage nodes, or heals all.
-func (s *sharing) cutFromStores(places ...int) {
+// isolateFromStores cuts the links between the given nodes and both storage nodes, and heals all others.
+func (s *testNodes) isolateFromStores(nodes ...int) {
 	s.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
 		conditions := memory.Conditions{Delay: time.Millisecond}
-		for _, place := range places {
+		for _, node := range nodes {
 			for _, store := range []int{firstStore, secondStore} {
-				one, other := nodeAt(place+1), nodeAt(store+1)
-				conditions.Cut = conditions.Cut || from == one && to == other || from == other && to == one
+				isolated, storage := nodeAt(node+1), nodeAt(store+1)
+				conditions.Cut = conditions.Cut || from == isolated && to == storage || from == storage && to == isolated
 			}
 		}
 		return conditions
 	})
 }
 
-// untilCutIsNoticed is the time in which a node that asks all the time has found another way.
-const untilCutIsNoticed = (missesBorne + 1) * (answerTimeout + freshFor)
+// cutDetectionTime is the time within which a node that queries continuously has switched to another route.
+const cutDetectionTime = (missesBeforeSwitch + 1) * (queryTimeout + freshAge)
 
-// askOften has a node ask for a while, as one with callers does.
-func (s *sharing) askOften(t *testing.T, place int, span time.Duration) {
+// queryFor makes a node query continuously for the given duration, as a node with callers does.
+func (s *testNodes) queryFor(t *testing.T, node int, duration time.Duration) {
 	t.Helper()
-	for began := time.Now(); time.Since(began) < span; {
-		s.ask(t, place)
+	for began := time.Now(); time.Since(began) < duration; {
+		s.refresh(t, node)
 	}
 }
 
-// TestNodeCutFromStorageLearnsThroughAnother: it knows what the others have, and they what it has.
+// TestNodeCutFromStorageLearnsThroughAnother: a node that is partitioned from the storage nodes knows the load of the others, and they know its
+// load.
 func TestNodeCutFromStorageLearnsThroughAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.cutFromStores(firstEdge)
-		shared.askOften(t, firstEdge, untilCutIsNoticed)
-		shared.use(firstEdge, "a", 3)
-		shared.use(secondEdge, "a", 2)
-		time.Sleep(4 * interval)
-		shared.ask(t, firstEdge)
-		shared.ask(t, secondEdge)
-		for _, place := range []int{firstEdge, secondEdge} {
-			if got := shared.occupancy(place, "a"); got != 5 {
-				t.Errorf("node %d sees %v requests at the replica, want 5", place, got)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.isolateFromStores(firstEdge)
+		shared.queryFor(t, firstEdge, cutDetectionTime)
+		shared.acquire(firstEdge, "a", 3)
+		shared.acquire(secondEdge, "a", 2)
+		time.Sleep(4 * reportInterval)
+		shared.refresh(t, firstEdge)
+		shared.refresh(t, secondEdge)
+		for _, node := range []int{firstEdge, secondEdge} {
+			if got := shared.occupancy(node, "a"); got != 5 {
+				t.Errorf("node %d sees %v requests at the replica, want 5", node, got)
 			}
 		}
 		shared.stop()
 	})
 }
 
-// TestNodeCutFromStorageStaysInformed: while the cut lasts it tries its own exchange now and then, and is without answers for the time of one
-// question each time at most.
+// TestNodeCutFromStorageStaysInformed: during the partition the node periodically tries its own exchange, and each try leaves it without answers
+// for at most the timeout of one query.
 func TestNodeCutFromStorageStaysInformed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.cutFromStores(firstEdge)
-		shared.askOften(t, firstEdge, untilCutIsNoticed)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.isolateFromStores(firstEdge)
+		shared.queryFor(t, firstEdge, cutDetectionTime)
 		var oldest time.Duration
-		for began := time.Now(); time.Since(began) < 4*ownExchangeAgain; {
-			shared.ask(t, firstEdge)
-			_, age := shared.services[firstEdge].fleet.demand("s", time.Now())
+		for began := time.Now(); time.Since(began) < 4*ownExchangeRetryInterval; {
+			shared.refresh(t, firstEdge)
+			_, age := shared.services[firstEdge].fleet.otherDemand("s", time.Now())
 			oldest = max(oldest, age)
 		}
-		if oldest > answerTimeout+4*freshFor {
-			t.Errorf("its last answer is %s old", oldest)
+		if oldest > queryTimeout+4*freshAge {
+			t.Errorf("the last answer was %s old", oldest)
 		}
 		shared.stop()
 	})
 }
 
-// TestEndOfACutIsNoticed: a node goes back to its own exchange, and nobody counts it twice then.
+// TestEndOfACutIsNoticed: after a partition a node returns to its own exchange, and its load is not counted twice.
 func TestEndOfACutIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.cutFromStores(firstEdge)
-		shared.use(firstEdge, "a", 3)
-		shared.askOften(t, firstEdge, untilCutIsNoticed)
-		shared.cutFromStores()
-		shared.askOften(t, firstEdge, ownExchangeAgain+answerTimeout)
-		if used, _ := shared.services[firstEdge].questions.way(shared.services[firstEdge].place(), time.Now()); used.relayed {
-			t.Error("it still asks through another node")
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.isolateFromStores(firstEdge)
+		shared.acquire(firstEdge, "a", 3)
+		shared.queryFor(t, firstEdge, cutDetectionTime)
+		shared.isolateFromStores()
+		shared.queryFor(t, firstEdge, ownExchangeRetryInterval+queryTimeout)
+		if used, _ := shared.services[firstEdge].queries.route(shared.services[firstEdge].currentTopology(), time.Now()); used.relayed {
+			t.Error("the node still queries through a relay")
 		}
-		time.Sleep(4 * interval)
-		shared.ask(t, secondEdge)
+		time.Sleep(4 * reportInterval)
+		shared.refresh(t, secondEdge)
 		if got := shared.occupancy(secondEdge, "a"); got != 3 {
 			t.Errorf("another node sees %v requests at the replica, want 3", got)
 		}
@@ -98,16 +99,16 @@
 	})
 }
 
-// TestCutNodesPassNothingOn: two nodes that reach no storage node do not ask each other in turns.
+// TestCutNodesPassNothingOn: two nodes that reach no storage node do not relay each other's queries in a loop.
 func TestCutNodesPassNothingOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.cutFromStores(firstEdge, secondEdge)
-		shared.askOften(t, secondEdge, untilCutIsNoticed)
-		shared.askOften(t, firstEdge, untilCutIsNoticed)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.isolateFromStores(firstEdge, secondEdge)
+		shared.queryFor(t, secondEdge, cutDetectionTime)
+		shared.queryFor(t, firstEdge, cutDetectionTime)
 		if _, known := shared.services[firstEdge].OthersDemand("s", time.Now()); known {
-			t.Error("a node that reaches no exchange, through others neither, takes old numbers for new ones")
+			t.Error("a node that reaches no exchange, directly or through a relay, uses a stale demand")
 		}
 		shared.stop()
 	})
--- a/internal/loadshare/relays_test.go
+++ b/internal/loadshare/relays_test.go
@@ -11,11 +11,11 @@
 )
 
 // countBetweenExchanges counts the frames between the two exchanges from now on.
-func (s *sharing) countBetweenExchanges() *atomic.Int64 {
+func (s *testNodes) countBetweenExchanges() *atomic.Int64 {
 	var frames atomic.Int64
-	one, other := nodeAt(firstStore+1), nodeAt(secondStore+1)
+	first, second := nodeAt(firstStore+1), nodeAt(secondStore+1)
 	s.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
-		if from == one && to == other || from == other && to == one {
+		if from == first && to == second || from == second && to == first {
 			frames.Add(1)
 		}
 		return memory.Conditions{Delay: time.Millisecond}
@@ -23,24 +23,24 @@
 	return &frames
 }
 
-// TestNothingNewIsNotRelayed: exchanges send each other what has not changed now and then only, however often nodes report and ask, and do not
-// answer each other's messages with messages. A change goes out at once.
+// TestNothingNewIsNotRelayed: while loads do not change, exchanges relay only every unchangedRelayInterval, however often nodes report and
+// query, and do not answer each other's messages. A change is relayed at once.
 func TestNothingNewIsNotRelayed(t *testing.T) {
 	const span = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		shared.use(firstEdge, "a", 3)
-		shared.use(secondEdge, "b", 2)
-		time.Sleep(joined)
+		shared := startNodes(t)
+		shared.acquire(firstEdge, "a", 3)
+		shared.acquire(secondEdge, "b", 2)
+		time.Sleep(firstExchangeTime)
 		frames := shared.countBetweenExchanges()
-		shared.askOften(t, firstEdge, span/2)
+		shared.queryFor(t, firstEdge, span/2)
 		time.Sleep(span / 2)
-		if sent, most := frames.Load(), int64(2*(span/relayAnyway+2)); sent > most {
-			t.Errorf("%d messages between the exchanges in %s without a change, want %d at most", sent, span, most)
+		if sent, maxFrames := frames.Load(), int64(2*(span/unchangedRelayInterval+2)); sent > maxFrames {
+			t.Errorf("%d messages between the exchanges in %s without a change, want %d at most", sent, span, maxFrames)
 		}
-		shared.use(firstEdge, "a", 1)
-		time.Sleep(settleTime + 2*interval + 3*time.Millisecond)
-		shared.ask(t, secondEdge)
+		shared.acquire(firstEdge, "a", 1)
+		time.Sleep(reportDelay + 2*reportInterval + 3*time.Millisecond)
+		shared.refresh(t, secondEdge)
 		if got := shared.occupancy(secondEdge, "a"); got != 4 {
 			t.Errorf("the other zone sees %v requests at the replica, want 4", got)
 		}
--- a/internal/loadshare/service.go
+++ b/internal/loadshare/service.go
@@ -24,174 +24,184 @@
 	methodReport transport.Method = "loadshare.report"
 	methodAsk    transport.Method = "loadshare.ask"
 	methodRelay  transport.Method = "loadshare.relay"
-	// methodAskFor and methodReportFor are questions and reports that a node passes on to its exchange for another node.
+	// methodAskFor and methodReportFor are queries and reports for a node to relay to its exchange.
 	methodAskFor    transport.Method = "loadshare.ask_for"
 	methodReportFor transport.Method = "loadshare.report_for"
-	// interval is the least time between two reports of a node, and how often an exchange looks whether its sums have changed. In a burst a
-	// zone of the shifted deployment begins a request each 5 ms; with 40 ms, 35 in 100 were sent to a replica that had 6 to 10 at its 6
-	// slots, at which 4.7 were known of; with 10 ms 32 in 100, most of the unknown ones under 5 ms old (policy.md, rounds 18 and 24).
-	interval = 5 * time.Millisecond
-	// settleTime is how long after a change a node reports: one request changes several numbers one after the other.
-	settleTime = 500 * time.Microsecond
-	// ownerInterval is how often a node with batch items asks: items must give way at once.
-	ownerInterval = 20 * time.Millisecond
-	// standbyInterval is how often a node that could own batch items asks while it has none: it may own some at any moment, and plans by
-	// the slots that items had of late.
-	standbyInterval = 250 * time.Millisecond
-	// reportAnyway is how often a node with callers reports also what has not changed, or another node what is not zero.
-	reportAnyway = 500 * time.Millisecond
-	// relayAnyway and relayWhole are how often an exchange sends the others also what has not changed, and all that it has.
-	relayAnyway = 250 * time.Millisecond
-	relayWhole  = time.Second
+	// reportInterval is the minimum time between two reports of a node, and how often an exchange checks whether its sums have changed. With
+	// bursts in which a zone starts a request every 5 ms, and an interval of 40 ms, 35 in 100 requests were sent to a replica that had 6 to
+	// 10 requests at its 6 slots, 4.7 of them known to the sender. With 10 ms it was 32 in 100, and most of the unknown requests were less
+	// than 5 ms old.
+	reportInterval = 5 * time.Millisecond
+	// reportDelay is how long a node waits after a change before it reports, since one request changes several counts in succession.
+	reportDelay = 500 * time.Microsecond
+	// ownerQueryInterval is how often a node with batch items queries. It is short because items must yield to callers' requests at once.
+	ownerQueryInterval = 20 * time.Millisecond
+	// standbyQueryInterval is how often a storage node queries while it owns no batch items. It may own some at any moment, and then plans
+	// by the slots that items had recently.
+	standbyQueryInterval = 250 * time.Millisecond
+	// unchangedReportInterval is how often a node repeats an unchanged report. A storage node repeats only non-zero ones.
+	unchangedReportInterval = 500 * time.Millisecond
+	// unchangedRelayInterval is how often an exchange relays to the others when nothing has changed.
+	unchangedRelayInterval = 250 * time.Millisecond
+	// fullRelayInterval is how often a relay carries all loads instead of only the changed ones.
+	fullRelayInterval = time.Second
 )
 
-// Options of a Service.
+// Options configures a Service.
 type Options struct {
 	Zone string
-	// Kind is what this node's requests at replicas are for.
+	// Kind is what this node's requests at replicas are for: callers' requests or batch items.
 	Kind loadsharepb.Kind
-	// Works says that this node owns batch items that wait or run; nil stands for never.
-	Works func() bool
-	// Demands returns the callers' requests at this node, by service; nil stands for none.
+	// OwnsItems reports whether this node owns batch items that wait or run; nil means that it never does.
+	OwnsItems func() bool
+	// Demands returns the callers' requests at this node by service; nil means none.
 	Demands func() map[string]Demand
-	// Changed, where it is set, is called after an answer came.
-	Changed func()
+	// OnAnswer, if set, is called after each answer.
+	OnAnswer func()
 }
 
-// Service reports this node's numbers and keeps the others'. On a storage node it is an exchange as well.
+// Service reports this node's load and keeps the load of the other nodes. On a storage node it also acts as an exchange. It is safe for
+// concurrent use once started.
 type Service struct {
-	options   Options
-	directory *replica.Directory
-	viewer    membership.Viewer
-	caller    transport.Caller
-	board     *Board
-	fleet     *fleet
-	places    membership.PerView[places]
-	questions questions
-	logger    zerolog.Logger
+	options    Options
+	directory  *replica.Directory
+	viewer     membership.Viewer
+	caller     transport.Caller
+	board      *Board
+	fleet      *fleet
+	topologies membership.PerView[topology]
+	queries    queries
+	logger     zerolog.Logger
 
-	run      uint64
-	sequence atomic.Uint64
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	run        uint64
+	sequence   atomic.Uint64
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 
-	// mutex guards the fields below: what was reported last, and when; a question reports too. sentAt is when the last report that was no
-	// question was sent: the request for which a question was asked is to be known at once.
-	mutex      sync.Mutex
-	reported   state
-	reportedAt time.Time
-	sentAt     time.Time
-	// way is the one that was used last, movedAt when another one was before.
-	way     way
-	movedAt time.Time
+	// mutex guards the fields below.
+	mutex sync.Mutex
+	// reportedLoad is what was reported last, by a report or a query, at reportedAt.
+	reportedLoad nodeLoad
+	reportedAt   time.Time
+	// sentAt is when the last report was sent. Queries do not count: the request that a query was made for must be reported at once.
+	sentAt time.Time
+	// route is the one used last; routeChangedAt is when it replaced another one.
+	route          route
+	routeChangedAt time.Time
 
-	// The fields below belong to the reporting goroutine. relayedVersion is the Board's version that the other exchanges have.
+	// The fields below are used only by the reporting goroutine.
+
+	// relayedVersion is the Board's version that was last relayed to the other exchanges.
 	relayedVersion uint64
 	relayedAt      time.Time
-	relayedWholeAt time.Time
-	// askedAt is when a node without items asked last.
-	askedAt time.Time
+	fullRelayAt    time.Time
+	// standbyQueryAt is when this node last queried without owning items.
+	standbyQueryAt time.Time
 }
 
-// New returns a Service and registers its methods; nothing is sent before Start.
-func New(options Options, directory *replica.Directory, viewer membership.Viewer, caller transport.Caller, registrar transport.Registrar, logger zerolog.Logger) *Service {
+// New returns a Service and registers its transport methods; nothing is sent before Start.
+func New(
+	options Options, directory *replica.Directory, viewer membership.Viewer, caller transport.Caller, registrar transport.Registrar,
+	logger zerolog.Logger,
+) *Service {
 	now := clock.Now()
 	service := &Service{
-		options: options, directory: directory, viewer: viewer, caller: caller, board: NewBoard(now), fleet: newFleet(now), run: rand.Uint64(),
+		options: options, directory: directory, viewer: viewer, caller: caller,
+		board: NewBoard(now), fleet: newFleet(now), run: rand.Uint64(),
 		logger: logger.With().Str(logging.FieldSlice, "loadshare").Logger(),
 	}
 	service.ctx, service.cancel = context.WithCancel(context.Background())
 	registrar.Handle(methodRelay, func() proto.Message { return &loadsharepb.ExchangeLoad{} },
 		func(_ context.Context, from netip.AddrPort, message proto.Message) (proto.Message, error) {
-			service.board.takeRelay(from, message.(*loadsharepb.ExchangeLoad), clock.Now())
+			service.board.recordRelay(from, message.(*loadsharepb.ExchangeLoad), clock.Now())
 			return nil, nil
 		})
 	registrar.Handle(methodReport, func() proto.Message { return &loadsharepb.NodeLoad{} },
 		func(_ context.Context, from netip.AddrPort, message proto.Message) (proto.Message, error) {
 			load := message.(*loadsharepb.NodeLoad)
-			service.board.takeReport(reporterOf(from, load), load, clock.Now())
+			service.board.recordReport(reporterOf(from, load), load, clock.Now())
 			return nil, nil
 		})
 	registrar.Handle(methodAsk, func() proto.Message { return &loadsharepb.NodeLoad{} },
 		func(_ context.Context, from netip.AddrPort, message proto.Message) (proto.Message, error) {
 			load := message.(*loadsharepb.NodeLoad)
-			service.board.takeReport(reporterOf(from, load), load, clock.Now())
+			service.board.recordReport(reporterOf(from, load), load, clock.Now())
 			return service.board.AnswerTo(load), nil
 		})
-	service.handleRelayed(registrar)
+	service.registerRelayHandlers(registrar)
 	return service
 }
 
-// SetOwner sets what a node with batch items reports; changed is called after each answer. It is called before Start.
-func (s *Service) SetOwner(works func() bool, changed func()) {
-	s.options.Works, s.options.Changed = works, changed
+// SetOwner sets the OwnsItems and OnAnswer options of a node that may own batch items. It must be called before Start.
+func (s *Service) SetOwner(ownsItems func() bool, onAnswer func()) {
+	s.options.OwnsItems, s.options.OnAnswer = ownsItems, onAnswer
 }
 
-// SetDemands sets what a node with callers reports; changed is called after each answer. It is called before Start.
-func (s *Service) SetDemands(demands func() map[string]Demand, changed func()) {
-	s.options.Demands, s.options.Changed = demands, changed
+// SetDemands sets the Demands and OnAnswer options of a node with callers. It must be called before Start.
+func (s *Service) SetDemands(demands func() map[string]Demand, onAnswer func()) {
+	s.options.Demands, s.options.OnAnswer = demands, onAnswer
 }
 
-// OthersDemand returns what the other nodes' callers want of service; known is false where no answer came lately.
+// OthersDemand returns the other nodes' demand for service; known is false where the last answer is older than answerStaleAfter.
 func (s *Service) OthersDemand(service string, now time.Time) (others Demand, known bool) {
-	others, age := s.fleet.demand(service, now)
-	return others, age <= answersStale
+	others, age := s.fleet.otherDemand(service, now)
+	return others, age <= answerStaleAfter
 }
 
-// Others returns the requests for service of the other nodes; none where no answer came for reportStale. After a change of the
-// exchange the batch items of others are not known for a while: the exchange before may still count this node's own.
+// Others returns the other nodes' demand for service; the zero Demand where the last answer is older than reportStaleAfter. For a while after
+// a change of route its Batch is 0, since the previous exchange may still count this node's own items.
 func (s *Service) Others(service string, now time.Time) Demand {
-	others, age := s.fleet.demand(service, now)
-	if age > reportStale {
+	others, age := s.fleet.otherDemand(service, now)
+	if age > reportStaleAfter {
 		return Demand{}
 	}
-	if s.movedLately(now) {
+	if s.routeChangedRecently(now) {
 		others.Batch = 0
 	}
 	return others
 }
 
-// ReportingSince returns since when nodes with callers have reported without a break.
+// ReportingSince returns the time since which nodes with callers have reported without interruption.
 func (s *Service) ReportingSince() time.Time { return s.fleet.reportingSince() }
 
-// place returns the places by the present view.
-func (s *Service) place() places {
-	return s.places.Of(s.viewer.View(), func(view *membership.View) places { return placesOf(view, s.options.Zone) })
+// currentTopology returns the topology for the current membership view.
+func (s *Service) currentTopology() topology {
+	return s.topologies.Of(s.viewer.View(), func(view *membership.View) topology { return topologyOf(view, s.options.Zone) })
 }
 
-// Start begins to report.
+// Start starts reporting.
 func (s *Service) Start() {
-	s.running.Go(s.loop)
+	s.background.Go(s.loop)
 }
 
-// Stop ends the reports.
+// Stop stops reporting and waits for the query in flight.
 func (s *Service) Stop() {
 	s.cancel()
-	s.running.Wait()
-	s.questions.stop()
+	s.background.Wait()
+	s.queries.stop()
 }
 
-// loop reports when this node's numbers change, and else now and then.
+// loop reports when this node's load changes, and otherwise at the intervals that tick returns.
 func (s *Service) loop() {
 	changed := s.directory.UseChanged()
 	if s.isStore() {
-		// It looks often enough anyway.
+		// A storage node ticks often enough to need no signal.
 		changed = nil
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	// due says that a report of the latest changes is on the timer already.
-	due := false
+	// reportScheduled is set while the timer is set for a report of the latest changes.
+	reportScheduled := false
 	for {
 		select {
 		case <-changed:
-			if !due {
-				due = true
-				timer.Reset(max(settleTime, s.untilNextReport(clock.Now())))
+			if !reportScheduled {
+				reportScheduled = true
+				timer.Reset(max(reportDelay, s.timeUntilNextReport(clock.Now())))
 			}
 		case <-timer.C:
-			due = false
+			reportScheduled = false
 			timer.Reset(s.tick(clock.Now()))
 		case <-s.ctx.Done():
 			return
@@ -199,85 +209,85 @@
 	}
 }
 
-// untilNextReport returns how long it is before this node may report again.
-func (s *Service) untilNextReport(now time.Time) time.Duration {
+// timeUntilNextReport returns the time until this node may report again.
+func (s *Service) timeUntilNextReport(now time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return interval - now.Sub(s.sentAt)
+	return reportInterval - now.Sub(s.sentAt)
 }
 
-// tick does what is due and returns the time until the next tick.
+// tick relays, queries or reports as due, and returns the time until the next tick.
 func (s *Service) tick(now time.Time) time.Duration {
-	place := s.place()
-	works := s.options.Works != nil && s.options.Works()
+	topo := s.currentTopology()
+	ownsItems := s.options.OwnsItems != nil && s.options.OwnsItems()
 	if s.isStore() {
 		s.board.prune(now)
-		s.relay(place, now)
+		s.relay(topo, now)
 	}
-	if works {
-		// A question reports too.
-		s.ask()
-		return ownerInterval
+	if ownsItems {
+		// The query carries a report.
+		s.startQuery()
+		return ownerQueryInterval
 	}
-	if s.isStore() && now.Sub(s.askedAt) >= standbyInterval {
-		s.askedAt = now
-		s.ask()
-		return interval
+	if s.isStore() && now.Sub(s.standbyQueryAt) >= standbyQueryInterval {
+		s.standbyQueryAt = now
+		s.startQuery()
+		return reportInterval
 	}
-	if own := s.own(); s.reportIsDue(own, now) {
-		s.report(place, own, now)
+	if load := s.currentLoad(); s.reportDue(load, now) {
+		s.report(topo, load, now)
 	}
 	if s.isStore() {
-		return interval
+		return reportInterval
 	}
-	return reportAnyway
+	return unchangedReportInterval
 }
 
 func (s *Service) isStore() bool { return s.options.Kind == loadsharepb.Kind_KIND_BATCH }
 
-// own returns this node's requests.
-func (s *Service) own() state {
-	found := state{replicas: replicaLoads{}, demands: demands{}}
+// currentLoad returns this node's own load.
+func (s *Service) currentLoad() nodeLoad {
+	load := nodeLoad{replicas: replicaLoads{}, demands: demands{}}
 	if s.options.Demands != nil {
-		maps.Copy(found.demands, s.options.Demands())
+		maps.Copy(load.demands, s.options.Demands())
 	}
 	for handle := range s.directory.View().All() {
 		use := handle.Use()
 		if use.Requests <= 0 && use.Avoiding == 0 {
 			continue
 		}
-		found.replicas[handle.Key()] = use
+		load.replicas[handle.Key()] = use
 		if s.isStore() && use.Requests > 0 {
 			service := handle.Info().Service
-			found.demands[service] = found.demands[service].plus(Demand{Batch: use.Requests}, 1)
+			load.demands[service] = load.demands[service].plus(Demand{Batch: use.Requests}, 1)
 		}
 	}
-	return found
+	return load
 }
 
-func (s state) equal(other state) bool {
-	return maps.Equal(s.replicas, other.replicas) && maps.Equal(s.demands, other.demands)
+func (l nodeLoad) equal(other nodeLoad) bool {
+	return maps.Equal(l.replicas, other.replicas) && maps.Equal(l.demands, other.demands)
 }
 
-func (s state) zero() bool { return len(s.replicas)+len(s.demands) == 0 }
+func (l nodeLoad) isZero() bool { return len(l.replicas)+len(l.demands) == 0 }
 
-// reportIsDue says that own has changed, or was reported long ago.
-func (s *Service) reportIsDue(own state, now time.Time) bool {
+// reportDue reports whether load differs from the last report, or that report is due to be repeated.
+func (s *Service) reportDue(load nodeLoad, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !own.equal(s.reported) {
+	if !load.equal(s.reportedLoad) {
 		return true
 	}
-	return now.Sub(s.reportedAt) >= reportAnyway && (!s.isStore() || !own.zero())
+	return now.Sub(s.reportedAt) >= unchangedReportInterval && (!s.isStore() || !load.isZero())
 }
 
-// message returns own as it is sent, and notes that it is.
-func (s *Service) message(own state, now time.Time) *loadsharepb.NodeLoad {
+// newReport returns load as a message and records it as reported.
+func (s *Service) newReport(load nodeLoad, now time.Time) *loadsharepb.NodeLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.reported, s.reportedAt = own, now
+	s.reportedLoad, s.reportedAt = load, now
 	return &loadsharepb.NodeLoad{
-		Origin: s.origin(), Kind: s.options.Kind, Replicas: encodeReplicas(own.replicas), Demands: encodeDemands(own.demands),
+		Origin: s.origin(), Kind: s.options.Kind, Replicas: encodeReplicas(load.replicas), Demands: encodeDemands(load.demands),
 	}
 }
 
@@ -285,41 +295,41 @@
 	return &loadsharepb.Origin{Run: s.run, Sequence: s.sequence.Add(1)}
 }
 
-// report sends own to this node's exchange without waiting for an answer.
-func (s *Service) report(place places, own state, now time.Time) {
-	used, known := s.chooseWay(place, now)
+// report sends load to this node's exchange without waiting for an answer.
+func (s *Service) report(topo topology, load nodeLoad, now time.Time) {
+	chosen, known := s.chooseRoute(topo, now)
 	if !known {
 		return
 	}
-	if used.relayed {
-		// A question reports too, and shows whether the relay still reaches an exchange.
-		s.ask()
+	if chosen.relayed {
+		// The query carries a report, and also shows whether the relay still reaches an exchange.
+		s.startQuery()
 		return
 	}
-	message := s.message(own, now)
+	message := s.newReport(load, now)
 	s.mutex.Lock()
 	s.sentAt = now
 	s.mutex.Unlock()
-	s.deliver(used, place, message, now)
+	s.deliverReport(chosen, topo, message, now)
 }
 
-// relay sends the other exchanges what the nodes have that report to this one.
-func (s *Service) relay(place places, now time.Time) {
-	if s.board.empty() && !place.isExchange {
+// relay sends the other exchanges the sums of the loads that nodes report to this one.
+func (s *Service) relay(topo topology, now time.Time) {
+	if s.board.hasNoReports() && !topo.isExchange {
 		return
 	}
-	if !s.board.reportedSince(s.relayedVersion) && now.Sub(s.relayedAt) < relayAnyway {
+	if !s.board.reportsChangedSince(s.relayedVersion) && now.Sub(s.relayedAt) < unchangedRelayInterval {
 		return
 	}
-	whole := now.Sub(s.relayedWholeAt) >= relayWhole
-	message, version := s.board.relayed(s.relayedVersion, whole)
+	whole := now.Sub(s.fullRelayAt) >= fullRelayInterval
+	message, version := s.board.changesToRelay(s.relayedVersion, whole)
 	message.Origin = s.origin()
 	s.relayedVersion, s.relayedAt = version, now
 	if whole {
-		s.relayedWholeAt = now
+		s.fullRelayAt = now
 	}
-	for _, exchange := range place.exchanges {
-		if exchange == place.self {
+	for _, exchange := range topo.exchanges {
+		if exchange == topo.self {
 			continue
 		}
 		if err := s.caller.Send(exchange, methodRelay, message); err != nil {
--- a/internal/loadshare/service_test.go
+++ b/internal/loadshare/service_test.go
@@ -24,8 +24,8 @@
 func (v fixedView) View() *membership.View                  { return v.view }
 func (v fixedView) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// sharing is an edge and a storage node in each of two zones, each with its own directory of the same replicas.
-type sharing struct {
+// testNodes is an edge and a storage node in each of two zones. Each has its own directory of the same replicas.
+type testNodes struct {
 	network     *memory.Network
 	services    []*Service
 	directories []*replica.Directory
@@ -35,7 +35,7 @@
 	demand [nodeCount]atomic.Int64
 }
 
-// Nodes by their place.
+// Indices of the nodes.
 const (
 	firstEdge = iota
 	secondEdge
@@ -44,106 +44,109 @@
 	nodeCount
 )
 
-func startSharing(t *testing.T) *sharing {
+func startNodes(t *testing.T) *testNodes {
 	t.Helper()
-	shared := &sharing{network: memory.NewNetwork(1)}
-	shared.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
+	nodes := &testNodes{network: memory.NewNetwork(1)}
+	nodes.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: time.Millisecond}
 	})
 	names := []membership.NodeID{"edge-1", "edge-2", "store-1", "store-2"}
 	zones := []string{"y", "z", "y", "z"}
 	var members []membership.Member
-	for place, name := range names {
+	for index, name := range names {
 		members = append(members, membership.Member{
-			ID: name, Zone: zones[place], PeerAddress: nodeAt(place + 1), Store: place >= firstStore, State: membership.Alive,
+			ID: name, Zone: zones[index], PeerAddress: nodeAt(index + 1), Store: index >= firstStore, State: membership.Alive,
 		})
 	}
-	for place, name := range names {
+	for index, name := range names {
 		kind := loadsharepb.Kind_KIND_ONLINE
-		if place >= firstStore {
+		if index >= firstStore {
 			kind = loadsharepb.Kind_KIND_BATCH
 		}
-		node, err := memory.NewTransport(shared.network, nodeAt(place+1), prometheus.NewRegistry())
+		node, err := memory.NewTransport(nodes.network, nodeAt(index+1), prometheus.NewRegistry())
 		if err != nil {
 			t.Fatal(err)
 		}
 		directory := replica.NewDirectory()
 		directory.Replace([]replica.Info{{ID: "a", Service: "s", Slots: 8}, {ID: "b", Service: "s", Slots: 8}})
-		service := New(Options{Zone: zones[place], Kind: kind}, directory, fixedView{&membership.View{Self: name, Members: members}}, node, node, zerolog.Nop())
+		service := New(
+			Options{Zone: zones[index], Kind: kind}, directory, fixedView{&membership.View{Self: name, Members: members}}, node, node,
+			zerolog.Nop(),
+		)
 		if kind == loadsharepb.Kind_KIND_ONLINE {
 			service.SetDemands(func() map[string]Demand {
-				return map[string]Demand{"s": {InUse: int(shared.demand[place].Load())}}
+				return map[string]Demand{"s": {InUse: int(nodes.demand[index].Load())}}
 			}, nil)
 		}
-		shared.services = append(shared.services, service)
-		shared.directories = append(shared.directories, directory)
-		shared.transports = append(shared.transports, node)
+		nodes.services = append(nodes.services, service)
+		nodes.directories = append(nodes.directories, directory)
+		nodes.transports = append(nodes.transports, node)
 	}
-	shared.services[firstStore].SetOwner(func() bool { return true }, func() { shared.changes.Add(1) })
-	for place := range nodeCount {
-		shared.transports[place].Start()
-		shared.services[place].Start()
+	nodes.services[firstStore].SetOwner(func() bool { return true }, func() { nodes.changes.Add(1) })
+	for index := range nodeCount {
+		nodes.transports[index].Start()
+		nodes.services[index].Start()
 	}
-	return shared
+	return nodes
 }
 
-func (s *sharing) stop() {
-	for place := range nodeCount {
-		s.services[place].Stop()
-		s.transports[place].Stop()
+func (s *testNodes) stop() {
+	for index := range nodeCount {
+		s.services[index].Stop()
+		s.transports[index].Stop()
 	}
 }
 
-func (s *sharing) use(place int, replicaID string, requests int) {
+func (s *testNodes) acquire(node int, replicaID string, requests int) {
 	for range requests {
-		s.directories[place].View().Find(replicaID).Acquire()
+		s.directories[node].View().Find(replicaID).Acquire()
 	}
 }
 
-func (s *sharing) occupancy(place int, replicaID string) float64 {
-	return s.directories[place].View().Find(replicaID).Occupancy(time.Now())
+func (s *testNodes) occupancy(node int, replicaID string) float64 {
+	return s.directories[node].View().Find(replicaID).Occupancy(time.Now())
 }
 
-// ask has a node learn what the others have, as it does before it chooses a replica.
-func (s *sharing) ask(t *testing.T, place int) {
+// refresh makes a node refresh its knowledge of the others' load, as it does before it chooses a replica.
+func (s *testNodes) refresh(t *testing.T, node int) {
 	t.Helper()
-	time.Sleep(freshFor + 1)
-	s.services[place].Refresh(t.Context())
+	time.Sleep(freshAge + 1)
+	s.services[node].Refresh(t.Context())
 }
 
-// joined is the time after which each node has reported and the exchanges have told each other.
-const joined = 2 * reportAnyway
+// firstExchangeTime is the time within which each node has reported and the exchanges have relayed.
+const firstExchangeTime = 2 * unchangedReportInterval
 
 func TestNodesLearnWhatOthersHave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		shared.use(firstStore, "b", 4)
-		time.Sleep(joined)
-		shared.use(firstEdge, "a", 3)
-		shared.use(secondEdge, "a", 1)
-		time.Sleep(4 * interval)
-		shared.ask(t, firstEdge)
-		shared.ask(t, secondEdge)
-		for place, want := range map[int][2]float64{firstEdge: {4, 4}, secondEdge: {4, 4}, firstStore: {4, 4}} {
-			if got := [2]float64{shared.occupancy(place, "a"), shared.occupancy(place, "b")}; got != want {
-				t.Errorf("node %d sees %v requests at the replicas, want %v", place, got, want)
+		shared := startNodes(t)
+		shared.acquire(firstStore, "b", 4)
+		time.Sleep(firstExchangeTime)
+		shared.acquire(firstEdge, "a", 3)
+		shared.acquire(secondEdge, "a", 1)
+		time.Sleep(4 * reportInterval)
+		shared.refresh(t, firstEdge)
+		shared.refresh(t, secondEdge)
+		for node, want := range map[int][2]float64{firstEdge: {4, 4}, secondEdge: {4, 4}, firstStore: {4, 4}} {
+			if got := [2]float64{shared.occupancy(node, "a"), shared.occupancy(node, "b")}; got != want {
+				t.Errorf("node %d sees %v requests at the replicas, want %v", node, got, want)
 			}
 		}
 		if shared.changes.Load() == 0 {
-			t.Error("the owner does not learn that online requests came")
+			t.Error("OnAnswer was not called on the owner")
 		}
 		shared.stop()
 	})
 }
 
-// TestOwnersLearnAtOnce: a node with batch items learns of more online requests within two intervals.
+// TestOwnersLearnAtOnce: a node with batch items learns of additional online requests within two report intervals and a query interval.
 func TestOwnersLearnAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
 		shared.demand[secondEdge].Store(5)
-		shared.use(secondEdge, "a", 5)
-		time.Sleep(2*interval + ownerInterval + settleTime + 3*time.Millisecond)
+		shared.acquire(secondEdge, "a", 5)
+		time.Sleep(2*reportInterval + ownerQueryInterval + reportDelay + 3*time.Millisecond)
 		if got := shared.services[firstStore].Others("s", time.Now()).InUse; got != 5 {
 			t.Errorf("the owner knows of %d online requests, want 5", got)
 		}
@@ -151,15 +154,15 @@
 	})
 }
 
-// TestChosenReplicaIsKnownAtOnce: what a node sends after a question is known in its zone before the next node chooses.
+// TestChosenReplicaIsKnownAtOnce: a request that a node sends after a query is known in its zone before the next node chooses a replica.
 func TestChosenReplicaIsKnownAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.ask(t, firstEdge)
-		shared.use(firstEdge, "a", 1)
-		time.Sleep(settleTime + 2*time.Millisecond)
-		if err := shared.services[firstStore].question(); err != nil {
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.refresh(t, firstEdge)
+		shared.acquire(firstEdge, "a", 1)
+		time.Sleep(reportDelay + 2*time.Millisecond)
+		if err := shared.services[firstStore].query(); err != nil {
 			t.Fatal(err)
 		}
 		if got := shared.occupancy(firstStore, "a"); got != 1 {
@@ -169,19 +172,19 @@
 	})
 }
 
-// TestEndOfARequestIsReported: the demand falls after the replica's slot is free; both are reported at once.
+// TestEndOfARequestIsReported: the demand decreases after the replica's slot is released; both changes are reported at once.
 func TestEndOfARequestIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
+		shared := startNodes(t)
 		shared.demand[secondEdge].Store(1)
 		release := shared.directories[secondEdge].View().Find("a").Acquire()
-		time.Sleep(joined)
+		time.Sleep(firstExchangeTime)
 		release()
 		time.Sleep(time.Millisecond)
 		shared.demand[secondEdge].Store(0)
-		// As the gate does after a request has left it.
+		// The gate does this when a request leaves it.
 		shared.directories[secondEdge].SignalUse()
-		time.Sleep(2*interval + ownerInterval + settleTime + 3*time.Millisecond)
+		time.Sleep(2*reportInterval + ownerQueryInterval + reportDelay + 3*time.Millisecond)
 		if got := shared.services[firstStore].Others("s", time.Now()).InUse; got != 0 {
 			t.Errorf("the owner knows of %d online requests after their end", got)
 		}
@@ -189,17 +192,17 @@
 	})
 }
 
-// TestChoiceRestsOnAFreshAnswer: a request that comes after a lull waits for what the others have now, not what they had.
+// TestChoiceRestsOnAFreshAnswer: a request after an idle period waits for the current load of the other nodes.
 func TestChoiceRestsOnAFreshAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.ask(t, firstEdge)
-		shared.use(secondEdge, "a", 4)
-		time.Sleep(4 * interval)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.refresh(t, firstEdge)
+		shared.acquire(secondEdge, "a", 4)
+		time.Sleep(4 * reportInterval)
 		began := time.Now()
 		shared.services[firstEdge].Refresh(t.Context())
-		if took := time.Since(began); took >= refreshWait {
+		if took := time.Since(began); took >= refreshTimeout {
 			t.Errorf("the answer took %s", took)
 		}
 		if got := shared.occupancy(firstEdge, "a"); got != 4 {
@@ -209,29 +212,29 @@
 	})
 }
 
-// TestSilentExchangeHoldsNoRequestUp: the wait for an answer is bounded.
+// TestSilentExchangeHoldsNoRequestUp: a request waits at most refreshTimeout for an exchange that does not answer.
 func TestSilentExchangeHoldsNoRequestUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		for _, place := range []int{firstStore, secondStore} {
-			shared.transports[place].Stop()
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		for _, node := range []int{firstStore, secondStore} {
+			shared.transports[node].Stop()
 		}
 		time.Sleep(time.Second)
 		began := time.Now()
 		shared.services[firstEdge].Refresh(t.Context())
-		if took := time.Since(began); took > refreshWait {
-			t.Errorf("the request waited %s, want %s at most", took, refreshWait)
+		if took := time.Since(began); took > refreshTimeout {
+			t.Errorf("the request waited %s, want %s at most", took, refreshTimeout)
 		}
 		shared.stop()
 	})
 }
 
-// TestIdleNodesAreQuiet: what a node sends grows with its requests, not with the fleet or the time.
+// TestIdleNodesAreQuiet: an idle edge sends only the periodic reports.
 func TestIdleNodesAreQuiet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
 		before := shared.services[firstEdge].sequence.Load()
 		time.Sleep(10 * time.Second)
 		if sent := shared.services[firstEdge].sequence.Load() - before; sent > 25 {
@@ -243,47 +246,47 @@
 
 func TestDemandOfOthersGoesStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
+		shared := startNodes(t)
 		shared.demand[secondEdge].Store(2)
-		time.Sleep(joined)
-		shared.ask(t, firstEdge)
+		time.Sleep(firstExchangeTime)
+		shared.refresh(t, firstEdge)
 		if others, known := shared.services[firstEdge].OthersDemand("s", time.Now()); !known || others.InUse != 2 {
 			t.Errorf("the others' demand is %+v, %v", others, known)
 		}
-		for _, place := range []int{firstStore, secondStore} {
-			shared.transports[place].Stop()
+		for _, node := range []int{firstStore, secondStore} {
+			shared.transports[node].Stop()
 		}
-		time.Sleep(answersStale + answerTimeout)
+		time.Sleep(answerStaleAfter + queryTimeout)
 		if _, known := shared.services[firstEdge].OthersDemand("s", time.Now()); known {
-			t.Error("what was heard long ago still counts")
+			t.Error("a stale demand still counts")
 		}
 		shared.stop()
 	})
 }
 
-// TestChangeOfExchangeCountsNobodyTwice: an owner that uses another exchange for a while does not take its own items for another's.
+// TestChangeOfExchangeCountsNobodyTwice: an owner that temporarily uses another exchange does not count its own items as another owner's.
 func TestChangeOfExchangeCountsNobodyTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		time.Sleep(joined)
-		shared.use(firstStore, "a", 6)
-		shared.use(firstEdge, "a", 1)
-		time.Sleep(joined)
+		shared := startNodes(t)
+		time.Sleep(firstExchangeTime)
+		shared.acquire(firstStore, "a", 6)
+		shared.acquire(firstEdge, "a", 1)
+		time.Sleep(firstExchangeTime)
 		owner := shared.services[firstStore]
 		for second := range 12 {
-			owner.questions.mutex.Lock()
-			// Two answers did not come, now and then.
-			owner.questions.missed, owner.questions.missedAt = missesBorne*(second%2), time.Now()
-			owner.questions.mutex.Unlock()
-			taken := 0
+			owner.queries.mutex.Lock()
+			// Every other second, two queries have failed.
+			owner.queries.misses, owner.queries.ownExchangeFailedAt = missesBeforeSwitch*(second%2), time.Now()
+			owner.queries.mutex.Unlock()
+			foreign := 0
 			for range 20 {
 				time.Sleep(50 * time.Millisecond)
-				taken = max(taken, owner.Others("s", time.Now()).Batch)
+				foreign = max(foreign, owner.Others("s", time.Now()).Batch)
 			}
-			if taken != 0 {
-				t.Errorf("second %d: the owner takes %d items for another's", second, taken)
+			if foreign != 0 {
+				t.Errorf("second %d: the owner counts %d of its items as another's", second, foreign)
 			}
-			if counted := shared.services[secondStore].boardBatch("s"); second%2 == 1 && counted != 6 {
+			if counted := shared.services[secondStore].countedBatch("s"); second%2 == 1 && counted != 6 {
 				t.Errorf("second %d: the exchanges count %d items, want 6", second, counted)
 			}
 		}
@@ -291,30 +294,30 @@
 	})
 }
 
-// boardBatch is the number of batch items that this node's board counts.
-func (s *Service) boardBatch(service string) int {
-	for _, each := range s.board.Answer(0, 0).Demands {
-		if each.Service == service {
-			return int(each.Batch)
+// countedBatch returns the number of batch items of service on this node's board.
+func (s *Service) countedBatch(service string) int {
+	for _, demand := range s.board.Answer(0, 0).Demands {
+		if demand.Service == service {
+			return int(demand.Batch)
 		}
 	}
 	return 0
 }
 
-// TestExchangeThatIsGoneIsReplaced: the exchange of another zone is asked until the membership knows.
+// TestExchangeThatIsGoneIsReplaced: when an exchange is down, nodes use another zone's until membership detects the failure.
 func TestExchangeThatIsGoneIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared := startSharing(t)
-		shared.use(firstEdge, "a", 1)
-		shared.use(secondEdge, "a", 2)
-		time.Sleep(joined)
+		shared := startNodes(t)
+		shared.acquire(firstEdge, "a", 1)
+		shared.acquire(secondEdge, "a", 2)
+		time.Sleep(firstExchangeTime)
 		shared.transports[firstStore].Stop()
-		for range missesBorne + 1 {
-			time.Sleep(answerTimeout)
-			shared.ask(t, firstEdge)
+		for range missesBeforeSwitch + 1 {
+			time.Sleep(queryTimeout)
+			shared.refresh(t, firstEdge)
 		}
 		if _, known := shared.services[firstEdge].OthersDemand("s", time.Now()); !known {
-			t.Error("the edge whose exchange is gone learns nothing of the others")
+			t.Error("the edge whose exchange is down does not know the others' demand")
 		}
 		if got := shared.occupancy(firstEdge, "a"); got < 3 {
 			t.Errorf("%f requests at the replica, want 3 or more", got)
--- a/internal/loadshare/ways.go
+++ b/internal/loadshare/ways.go
@@ -8,51 +8,53 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// movedLately says that this node changed its way to an exchange a short while ago.
-func (s *Service) movedLately(now time.Time) bool {
+// routeChangedRecently reports whether this node changed its route so recently that its previous exchange, or another that this one relays
+// to, may still count its reports.
+func (s *Service) routeChangedRecently(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.movedAt.IsZero() && now.Sub(s.movedAt) < reportStale+relayStale
+	return !s.routeChangedAt.IsZero() && now.Sub(s.routeChangedAt) < reportStaleAfter+relayStaleAfter
 }
 
-// chooseWay returns the way to an exchange to use. Where that is another one than before, the exchange before is sent an empty report, so
-// that it does not count this node as well.
-func (s *Service) chooseWay(place places, now time.Time) (used way, known bool) {
-	used, known = s.questions.way(place, now)
+// chooseRoute returns the route to use. When the route changes, it sends an empty report over the previous one, so that the previous exchange
+// does not count this node in addition.
+func (s *Service) chooseRoute(topo topology, now time.Time) (chosen route, known bool) {
+	chosen, known = s.queries.route(topo, now)
 	if !known {
-		return used, false
+		return chosen, false
 	}
 	s.mutex.Lock()
-	before := s.way
-	s.way = used
-	moved := before.node.IsValid() && before != used
-	if moved {
-		s.movedAt = now
+	previous := s.route
+	s.route = chosen
+	changed := previous.node.IsValid() && previous != chosen
+	if changed {
+		s.routeChangedAt = now
 	}
 	s.mutex.Unlock()
-	if moved {
-		s.logger.Info().Stringer("before", before.node).Stringer("exchange", used.node).Bool("relayed", used.relayed).Msg("exchange_changed")
-		s.takeBack(before, place, now)
+	if changed {
+		s.logger.Info().Stringer("before", previous.node).Stringer("exchange", chosen.node).Bool("relayed", chosen.relayed).
+			Msg("exchange_changed")
+		s.withdrawReport(previous, topo, now)
 	}
-	return used, true
+	return chosen, true
 }
 
-// takeBack sends an exchange an empty report.
-func (s *Service) takeBack(from way, place places, now time.Time) {
-	s.deliver(from, place, &loadsharepb.NodeLoad{Origin: s.origin()}, now)
+// withdrawReport sends an empty report over the previous route.
+func (s *Service) withdrawReport(previous route, topo topology, now time.Time) {
+	s.deliverReport(previous, topo, &loadsharepb.NodeLoad{Origin: s.origin()}, now)
 }
 
-// deliver brings a report to the exchange at the end of a way, which may be this node itself.
-func (s *Service) deliver(to way, place places, load *loadsharepb.NodeLoad, now time.Time) {
-	if to.node == place.self {
-		s.board.takeReport(to.node, load, now)
+// deliverReport sends a report over a route, or records it where this node is the exchange itself.
+func (s *Service) deliverReport(target route, topo topology, load *loadsharepb.NodeLoad, now time.Time) {
+	if target.node == topo.self {
+		s.board.recordReport(target.node, load, now)
 		return
 	}
 	method := methodReport
-	if to.relayed {
+	if target.relayed {
 		method = methodReportFor
 	}
-	s.sendReport(to.node, method, load)
+	s.sendReport(target.node, method, load)
 }
 
 func (s *Service) sendReport(to netip.AddrPort, method transport.Method, load *loadsharepb.NodeLoad) {
