--- a/internal/evacuation/doc.go
+++ b/internal/evacuation/doc.go
@@ -1,3 +1,3 @@
-// Package evacuation keeps which zones operators have asked to evacuate: nothing more is sent to the replicas of such a zone until the
-// request is taken back.
+// Package evacuation tracks the zones that operators have asked to evacuate. No further requests are sent to the replicas of such a zone until
+// the operators withdraw theirs.
 package evacuation
--- a/internal/evacuation/metrics.go
+++ b/internal/evacuation/metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics show which zones are evacuated as this process knows it. They are safe for concurrent use.
+// Metrics exports which zones are evacuated as far as this process knows. It is safe for concurrent use.
 type Metrics struct{ evacuated *prometheus.GaugeVec }
 
-// NewMetrics registers the metrics.
+// NewMetrics returns Metrics registered with registerer, or the error of the registration.
 func NewMetrics(registerer prometheus.Registerer) (*Metrics, error) {
 	metrics := &Metrics{evacuated: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "sloelift_evacuation_zone", Help: "1 for a zone whose replicas get nothing more, 0 for one that was taken back.",
--- a/internal/evacuation/register.go
+++ b/internal/evacuation/register.go
@@ -10,59 +10,62 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// Translator reads the keys of the operators' requests.
+// Translator interprets the keys of the operators' requests.
 type Translator interface {
-	// EvacuatedZone returns the zone that key asks to evacuate; found is false for a key of anything else.
+	// EvacuatedZone returns the zone that key asks to evacuate; found is false for any other key.
 	EvacuatedZone(key string) (zone string, found bool)
 }
 
-// Zones has replicas of evacuated zones get nothing more. *replica.Directory is one.
-type Zones interface {
-	// SetEvacuated names all evacuated zones.
+// ReplicaDirectory stops requests to the replicas of evacuated zones. *replica.Directory implements it.
+type ReplicaDirectory interface {
+	// SetEvacuated replaces the set of evacuated zones.
 	SetEvacuated(zones map[string]bool)
-	// NoteEvacuationEnded says that a zone is taken back now of whose evacuation SetEvacuated was never given.
+	// NoteEvacuationEnded records that the evacuation of a zone ends now, where SetEvacuated was never called with that zone.
 	NoteEvacuationEnded(zone string)
 }
 
-// Register holds the requests that are in force. What it is given below the operators' prefix is taken whatever the way by which it came, as
-// long as it is newer than what was taken before: within the life of a process it never goes back. It is safe for concurrent use.
+// Register holds the evacuation requests in force. It accepts listings and changes below the operators' prefix from any source, in any order,
+// and ignores those older than its state: within the lifetime of a process its state never goes back to an older revision, except that the
+// key-value service's own listing replaces a copy. It is safe for concurrent use.
 type Register struct {
 	translator Translator
-	zones      Zones
+	directory  ReplicaDirectory
 	metrics    *Metrics
 	logger     zerolog.Logger
 
+	// mutex guards the fields below. It is held while directory is called, so that the calls are in the order of the revisions.
 	mutex sync.Mutex
-	// revision is the one of the key-value service up to which the requests are known, 0 before the first listing; evacuated holds, by zone,
-	// the revision of its request. Both are guarded by mutex, which is held while zones is called, so that it is called in their order.
-	revision  int64
+	// revision is the key-value service's revision up to which the requests are known; 0 before the first listing.
+	revision int64
+	// evacuated holds the revision of each evacuated zone's request.
 	evacuated map[string]int64
-	// byCopy says that what is known is a copy of some time ago, which the service's own listing ends whatever its revision.
-	byCopy bool
+	// fromCopy is set while the state comes from a copy. The service's own listing replaces it, whatever the revision of that.
+	fromCopy bool
 }
 
-// NewRegister returns a Register without any request.
-func NewRegister(translator Translator, zones Zones, metrics *Metrics, logger zerolog.Logger) *Register {
+// NewRegister returns a Register without requests.
+func NewRegister(translator Translator, directory ReplicaDirectory, metrics *Metrics, logger zerolog.Logger) *Register {
 	return &Register{
-		translator: translator, zones: zones, metrics: metrics, evacuated: map[string]int64{},
+		translator: translator, directory: directory, metrics: metrics, evacuated: map[string]int64{},
 		logger: logger.With().Str(logging.FieldSlice, "evacuation").Logger(),
 	}
 }
 
-// Replace takes in all that is below the operators' prefix.
+// Replace replaces the requests by those in a complete listing of the operators' prefix. It ignores a listing older than the state, unless the
+// state comes from a copy.
 func (r *Register) Replace(listing platform.Listing) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if listing.Revision < r.revision && !r.byCopy {
+	if listing.Revision < r.revision && !r.fromCopy {
 		r.logOlder(listing.Revision)
 		return
 	}
-	r.byCopy = false
-	r.replace(listing)
+	r.fromCopy = false
+	r.applyListing(listing)
 }
 
-// replace puts the requests of a listing in force. The mutex is held.
-func (r *Register) replace(listing platform.Listing) {
+// applyListing puts the requests of a listing in force. The caller must hold mutex.
+func (r *Register) applyListing(listing platform.Listing) {
 	listed := map[string]int64{}
 	for _, entry := range listing.Entries {
 		if zone, found := r.translator.EvacuatedZone(entry.Key); found {
@@ -70,11 +73,11 @@
 		}
 	}
 	r.revision = listing.Revision
-	r.put(listed)
+	r.setRequests(listed)
 }
 
-// ReplaceByCopy takes in what was below the operators' prefix some time ago, for a process that starts while the key-value service is away. A
-// zone that was taken back since is used again with the service's first listing.
+// ReplaceByCopy replaces the requests by those in a copy of an earlier listing, for a process that starts while the key-value service is
+// unavailable. A zone whose request has been withdrawn since is used again after the service's first listing.
 func (r *Register) ReplaceByCopy(copied platform.Listing) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -82,11 +85,11 @@
 		r.logOlder(copied.Revision)
 		return
 	}
-	r.byCopy = true
-	r.replace(copied)
+	r.fromCopy = true
+	r.applyListing(copied)
 }
 
-// Update takes in the changes up to revision; both lists may be empty.
+// Update applies the changes up to revision; both lists may be empty. It ignores changes that are not newer than the state.
 func (r *Register) Update(revision int64, changed []platform.Entry, deleted []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -109,46 +112,47 @@
 			continue
 		}
 		if _, known := next[zone]; !known {
-			r.endedUnseen(zone)
+			r.noteUnseenEnd(zone)
 		}
 		delete(next, zone)
 	}
-	r.put(next)
+	r.setRequests(next)
 }
 
-// put puts requests in force and says what has changed. The mutex is held.
-func (r *Register) put(next map[string]int64) {
-	before := r.evacuated
-	if !maps.EqualFunc(before, next, func(_, _ int64) bool { return true }) {
+// setRequests puts requests in force and records the changes in metrics and log. The caller must hold mutex.
+func (r *Register) setRequests(next map[string]int64) {
+	previous := r.evacuated
+	if !maps.EqualFunc(previous, next, func(_, _ int64) bool { return true }) {
 		zones := make(map[string]bool, len(next))
 		for zone := range next {
 			zones[zone] = true
 		}
-		r.zones.SetEvacuated(zones)
+		r.directory.SetEvacuated(zones)
 	}
 	r.evacuated = next
-	for zone, asked := range next {
-		if previous, known := before[zone]; !known || previous != asked {
+	for zone, revision := range next {
+		if previousRevision, known := previous[zone]; !known || previousRevision != revision {
 			r.metrics.set(zone, true)
-			r.logger.Info().Str("evacuated", zone).Int64(logging.FieldRevision, asked).Bool("again", known).Msg("zone_evacuated")
+			r.logger.Info().Str("evacuated", zone).Int64(logging.FieldRevision, revision).Bool("again", known).Msg("zone_evacuated")
 		}
 	}
-	for zone, asked := range before {
-		if _, still := next[zone]; !still {
+	for zone, revision := range previous {
+		if _, requested := next[zone]; !requested {
 			r.metrics.set(zone, false)
-			r.logger.Info().Str("evacuated", zone).Int64("asked", asked).Int64(logging.FieldRevision, r.revision).Msg("zone_taken_back")
+			r.logger.Info().Str("evacuated", zone).Int64("asked", revision).Int64(logging.FieldRevision, r.revision).Msg("zone_taken_back")
 		}
 	}
 }
 
-// endedUnseen notes that a zone was evacuated and taken back between two answers of the key-value service. The mutex is held.
-func (r *Register) endedUnseen(zone string) {
-	r.zones.NoteEvacuationEnded(zone)
+// noteUnseenEnd records that a zone was evacuated and the request withdrawn between two answers of the key-value service. The caller must hold
+// mutex.
+func (r *Register) noteUnseenEnd(zone string) {
+	r.directory.NoteEvacuationEnded(zone)
 	r.logger.Info().Str("evacuated", zone).Int64(logging.FieldRevision, r.revision).Msg("zone_taken_back_unseen")
 }
 
-// logOlder says that what came is older than what is known. The mutex is held.
+// logOlder logs that a listing or change was ignored because it is older than the state. The caller must hold mutex.
 func (r *Register) logOlder(revision int64) {
-	r.logger.Warn().Int64(logging.FieldRevision, revision).Int64("known", r.revision).Str(logging.FieldReason, "older than what is known").
-		Msg("evacuations_not_taken")
+	r.logger.Warn().Int64(logging.FieldRevision, revision).Int64("known", r.revision).
+		Str(logging.FieldReason, "revision is older than the known one").Msg("evacuations_not_taken")
 }
--- a/internal/evacuation/register_test.go
+++ b/internal/evacuation/register_test.go
@@ -25,25 +25,28 @@
 	return strings.CutPrefix(key, requestPrefix)
 }
 
-// registerUnderTest is a Register before one replica in each of two zones.
-type registerUnderTest struct {
+// testRegister is a Register for a directory with one replica in each of two zones.
+type testRegister struct {
 	*Register
 	directory *replica.Directory
 }
 
-func newRegisterUnderTest(t *testing.T) *registerUnderTest {
+func newTestRegister(t *testing.T) *testRegister {
 	t.Helper()
 	directory := replica.NewDirectory()
-	directory.Replace([]replica.Info{{ID: "east", Service: "s", Zone: "east", Slots: 1}, {ID: "west", Service: "s", Zone: "west", Slots: 1}})
+	directory.Replace([]replica.Info{
+		{ID: "east", Service: "s", Zone: "east", Slots: 1},
+		{ID: "west", Service: "s", Zone: "west", Slots: 1},
+	})
 	metrics, err := NewMetrics(prometheus.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &registerUnderTest{Register: NewRegister(plainTranslator{}, directory, metrics, zerolog.Nop()), directory: directory}
+	return &testRegister{Register: NewRegister(plainTranslator{}, directory, metrics, zerolog.Nop()), directory: directory}
 }
 
-// usable names the zones whose replicas may get requests.
-func (r *registerUnderTest) usable() string {
+// usableZones returns the zones whose replicas may get requests, separated by spaces.
+func (r *testRegister) usableZones() string {
 	var zones []string
 	for _, handle := range r.directory.View().Of("s") {
 		if handle.Usable() {
@@ -53,10 +56,10 @@
 	return strings.Join(zones, " ")
 }
 
-// Evacuated returns the evacuated zones in order.
-func (r *registerUnderTest) Evacuated() []string { return slices.Sorted(maps.Keys(r.evacuated)) }
+// Evacuated returns the sorted evacuated zones.
+func (r *testRegister) Evacuated() []string { return slices.Sorted(maps.Keys(r.evacuated)) }
 
-func (r *registerUnderTest) endedAt(zone string) time.Time {
+func (r *testRegister) endedAt(zone string) time.Time {
 	return r.directory.View().Find(zone).EvacuationEnded()
 }
 
@@ -72,67 +75,68 @@
 	other := platform.Entry{Key: "config", ModRevision: 1}
 	for _, test := range []struct {
 		name string
-		act  func(register *registerUnderTest)
+		act  func(register *testRegister)
 		want string
 	}{
-		{"nothing is asked", func(r *registerUnderTest) { r.Replace(listing(5, other)) }, "east west"},
-		{"asked before the start", func(r *registerUnderTest) { r.Replace(listing(5, other, request("east", 3))) }, "west"},
-		{"asked later", func(r *registerUnderTest) {
+		{"nothing is asked", func(r *testRegister) { r.Replace(listing(5, other)) }, "east west"},
+		{"asked before the start", func(r *testRegister) { r.Replace(listing(5, other, request("east", 3))) }, "west"},
+		{"asked later", func(r *testRegister) {
 			r.Replace(listing(5))
 			r.Update(6, []platform.Entry{request("east", 6)}, nil)
 		}, "west"},
-		{"two zones, one taken back", func(r *registerUnderTest) {
+		{"two zones, one taken back", func(r *testRegister) {
 			r.Replace(listing(5, request("east", 3)))
 			r.Update(6, []platform.Entry{request("west", 6)}, nil)
 			r.Update(7, nil, []string{requestPrefix + "east"})
 		}, "east"},
-		{"all zones", func(r *registerUnderTest) { r.Replace(listing(5, request("east", 3), request("west", 4))) }, ""},
-		{"taken back while changes were missed", func(r *registerUnderTest) {
+		{"all zones", func(r *testRegister) { r.Replace(listing(5, request("east", 3), request("west", 4))) }, ""},
+		{"taken back while changes were missed", func(r *testRegister) {
 			r.Replace(listing(5, request("east", 3)))
 			r.Replace(listing(9))
 		}, "east west"},
-		{"an older listing comes late", func(r *registerUnderTest) {
+		{"an older listing comes late", func(r *testRegister) {
 			r.Replace(listing(5))
 			r.Update(6, []platform.Entry{request("east", 6)}, nil)
 			r.Replace(listing(5))
 		}, "west"},
-		{"an older change comes late", func(r *registerUnderTest) {
+		{"an older change comes late", func(r *testRegister) {
 			r.Replace(listing(9, request("east", 8)))
 			r.Update(7, nil, []string{requestPrefix + "east"})
 		}, "west"},
-		{"an older request comes after it was taken back", func(r *registerUnderTest) {
+		{"an older request comes after it was taken back", func(r *testRegister) {
 			r.Replace(listing(9))
 			r.Update(8, []platform.Entry{request("east", 8)}, nil)
 		}, "east west"},
-		{"taken back and asked again in one answer", func(r *registerUnderTest) {
+		{"taken back and asked again in one answer", func(r *testRegister) {
 			r.Replace(listing(5, request("east", 3)))
 			r.Update(8, []platform.Entry{request("east", 8)}, nil)
 		}, "west"},
-		{"a zone that nobody knows", func(r *registerUnderTest) { r.Replace(listing(5, request("north", 3))) }, "east west"},
-		{"other keys are changed", func(r *registerUnderTest) {
+		{"a zone that nobody knows", func(r *testRegister) { r.Replace(listing(5, request("north", 3))) }, "east west"},
+		{"other keys are changed", func(r *testRegister) {
 			r.Replace(listing(5, request("east", 3)))
 			r.Update(6, []platform.Entry{other}, []string{"config"})
 			r.Update(7, nil, nil)
 		}, "west"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			register := newRegisterUnderTest(t)
+			register := newTestRegister(t)
 			test.act(register)
-			if got := register.usable(); got != test.want {
+			if got := register.usableZones(); got != test.want {
 				t.Errorf("replicas of %q are usable, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// TestEndOfAnEvacuationIsKnown: also of one that was over before it was known here; not while it goes on, and not of another zone.
+// TestEndOfAnEvacuationIsKnown: the end is recorded also for an evacuation that was over before this node learned of it. It is not recorded
+// while the evacuation is in force, nor by the end of another zone's.
 func TestEndOfAnEvacuationIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := newRegisterUnderTest(t)
+		register := newTestRegister(t)
 		register.Replace(listing(5, request("east", 3)))
 		time.Sleep(time.Second)
 		if !register.endedAt("east").IsZero() {
-			t.Error("an evacuation that goes on has an end")
+			t.Error("an evacuation in force has an end")
 		}
 		register.Update(6, nil, []string{requestPrefix + "east"})
 		ended := time.Now()
@@ -142,17 +146,17 @@
 			t.Errorf("ended at %s, want %s", got, ended)
 		}
 		if got := register.endedAt("west"); !got.Equal(time.Now()) {
-			t.Errorf("one that was never known ended at %s, want %s", got, time.Now())
+			t.Errorf("an evacuation that was never known ended at %s, want %s", got, time.Now())
 		}
 		register.directory.Update([]replica.Info{{ID: "late", Service: "s", Zone: "east"}}, nil)
 		if got := register.endedAt("late"); !got.Equal(ended) {
-			t.Errorf("for a replica that came later it ended at %s, want %s", got, ended)
+			t.Errorf("for a replica added later it ended at %s, want %s", got, ended)
 		}
 	})
 }
 
 func TestGaugeOfAZone(t *testing.T) {
-	register := newRegisterUnderTest(t)
+	register := newTestRegister(t)
 	register.Replace(listing(5, request("east", 3)))
 	register.Update(6, []platform.Entry{request("west", 6)}, []string{requestPrefix + "east"})
 	for zone, want := range map[string]float64{"east": 0, "west": 1} {
@@ -162,19 +166,19 @@
 	}
 }
 
-// TestNeverBackWhateverTheOrder: listings and changes of a service come late, twice and out of order; what is in force is always the
-// newest state that came, and in the end the last one.
+// TestNeverBackWhateverTheOrder: listings and changes arrive late, repeatedly and out of order. The newest state that has arrived is always in
+// force, and the last state in the end.
 func TestNeverBackWhateverTheOrder(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 1))
 	for range 300 {
-		register := newRegisterUnderTest(t)
+		register := newTestRegister(t)
 		states := []map[string]int64{{}}
 		for revision := int64(1); revision <= 30; revision++ {
 			next := maps.Clone(states[len(states)-1])
 			zone := []string{"east", "west"}[random.IntN(2)]
-			if _, asked := next[zone]; asked {
+			if _, requested := next[zone]; requested {
 				delete(next, zone)
 			} else {
 				next[zone] = revision
@@ -228,18 +232,18 @@
 	return changed, deleted
 }
 
-// TestListingEndsACopy: a node that started from a copy follows the service's own listing, also where that was restored to an older revision;
-// after it nothing older is taken.
+// TestListingEndsACopy: a node that started from a copy accepts the service's own listing, also where the service was restored to an older
+// revision. After that it ignores older listings.
 func TestListingEndsACopy(t *testing.T) {
-	test := newRegisterUnderTest(t)
-	test.ReplaceByCopy(listing(9, request("east", 9)))
-	test.ReplaceByCopy(listing(8, request("west", 8)))
-	if got := test.Evacuated(); len(got) != 1 || got[0] != "east" {
+	register := newTestRegister(t)
+	register.ReplaceByCopy(listing(9, request("east", 9)))
+	register.ReplaceByCopy(listing(8, request("west", 8)))
+	if got := register.Evacuated(); len(got) != 1 || got[0] != "east" {
 		t.Fatalf("%v evacuated by copies, want the newest one's", got)
 	}
-	test.Replace(listing(5, request("west", 5)))
-	test.Replace(listing(4))
-	if got := test.Evacuated(); len(got) != 1 || got[0] != "west" {
+	register.Replace(listing(5, request("west", 5)))
+	register.Replace(listing(4))
+	if got := register.Evacuated(); len(got) != 1 || got[0] != "west" {
 		t.Errorf("%v evacuated, want what the service lists", got)
 	}
 }
