--- a/internal/retirement/doc.go
+++ b/internal/retirement/doc.go
@@ -1,2 +1,2 @@
-// Package retirement empties storage nodes that the operators want to take away, and tells when one may go.
+// Package retirement drains storage nodes that operators want to remove, and reports when a node may be removed.
 package retirement
--- a/internal/retirement/service.go
+++ b/internal/retirement/service.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// checkInterval is the wait between two looks whether a node is empty, callTimeout bounds one call.
+	// checkInterval is the time between two checks whether a node is empty.
 	checkInterval = 300 * time.Millisecond
-	callTimeout   = 2 * time.Second
+	// callTimeout bounds one check and the write of its result.
+	callTimeout = 2 * time.Second
 )
 
-// State is how far a retirement is.
+// State is the progress of a retirement.
 type State int
 
 // States of a retirement.
@@ -28,21 +29,23 @@
 	Done
 )
 
-// Translator reads the operators' requests and writes the state of one.
+// Translator interprets the operators' requests and encodes the state of a retirement.
 type Translator interface {
-	// RetiringNode returns the node that key asks to empty; found is false for a key of anything else.
+	// RetiringNode returns the node that key asks to retire; found is false for any other key.
 	RetiringNode(key string) (node string, found bool)
-	// RetirementStatus returns the key and the value that tell the state of a node's retirement.
+	// RetirementStatus returns the key and value under which the state of a node's retirement is stored.
 	RetirementStatus(node string, state State) (key string, value []byte)
 }
 
-// Emptier empties nodes. *ledger.Manager is one.
+// Emptier drains nodes. *ledger.Manager implements it.
 type Emptier interface {
+	// SetRetiring replaces the set of nodes to drain.
 	SetRetiring(nodes map[membership.NodeID]bool)
+	// Emptied reports whether node has been drained; an error means that this could not be determined.
 	Emptied(ctx context.Context, node membership.NodeID) (bool, error)
 }
 
-// Service takes in the operators' requests as a discovery.OperatorFollower.
+// Service carries out the operators' retirement requests, which it receives as a discovery.OperatorFollower.
 type Service struct {
 	store      platform.KeyValue
 	translator Translator
@@ -50,66 +53,69 @@
 	viewer     membership.Viewer
 	logger     zerolog.Logger
 
-	// requested holds what the operators ask for; it belongs to the goroutine that calls Replace and Update. pending holds the
-	// retirements that are being watched, guarded by mutex, as stopped is, after which none is begun.
+	// requested are the nodes that operators have asked to retire. Only the goroutine that calls Replace and Update uses it.
 	requested map[membership.NodeID]bool
-	mutex     sync.Mutex
-	pending   map[membership.NodeID]bool
-	stopped   bool
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	// mutex guards watched and stopped.
+	mutex sync.Mutex
+	// watched are the nodes whose retirement is or was watched.
+	watched map[membership.NodeID]bool
+	// stopped is set by Stop; no watch starts after that.
+	stopped bool
+
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 }
 
-// New returns a Service; it acts on what it is given.
+// New returns a Service. It acts only when Replace or Update is called.
 func New(store platform.KeyValue, translator Translator, emptier Emptier, viewer membership.Viewer, logger zerolog.Logger) *Service {
 	service := &Service{
 		store: store, translator: translator, emptier: emptier, viewer: viewer,
 		logger:    logger.With().Str(logging.FieldSlice, "retirement").Logger(),
-		requested: map[membership.NodeID]bool{}, pending: map[membership.NodeID]bool{},
+		requested: map[membership.NodeID]bool{}, watched: map[membership.NodeID]bool{},
 	}
 	service.ctx, service.cancel = context.WithCancel(context.Background())
 	return service
 }
 
-// Stop ends what was begun; what comes later begins nothing.
+// Stop ends all watches and waits for them. Later calls of Replace and Update start none.
 func (s *Service) Stop() {
 	s.mutex.Lock()
 	s.stopped = true
 	s.mutex.Unlock()
 	s.cancel()
-	s.running.Wait()
+	s.background.Wait()
 }
 
-// Replace takes in all that operators have written.
+// Replace replaces the requests by those in a complete listing of the operators' prefix.
 func (s *Service) Replace(listing platform.Listing) {
 	s.requested = map[membership.NodeID]bool{}
 	for _, entry := range listing.Entries {
-		s.noteRequest(entry.Key)
+		s.addRequest(entry.Key)
 	}
 	s.apply()
 }
 
-// Update takes in what operators have changed.
+// Update applies changes below the operators' prefix.
 func (s *Service) Update(_ int64, changed []platform.Entry, deleted []string) {
-	concerned := false
+	requestsChanged := false
 	for _, entry := range changed {
-		concerned = s.noteRequest(entry.Key) || concerned
+		requestsChanged = s.addRequest(entry.Key) || requestsChanged
 	}
 	for _, key := range deleted {
 		if node, found := s.translator.RetiringNode(key); found {
 			delete(s.requested, membership.NodeID(node))
-			concerned = true
+			requestsChanged = true
 		}
 	}
-	if concerned {
+	if requestsChanged {
 		s.apply()
 	}
 }
 
-// noteRequest notes the request under key, if it is one for a node to be emptied.
-func (s *Service) noteRequest(key string) bool {
+// addRequest adds the request under key, and reports whether key is a retirement request.
+func (s *Service) addRequest(key string) bool {
 	node, found := s.translator.RetiringNode(key)
 	if found {
 		s.requested[membership.NodeID(node)] = true
@@ -117,7 +123,7 @@
 	return found
 }
 
-// apply puts what is requested in force.
+// apply puts the requests in force and watches each retirement.
 func (s *Service) apply() {
 	nodes := make(map[membership.NodeID]bool, len(s.requested))
 	for node := range s.requested {
@@ -129,15 +135,15 @@
 	}
 }
 
-// watch writes the state of a node's retirement until it is done, unless that is under way.
+// watch starts writing the state of a node's retirement until it is done, unless it has been started before.
 func (s *Service) watch(node membership.NodeID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.pending[node] || s.stopped {
+	if s.watched[node] || s.stopped {
 		return
 	}
-	s.pending[node] = true
-	s.running.Go(func() {
+	s.watched[node] = true
+	s.background.Go(func() {
 		s.logger.Info().Str("retiring", string(node)).Msg("retirement_begun")
 		for written := State(-1); written != Done; {
 			written = s.writeState(node, written)
@@ -148,9 +154,10 @@
 	})
 }
 
-// writeState writes the node's state where it has changed and this node is the one to write it; it returns the state written last.
+// writeState writes the state of node's retirement if it differs from written and this process is the one that writes states. It returns the
+// state written last; errors are retried at the next check.
 func (s *Service) writeState(node membership.NodeID, written State) State {
-	if !s.reports() {
+	if !s.writesStates() {
 		return written
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
@@ -175,9 +182,9 @@
 	return state
 }
 
-// reports says whether this node is the first live one with a store, which writes the states. A late change of the first node
-// makes two write the same, which does no harm.
-func (s *Service) reports() bool {
+// writesStates reports whether this node is the first live storage node, which writes the states. While membership views differ, two nodes
+// may write the same state, which is harmless.
+func (s *Service) writesStates() bool {
 	view := s.viewer.View()
 	for _, member := range view.Members {
 		if member.Store && member.State == membership.Alive {
--- a/internal/retirement/service_test.go
+++ b/internal/retirement/service_test.go
@@ -24,7 +24,7 @@
 	return "status/" + node, []byte("done")
 }
 
-// recordingEmptier holds what is retiring; all nodes are empty at once.
+// recordingEmptier records the retiring nodes; all nodes are empty at once.
 type recordingEmptier struct {
 	retiring map[membership.NodeID]bool
 	calls    int
@@ -37,7 +37,7 @@
 
 func (*recordingEmptier) Emptied(context.Context, membership.NodeID) (bool, error) { return true, nil }
 
-// recordingStore holds the keys that were written.
+// recordingStore records the keys written.
 type recordingStore struct {
 	platform.KeyValue
 	written []string
@@ -58,33 +58,33 @@
 
 func (oneStoreViewer) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// TestRequestsAmongWhatOperatorsWrite: only requests for nodes to be emptied are taken from what operators write, and each is told done
-// once.
+// TestRequestsAmongWhatOperatorsWrite: of the keys below the operators' prefix only retirement requests are applied, and the completion of each
+// is written once.
 func TestRequestsAmongWhatOperatorsWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		emptier, store := &recordingEmptier{}, &recordingStore{}
 		service := New(store, plainTranslator{}, emptier, oneStoreViewer{}, zerolog.Nop())
-		retiring := func() []membership.NodeID { return slices.Sorted(maps.Keys(emptier.retiring)) }
+		retiringNodes := func() []membership.NodeID { return slices.Sorted(maps.Keys(emptier.retiring)) }
 		service.Replace(platform.Listing{Revision: 4, Entries: []platform.Entry{{Key: "op/config"}, {Key: "op/retire/a"}}})
 		synctest.Wait()
-		if got := retiring(); !slices.Equal(got, []membership.NodeID{"a"}) {
+		if got := retiringNodes(); !slices.Equal(got, []membership.NodeID{"a"}) {
 			t.Errorf("%v are retiring, want a", got)
 		}
 		calls := emptier.calls
 		service.Update(5, []platform.Entry{{Key: "op/config"}}, []string{"op/zone/east"})
 		if emptier.calls != calls {
-			t.Error("a change of something else is taken for one of the requests")
+			t.Error("a change of another key is applied as a retirement request")
 		}
 		service.Update(6, []platform.Entry{{Key: "op/retire/b"}}, []string{"op/retire/a"})
 		synctest.Wait()
-		if got := retiring(); !slices.Equal(got, []membership.NodeID{"b"}) || !slices.Equal(store.written, []string{"status/a", "status/b"}) {
-			t.Errorf("%v are retiring, %v were written", got, store.written)
+		if got := retiringNodes(); !slices.Equal(got, []membership.NodeID{"b"}) || !slices.Equal(store.written, []string{"status/a", "status/b"}) {
+			t.Errorf("%v are retiring, %v were written; want b, and the status of a and b", got, store.written)
 		}
 		service.Stop()
 		service.Update(7, []platform.Entry{{Key: "op/retire/c"}}, nil)
 		synctest.Wait()
 		if len(store.written) != 2 {
-			t.Errorf("a stopped process wrote %v", store.written)
+			t.Errorf("a stopped Service wrote %v, want the status of a and b only", store.written)
 		}
 	})
 }
