--- a/internal/job/appender.go
+++ b/internal/job/appender.go
@@ -13,29 +13,31 @@
 )
 
 const (
-	// proposalQueue bounds the records that wait for their append.
+	// proposalQueue bounds the records waiting to be appended.
 	proposalQueue = 1024
-	// appendMaxRecords and appendMaxBytes bound one append.
+	// appendMaxRecords and appendMaxBytes bound one batch. The record that reaches
+	// appendMaxBytes is still part of it.
 	appendMaxRecords = 512
 	appendMaxBytes   = 1 << 20
 )
 
-// proposal is a record on its way into the log.
+// proposal is a record to be appended to the log.
 type proposal struct {
 	record ledger.Record
-	// applied is closed once the record is durable and the state has it, or err is set.
+	// applied is closed once the record is durable and applied to the state, or has
+	// failed, in which case err is set before.
 	applied chan struct{}
 	err     error
 }
 
-// appliedBatch is what one append made durable: proposal i is at position first+i.
+// appliedBatch holds the proposals of one successful append: proposal i is at position first+i.
 type appliedBatch struct {
 	first     ledger.Position
 	proposals []*proposal
 }
 
-// propose makes the record durable and waits until the state has it. NotRun means
-// that it isn't in the log and never will be.
+// propose appends the record and waits until it is applied to the state. The outcome
+// NotRun means that the record is not in the log and never will be.
 func (p *partition) propose(ctx context.Context, record ledger.Record) error {
 	if len(record.Payload) > ledger.MaxRecordBytes {
 		return outcome.New(outcome.NotRun, outcome.ReasonTooLarge, "a record is over the ledger's limit")
@@ -58,8 +60,8 @@
 	}
 }
 
-// runAppender appends what waits, in one batch at a time, so that records that come
-// together share one append and the log's order is the order of applying.
+// runAppender appends the queued records, one batch at a time: concurrent proposals
+// share an append, and records are applied in log order.
 func (p *partition) runAppender() {
 	defer p.group.Done()
 	for {
@@ -69,13 +71,13 @@
 		case <-p.stopped:
 			return
 		}
-		batch := p.gather(first)
+		batch := p.collectBatch(first)
 		position, err := p.appendBatch(batch)
 		if err != nil && outcome.As(err).Reason == outcome.ReasonStorageFull {
-			// Reads go on while the disks are full: what proves the ownership may use the room in reserve.
-			proofs, others := splitProofs(batch)
+			// Reads stay available while the disks are full: ownership checks may use the reserved space.
+			checks, others := splitOwnershipChecks(batch)
 			failBatch(others, err)
-			if batch = proofs; len(proofs) > 0 && len(others) > 0 {
+			if batch = checks; len(checks) > 0 && len(others) > 0 {
 				position, err = p.appendBatch(batch)
 			}
 		}
@@ -91,15 +93,16 @@
 	}
 }
 
-// gather takes what waits behind first, within the bounds of one append.
-func (p *partition) gather(first *proposal) []*proposal {
+// collectBatch returns first and the proposals queued behind it, within the bounds of one
+// batch.
+func (p *partition) collectBatch(first *proposal) []*proposal {
 	batch := []*proposal{first}
-	bytes := len(first.record.Payload)
-	for len(batch) < appendMaxRecords && bytes < appendMaxBytes {
+	size := len(first.record.Payload)
+	for len(batch) < appendMaxRecords && size < appendMaxBytes {
 		select {
 		case next := <-p.proposals:
 			batch = append(batch, next)
-			bytes += len(next.record.Payload)
+			size += len(next.record.Payload)
 		default:
 			return batch
 		}
@@ -107,16 +110,17 @@
 	return batch
 }
 
-// splitProofs parts the records that only prove the ownership from those that hold something.
-func splitProofs(batch []*proposal) (proofs, others []*proposal) {
+// splitOwnershipChecks separates the no-operation records, which only verify ownership,
+// from those with a payload.
+func splitOwnershipChecks(batch []*proposal) (checks, others []*proposal) {
 	for _, request := range batch {
 		if request.record.Kind == ledger.KindNoOperation {
-			proofs = append(proofs, request)
+			checks = append(checks, request)
 		} else {
 			others = append(others, request)
 		}
 	}
-	return proofs, others
+	return checks, others
 }
 
 func failBatch(batch []*proposal, err error) {
@@ -126,16 +130,16 @@
 	}
 }
 
-// appendBatch appends the batch. After an append whose end is unknown the same
-// batch is appended again until it is surely in the log or ownership is lost, before
-// anything else: a record that the state doesn't know must never lie in front of one
-// that was decided without it. All records may stand in the log twice.
+// appendBatch appends the batch. After an append with an unknown outcome it repeats the
+// same batch until an append succeeds or ownership is lost, and appends nothing else in
+// between: a record that has not been applied must never precede one that was decided
+// without it. Any record may therefore appear in the log twice.
 func (p *partition) appendBatch(batch []*proposal) (ledger.Position, error) {
 	records := make([]ledger.Record, len(batch))
 	for index, request := range batch {
 		records[index] = request.record
 	}
-	wait := newBackOff()
+	retryBackoff := newBackoff()
 	indeterminate := false
 	for {
 		position, err := p.appendOnce(records)
@@ -154,32 +158,33 @@
 			return 0, failure
 		}
 		p.logger.Warn().Err(err).Int("records", len(records)).Msg("append_repeated")
-		if !p.sleep(wait.NextBackOff()) {
+		if !p.sleep(retryBackoff.NextBackOff()) {
 			return 0, outcome.Wrap(err, outcome.Indeterminate, outcome.ReasonNotOwner, "ownership was lost during the append")
 		}
 	}
 }
 
-// appendOnce waits as long as the ledger does: a time limit of its own would leave the
-// records pending there, to be followed by their repetition.
+// appendOnce appends the records and, on success, renews the dispatch lease. It has no
+// timeout of its own: the records would stay pending in the ledger, and their repetition
+// would queue behind them.
 func (p *partition) appendOnce(records []ledger.Record) (ledger.Position, error) {
 	began := clock.Now()
-	add := p.owned.Append
-	if onlyProofs(records) {
-		add = p.owned.AppendReserved
+	appendRecords := p.owned.Append
+	if onlyOwnershipChecks(records) {
+		appendRecords = p.owned.AppendReserved
 	}
-	position, err := add(p.serving, records)
+	position, err := appendRecords(p.serving, records)
 	if err == nil {
-		p.ownership.confirm(began)
+		p.lease.renew(began)
 	}
 	return position, err
 }
 
-func onlyProofs(records []ledger.Record) bool {
+func onlyOwnershipChecks(records []ledger.Record) bool {
 	return !slices.ContainsFunc(records, func(record ledger.Record) bool { return record.Kind != ledger.KindNoOperation })
 }
 
-// sleep waits; it returns false if the partition stopped meanwhile.
+// sleep waits; it returns false if the partition stops first.
 func (p *partition) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -191,17 +196,17 @@
 	}
 }
 
-// Bounds of the jittered exponential waits of this slice.
+// Bounds of the jittered exponential backoff of this package.
 const (
-	backOffFirst = 20 * time.Millisecond
-	backOffMost  = 2 * time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
-// newBackOff returns jittered exponential waits.
-func newBackOff() *backoff.ExponentialBackOff {
+// newBackoff returns a jittered exponential backoff that never gives up.
+func newBackoff() *backoff.ExponentialBackOff {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = backOffFirst
-	policy.MaxInterval = backOffMost
+	policy.InitialInterval = initialBackoff
+	policy.MaxInterval = maxBackoff
 	policy.RandomizationFactor = 0.5
 	return policy
 }
--- a/internal/job/bench_test.go
+++ b/internal/job/bench_test.go
@@ -19,11 +19,12 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// fileOwned keeps records in a file, so that a benchmark's heap is the job slice's own.
+// fileOwned is a ledger.Owned that stores records in a file, so that the heap of a benchmark
+// is only that of this package.
 type fileOwned struct {
 	file    *os.File
 	mutex   sync.Mutex
-	offsets []int64 // of record i+1; the kind of a record is its first byte
+	offsets []int64 // offset in the file of record i+1, whose first byte is its kind
 	end     int64
 	appends int
 	lost    chan struct{}
@@ -83,7 +84,7 @@
 	return records, nil
 }
 
-// instantEngine answers each call at once with about a kilobyte.
+// instantEngine answers each call immediately with about one kilobyte.
 type instantEngine struct{ *fakeEngine }
 
 func (instantEngine) Generate(context.Context, engine.Endpoint, engine.Request) (engine.Stream, error) {
@@ -103,7 +104,7 @@
 }
 func (s *instantStream) Close() error { return nil }
 
-// BenchmarkLargeJob runs one job from its submission to the reading of all results.
+// BenchmarkLargeJob measures one job from its submission until all its results are read.
 func BenchmarkLargeJob(b *testing.B) {
 	for _, items := range []int{10_000, 150_000} {
 		b.Run(fmt.Sprintf("items=%d", items), func(b *testing.B) {
@@ -132,10 +133,10 @@
 	go sampleHeap(&peak, stopSampling)
 	reader, writer := io.Pipe()
 	go func() { _ = writer.CloseWithError(writeItems(writer, items)) }()
-	wanted := submission("large", 0)
-	wanted.Items = reader
+	input := submission("large", 0)
+	input.Items = reader
 	began := time.Now()
-	status, err := node.service.Submit(context.Background(), wanted)
+	status, err := node.service.Submit(context.Background(), input)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -164,16 +165,19 @@
 	b.ReportMetric(float64(peak.Load())/(1<<20), "peak-heap-MB")
 }
 
-func writeItems(to io.Writer, items int) error {
+func writeItems(writer io.Writer, items int) error {
 	for index := range items {
-		if _, err := fmt.Fprintf(to, `{"custom_id":"item-%d","body":{"model":"small","messages":[{"role":"user","content":"%s"}]}}`+"\n", index, instantAnswer[:400]); err != nil {
+		if _, err := fmt.Fprintf(writer,
+			`{"custom_id":"item-%d","body":{"model":"small","messages":[{"role":"user","content":"%s"}]}}`+"\n",
+			index, instantAnswer[:400],
+		); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// sampleHeap keeps the largest heap in use.
+// sampleHeap records the peak heap in use, in bytes, until stop is closed.
 func sampleHeap(peak *atomic.Uint64, stop <-chan struct{}) {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
@@ -189,8 +193,8 @@
 	}
 }
 
-// BenchmarkLargeIndex measures the memory, the snapshot and the restoring of the
-// state of one job of the largest size, all items of which are completed.
+// BenchmarkLargeIndex measures the memory, snapshot time and restore time of the state of
+// one job with 750,000 completed items.
 func BenchmarkLargeIndex(b *testing.B) {
 	const items = 750_000
 	for range b.N {
@@ -224,8 +228,8 @@
 	}
 }
 
-// BenchmarkSmallEntries measures the memory of an ended job of ten items and of a
-// completed key.
+// BenchmarkSmallEntries measures the memory of an ended job of ten items, and of a
+// completed idempotency key.
 func BenchmarkSmallEntries(b *testing.B) {
 	const entries = 50_000
 	for name, fill := range map[string]func(*partitionState, int){"job": fillSmallJob, "key": fillKey} {
@@ -250,19 +254,22 @@
 		Operation: string(engine.OperationChat), Digest: make([]byte, 32), Total: 10,
 	}))
 	for index := range uint32(10) {
-		apply(state, encodeRecord(ledger.KindItemCompleted, &jobpb.ItemCompleted{JobId: id, Index: index, Result: &jobpb.ItemResult{Outcome: string(outcome.Completed)}}))
+		apply(state, encodeRecord(ledger.KindItemCompleted, &jobpb.ItemCompleted{
+			JobId: id, Index: index, Result: &jobpb.ItemResult{Outcome: string(outcome.Completed)},
+		}))
 	}
 }
 
 func fillKey(state *partitionState, number int) {
 	key := fmt.Sprintf("draft-%032d", number)
 	apply(state, encodeRecord(ledger.KindKeyClaimed, &jobpb.KeyClaimed{
-		Tenant: "registry", Key: key, Fingerprint: strings.Repeat("f", 64), RequestId: newULID().String(), Replica: "shadman-hall-1",
+		Tenant: "registry", Key: key, Fingerprint: strings.Repeat("f", 64),
+		RequestId: newULID().String(), Replica: "shadman-hall-1",
 	}))
 	apply(state, encodeRecord(ledger.KindKeyCompleted, &jobpb.KeyCompleted{Tenant: "registry", Key: key}))
 }
 
-// apply steps the state by a record at the next position.
+// apply applies a record at the next position.
 func apply(state *partitionState, record ledger.Record) {
 	if _, err := state.step(state.upTo+1, record); err != nil {
 		panic(err)
--- a/internal/job/claimer.go
+++ b/internal/job/claimer.go
@@ -9,15 +9,15 @@
 	"github.com/sloelift/sloelift/internal/session"
 )
 
-// claimer is the session.Claimer of a node.
+// claimer implements session.Claimer by forwarding to the partition of the key.
 type claimer struct {
 	forwarder *forwarder
 }
 
-// Claim implements session.Claimer. The holder may claim again under its request id
-// to name another replica, after the former one refused the request.
+// Claim implements session.Claimer. The holder may claim again with the same request id
+// to name another replica, after the previous one refused the request.
 func (c *claimer) Claim(ctx context.Context, tenant, key, fingerprint, requestID, replica string) (session.Claim, error) {
-	if key == "" || !validText(tenant, key, fingerprint, requestID, replica) {
+	if key == "" || !validUTF8(tenant, key, fingerprint, requestID, replica) {
 		return session.Claim{}, outcome.New(outcome.NotRun, outcome.ReasonInvalid, "idempotency key")
 	}
 	response, err := forward(ctx, c.forwarder, methodClaimKey, &jobpb.ClaimRequest{
@@ -26,7 +26,7 @@
 			Tenant: tenant, Key: key, Fingerprint: fingerprint, RequestId: requestID, Replica: replica,
 		},
 	})
-	return fromClaim(response), err
+	return claimFromProto(response), err
 }
 
 // Complete implements session.Claimer.
@@ -39,15 +39,16 @@
 			CachedTokens: int64(result.Usage.CachedTokens),
 		}},
 	})
-	return fromClaim(response).Result, err
+	return claimFromProto(response).Result, err
 }
 
-// Await implements session.Claimer. It outlasts a time without an owner.
+// Await implements session.Claimer. It retries until ctx ends while the partition has
+// no owner.
 func (c *claimer) Await(ctx context.Context, tenant, key string) (session.Claim, error) {
 	for {
 		response, err := forward(ctx, c.forwarder, methodAwaitKey,
 			&jobpb.AwaitKeyRequest{Partition: c.partitionOf(tenant, key), Tenant: tenant, Key: key})
-		claim := fromClaim(response)
+		claim := claimFromProto(response)
 		unavailable := err != nil && outcome.As(err).Reason == outcome.ReasonUnavailable && ctx.Err() == nil
 		if claim.Done || err != nil && !unavailable {
 			return claim, err
@@ -59,8 +60,10 @@
 	return uint32(c.forwarder.locator.PartitionOf(idempotencyKey(tenant, key)))
 }
 
-func fromClaim(response *jobpb.ClaimResponse) session.Claim {
-	claim := session.Claim{Granted: response.GetGranted(), RequestID: response.GetRequestId(), Replica: response.GetReplica()}
+func claimFromProto(response *jobpb.ClaimResponse) session.Claim {
+	claim := session.Claim{
+		Granted: response.GetGranted(), RequestID: response.GetRequestId(), Replica: response.GetReplica(),
+	}
 	result := response.GetResult()
 	if result == nil {
 		return claim
--- a/internal/job/core_property_test.go
+++ b/internal/job/core_property_test.go
@@ -18,37 +18,47 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// drawRecord draws a record about a few jobs, items and keys, often a repeated one.
+// drawRecord draws a record for one of a few jobs, items and keys, so that records often
+// repeat.
 func drawRecord(t *rapid.T) ledger.Record {
 	job := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job")
 	index := rapid.Uint32Range(0, 3).Draw(t, "index")
-	at := rapid.Int64Range(1, 1000).Draw(t, "at")
-	who := rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "request")
+	recordedAt := rapid.Int64Range(1, 1000).Draw(t, "at")
+	requestID := rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "request")
 	switch rapid.IntRange(0, 8).Draw(t, "kind") {
 	case 0:
-		return encodeRecord(ledger.KindJobAccepted, &jobpb.JobAccepted{Id: job, Total: 4, AcceptedAtMicros: at, ChunkPositions: []uint64{1}, ChunkItems: []uint32{4}})
+		return encodeRecord(ledger.KindJobAccepted, &jobpb.JobAccepted{
+			Id: job, Total: 4, AcceptedAtMicros: recordedAt, ChunkPositions: []uint64{1}, ChunkItems: []uint32{4},
+		})
 	case 1, 2, 3:
 		result := rapid.SampledFrom([]outcome.Outcome{outcome.Completed, outcome.Failed, outcome.Indeterminate}).Draw(t, "outcome")
-		return encodeRecord(ledger.KindItemCompleted, &jobpb.ItemCompleted{JobId: job, Index: index, RecordedAtMicros: at, Result: &jobpb.ItemResult{Index: index, Outcome: string(result)}})
+		return encodeRecord(ledger.KindItemCompleted, &jobpb.ItemCompleted{
+			JobId: job, Index: index, RecordedAtMicros: recordedAt,
+			Result: &jobpb.ItemResult{Index: index, Outcome: string(result)},
+		})
 	case 4:
-		return encodeRecord(ledger.KindItemAttempt, &jobpb.ItemAttempt{JobId: job, Index: index, RequestId: who})
+		return encodeRecord(ledger.KindItemAttempt, &jobpb.ItemAttempt{JobId: job, Index: index, RequestId: requestID})
 	case 5:
 		if rapid.Bool().Draw(t, "expired") {
-			return encodeRecord(ledger.KindJobExpired, &jobpb.JobExpired{JobId: job, RecordedAtMicros: at})
+			return encodeRecord(ledger.KindJobExpired, &jobpb.JobExpired{JobId: job, RecordedAtMicros: recordedAt})
 		}
-		return encodeRecord(ledger.KindJobCancelled, &jobpb.JobCancelled{JobId: job, RecordedAtMicros: at})
+		return encodeRecord(ledger.KindJobCancelled, &jobpb.JobCancelled{JobId: job, RecordedAtMicros: recordedAt})
 	case 6:
-		return encodeRecord(ledger.KindKeyClaimed, &jobpb.KeyClaimed{Tenant: "t", Key: job, RequestId: who, Replica: fmt.Sprint(index)})
+		return encodeRecord(ledger.KindKeyClaimed, &jobpb.KeyClaimed{
+			Tenant: "t", Key: job, RequestId: requestID, Replica: fmt.Sprint(index),
+		})
 	case 7:
-		return encodeRecord(ledger.KindKeyCompleted, &jobpb.KeyCompleted{Tenant: "t", Key: job, RecordedAtMicros: at})
+		return encodeRecord(ledger.KindKeyCompleted, &jobpb.KeyCompleted{Tenant: "t", Key: job, RecordedAtMicros: recordedAt})
 	default:
-		return encodeRecord(kindChunk, &jobpb.Chunk{UploadId: job, Sequence: index, Items: 1, Data: []byte("{}"), RecordedAtMicros: at})
+		return encodeRecord(kindChunk, &jobpb.Chunk{
+			UploadId: job, Sequence: index, Items: 1, Data: []byte("{}"), RecordedAtMicros: recordedAt,
+		})
 	}
 }
 
-// TestPartitionStateProperties: the first result of an item and the first claim of a
-// key stand, nothing changes after a job's end, counts add up, and a snapshot taken
-// anywhere gives the same state.
+// TestPartitionStateProperties checks that the first result of an item and the first claim
+// of a key are kept, that results do not change after the end of a job, that the counts add
+// up, and that a state restored from a snapshot at any point stays equal to the original.
 func TestPartitionStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, follower := newPartitionState(), newPartitionState()
@@ -69,7 +79,7 @@
 				claims[name] = key.claimed.GetRequestId()
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
-				follower = restored(t, follower)
+				follower = roundTrip(t, follower)
 			}
 		}
 		if diff := gocmp.Diff(snapshotOf(t, state), snapshotOf(t, follower), protocmp.Transform(),
@@ -84,7 +94,7 @@
 	})
 }
 
-// jobEntries is a copy of what a job's index was.
+// jobEntries is a copy of the item entries of a job.
 type jobEntries struct {
 	live    bool
 	entries []itemEntry
@@ -105,9 +115,9 @@
 			if entry.class() != classOpen {
 				closed++
 			}
-			was, known := before[id]
-			if known && entry != was.entries[index] && (!was.live || was.entries[index].class() != classOpen) {
-				t.Fatalf("job %s item %d went from %d to %d", id, index, was.entries[index], entry)
+			previous, known := before[id]
+			if known && entry != previous.entries[index] && (!previous.live || previous.entries[index].class() != classOpen) {
+				t.Fatalf("job %s item %d went from %d to %d", id, index, previous.entries[index], entry)
 			}
 			if entry.class() != classOpen && state.keepFrom() > entry.position() {
 				t.Fatalf("keepFrom %d drops the result at %d", state.keepFrom(), entry.position())
@@ -119,16 +129,16 @@
 	}
 }
 
-func restored(t *rapid.T, state *partitionState) *partitionState {
+func roundTrip(t *rapid.T, state *partitionState) *partitionState {
 	encoded, err := state.snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := restorePartitionState(encoded)
+	decoded, err := restorePartitionState(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return again
+	return decoded
 }
 
 func snapshotOf(t *rapid.T, state *partitionState) *jobpb.Snapshot {
@@ -143,15 +153,15 @@
 	return message
 }
 
-// TestDispatchCoreProperties: an item is never in flight twice, the node's bound
-// holds, nothing of a removed job is started, a better job of a service goes first,
-// and in the end every item of the other jobs was done.
+// TestDispatchCoreProperties checks that an item is never in flight twice, that the node's
+// limit holds, that no item of a removed job is started, that the better job of a service
+// goes first, and that every item of the other jobs is completed exactly once.
 func TestDispatchCoreProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 6
 		core := newDispatchCore(limit)
-		inFlight := make(map[flightKey]bool) // true once it runs
-		done := make(map[flightKey]int)
+		inFlight := make(map[itemKey]bool) // true once it runs
+		done := make(map[itemKey]int)
 		var jobs []*dispatchJob
 		step := func(event dispatchEvent) {
 			for _, action := range core.step(event) {
@@ -159,12 +169,13 @@
 				if !is {
 					continue
 				}
-				if _, twice := inFlight[start.key]; twice || done[start.key] > 0 || start.key.job.removed {
+				if _, started := inFlight[start.key]; started || done[start.key] > 0 || start.key.job.removed {
 					t.Fatalf("item %d of %s started again", start.key.index, start.key.job.id)
 				}
 				inFlight[start.key] = false
 				for _, other := range jobs {
-					if other.service == start.key.job.service && other.rank > start.key.job.rank && !other.removed && len(other.requeued) > 0 && event != dispatchEvent(jobAdded{other}) {
+					if other.service == start.key.job.service && other.rank > start.key.job.rank && !other.removed &&
+						len(other.requeued) > 0 && event != dispatchEvent(jobAdded{other}) {
 						t.Fatalf("%s started before %s", start.key.job.id, other.id)
 					}
 				}
@@ -173,20 +184,21 @@
 				t.Fatalf("%d in flight, core counts %d+%d", len(inFlight), core.running, core.waiting)
 			}
 		}
-		leave := func(key flightKey, requeue *itemProgress) {
+		endRun := func(key itemKey, requeue *itemProgress) {
 			delete(inFlight, key)
 			if requeue == nil {
 				done[key]++
 			}
-			step(itemLeft{key, requeue})
+			step(itemRunEnded{key, requeue})
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
-			key, found := pickFlight(t, inFlight)
+			key, found := pickInFlight(t, inFlight)
 			switch choice := rapid.IntRange(0, 5).Draw(t, "event"); {
 			case choice == 0 && len(jobs) < 6:
 				job := &dispatchJob{
 					id: fmt.Sprintf("job-%d", len(jobs)), service: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"),
-					rank: rapid.IntRange(0, 2).Draw(t, "rank"), total: rapid.IntRange(1, 8).Draw(t, "total"), deadline: time.Unix(int64(len(jobs)), 0),
+					rank: rapid.IntRange(0, 2).Draw(t, "rank"), total: rapid.IntRange(1, 8).Draw(t, "total"),
+					deadline: time.Unix(int64(len(jobs)), 0),
 				}
 				jobs = append(jobs, job)
 				step(jobAdded{job})
@@ -196,18 +208,18 @@
 				inFlight[key] = true
 				step(itemGranted{key})
 			case choice == 4 && found:
-				leave(key, &itemProgress{})
+				endRun(key, &itemProgress{})
 			case found:
-				leave(key, nil)
+				endRun(key, nil)
 			}
 		}
 		for len(inFlight) > 0 {
-			key, _ := pickFlight(t, inFlight)
-			leave(key, nil)
+			key, _ := pickInFlight(t, inFlight)
+			endRun(key, nil)
 		}
 		for _, job := range jobs {
 			for index := range job.total {
-				if count := done[flightKey{job, index}]; !job.removed && count != 1 {
+				if count := done[itemKey{job, index}]; !job.removed && count != 1 {
 					t.Fatalf("item %d of %s was done %d times", index, job.id, count)
 				}
 			}
@@ -215,16 +227,16 @@
 	})
 }
 
-// pickFlight draws one of the items in flight, in a fixed order.
-func pickFlight(t *rapid.T, inFlight map[flightKey]bool) (flightKey, bool) {
-	var keys []flightKey
+// pickInFlight draws one of the items in flight, in a fixed order.
+func pickInFlight(t *rapid.T, inFlight map[itemKey]bool) (itemKey, bool) {
+	var keys []itemKey
 	for key := range inFlight {
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return flightKey{}, false
+		return itemKey{}, false
 	}
-	slices.SortFunc(keys, func(a, b flightKey) int {
+	slices.SortFunc(keys, func(a, b itemKey) int {
 		return cmp.Or(strings.Compare(a.job.id, b.job.id), a.index-b.index)
 	})
 	return rapid.SampledFrom(keys).Draw(t, "item"), true
--- a/internal/job/dispatch_core.go
+++ b/internal/job/dispatch_core.go
@@ -7,56 +7,59 @@
 	"time"
 )
 
-// maxWaitingPerService bounds the items of one service that wait for a credit on one node.
+// maxWaitingPerService bounds the items of one service waiting for a credit on one node.
 const maxWaitingPerService = 64
 
-// dispatchCore decides which items wait for a credit next: by rank, then by
-// deadline, within a bound for the node and a share for each service. It is pure and
-// used by one goroutine.
+// dispatchCore decides which items wait for a credit next: by rank, then by deadline,
+// within a limit for the node and a share for each service. It does no I/O and starts
+// no goroutines. It is not safe for concurrent use.
 type dispatchCore struct {
-	// limit bounds the items in flight, waiting and running.
+	// limit bounds the items in flight: waiting for a credit or running.
 	limit    int
 	running  int
 	waiting  int
 	services map[string]*serviceQueue
-	flights  map[flightKey]*flight
+	inFlight map[itemKey]*inFlightItem
 }
 
-// dispatchJob is a live job as the core sees it.
+// dispatchJob is what the core knows of a live job.
 type dispatchJob struct {
 	id       string
 	service  string
 	rank     int
 	deadline time.Time
 	total    int
-	// done tells which items had a result when the job was added.
-	done bitmap
-	// next is the first item that was never started; requeued ones go first.
-	next     int
-	requeued []requeuedItem
-	removed  bool
-	// run is what the dispatcher hangs on the job; the core doesn't look at it.
+	// skip holds the items that must not be started from nextIndex: those that had a result
+	// when the job was added, and those in requeued because of a recorded attempt.
+	skip bitmap
+	// nextIndex is the lowest item that was never started; requeued items go first.
+	nextIndex int
+	requeued  []requeuedItem
+	removed   bool
+	// run belongs to the dispatcher; the core does not use it.
 	run *jobRun
 }
 
-// requeuedItem is an item that comes back with what is known of it.
+// requeuedItem is an item to be started again with its progress so far.
 type requeuedItem struct {
 	index    int
 	progress *itemProgress
 }
 
-type flightKey struct {
+type itemKey struct {
 	job   *dispatchJob
 	index int
 }
 
-// flight is an item that waits for a credit or runs.
-type flight struct {
-	running  bool
-	stopping bool
+// inFlightItem is an item that waits for a credit or runs.
+type inFlightItem struct {
+	running bool
+	// cancelling is set once the core has asked for the wait to be cancelled.
+	cancelling bool
 }
 
-// serviceQueue holds the jobs of one service that have items to start, best first.
+// serviceQueue holds the jobs of one service that have items to start, in the order of
+// compareJobs.
 type serviceQueue struct {
 	jobs    []*dispatchJob
 	waiting int
@@ -66,45 +69,50 @@
 type dispatchEvent interface{ isDispatchEvent() }
 
 type (
-	// jobAdded: a job became live here.
+	// jobAdded reports that a job is live on this node.
 	jobAdded struct{ job *dispatchJob }
-	// jobRemoved: nothing of the job is started any more.
+	// jobRemoved makes the core start no more items of the job.
 	jobRemoved struct{ job *dispatchJob }
-	// itemGranted: the item has its credit and runs.
-	itemGranted struct{ key flightKey }
-	// itemLeft: the item has its result, or goes back to the queue.
-	itemLeft struct {
-		key     flightKey
+	// itemGranted reports that the item has its credit and runs.
+	itemGranted struct{ key itemKey }
+	// itemRunEnded reports that the item is no longer in flight. It is started again if
+	// requeue is set.
+	itemRunEnded struct {
+		key     itemKey
 		requeue *itemProgress
 	}
 )
 
-func (jobAdded) isDispatchEvent()    {}
-func (jobRemoved) isDispatchEvent()  {}
-func (itemGranted) isDispatchEvent() {}
-func (itemLeft) isDispatchEvent()    {}
+func (jobAdded) isDispatchEvent()     {}
+func (jobRemoved) isDispatchEvent()   {}
+func (itemGranted) isDispatchEvent()  {}
+func (itemRunEnded) isDispatchEvent() {}
 
 // dispatchAction is one of the action types below.
 type dispatchAction interface{ isDispatchAction() }
 
 type (
-	// startItem: acquire a credit for the item and run it.
+	// startItem asks to acquire a credit for the item and run it.
 	startItem struct {
-		key      flightKey
+		key      itemKey
 		progress *itemProgress
 	}
-	// stopWaiting: give up the wait for a credit; the item comes back by itemLeft.
-	stopWaiting struct{ key flightKey }
+	// cancelWait asks to cancel the wait for a credit; an itemRunEnded follows.
+	cancelWait struct{ key itemKey }
 )
 
-func (startItem) isDispatchAction()   {}
-func (stopWaiting) isDispatchAction() {}
+func (startItem) isDispatchAction()  {}
+func (cancelWait) isDispatchAction() {}
 
 func newDispatchCore(limit int) *dispatchCore {
-	return &dispatchCore{limit: limit, services: make(map[string]*serviceQueue), flights: make(map[flightKey]*flight)}
+	return &dispatchCore{
+		limit:    limit,
+		services: make(map[string]*serviceQueue),
+		inFlight: make(map[itemKey]*inFlightItem),
+	}
 }
 
-// step takes one event and returns what is to be done.
+// step applies one event and returns the actions to carry out.
 func (c *dispatchCore) step(event dispatchEvent) []dispatchAction {
 	switch typed := event.(type) {
 	case jobAdded:
@@ -113,11 +121,11 @@
 		typed.job.removed = true
 		c.queueOf(typed.job).remove(typed.job)
 	case itemGranted:
-		c.grant(typed.key)
-	case itemLeft:
-		c.leave(typed)
+		c.markRunning(typed.key)
+	case itemRunEnded:
+		c.endItemRun(typed)
 	}
-	return c.fill()
+	return c.schedule()
 }
 
 func (c *dispatchCore) queueOf(job *dispatchJob) *serviceQueue {
@@ -135,23 +143,23 @@
 	}
 }
 
-func (c *dispatchCore) grant(key flightKey) {
-	entry := c.flights[key]
+func (c *dispatchCore) markRunning(key itemKey) {
+	entry := c.inFlight[key]
 	if entry == nil || entry.running {
 		return
 	}
-	entry.running, entry.stopping = true, false
+	entry.running, entry.cancelling = true, false
 	c.waiting--
 	c.running++
 	c.queueOf(key.job).waiting--
 }
 
-func (c *dispatchCore) leave(event itemLeft) {
-	entry := c.flights[event.key]
+func (c *dispatchCore) endItemRun(event itemRunEnded) {
+	entry := c.inFlight[event.key]
 	if entry == nil {
 		return
 	}
-	delete(c.flights, event.key)
+	delete(c.inFlight, event.key)
 	if entry.running {
 		c.running--
 	} else {
@@ -165,8 +173,8 @@
 	}
 }
 
-// fill starts what has room, best job first, then gives up a worse wait for a better one.
-func (c *dispatchCore) fill() []dispatchAction {
+// schedule starts items up to the limit, best job first, then preempts at most one wait.
+func (c *dispatchCore) schedule() []dispatchAction {
 	var actions []dispatchAction
 	for c.running+c.waiting < c.limit {
 		queue := c.bestQueue()
@@ -174,9 +182,9 @@
 			break
 		}
 		job := queue.jobs[0]
-		item := job.take()
-		key := flightKey{job, item.index}
-		c.flights[key] = &flight{}
+		item := job.takeItem()
+		key := itemKey{job, item.index}
+		c.inFlight[key] = &inFlightItem{}
 		c.waiting++
 		queue.waiting++
 		if !job.pending() {
@@ -187,7 +195,7 @@
 	return append(actions, c.preempt()...)
 }
 
-// bestQueue returns the service with the best job among those below their share.
+// bestQueue returns the queue with the best job among the services below their share.
 func (c *dispatchCore) bestQueue() *serviceQueue {
 	share := c.share()
 	var best *serviceQueue
@@ -202,7 +210,7 @@
 	return best
 }
 
-// share is how many items of one service may wait.
+// share returns how many items of one service may wait for a credit.
 func (c *dispatchCore) share() int {
 	active := 0
 	for _, queue := range c.services {
@@ -213,33 +221,34 @@
 	return min(maxWaitingPerService, max(1, (c.limit-c.running)/max(1, active)))
 }
 
-// preempt gives up one wait where a better job of the same service, or a service
-// that has none, finds no room. One at a time: its end calls for the next.
+// preempt cancels one wait in favor of a better job of the same service, or of a service
+// with no waiting item when the node is at its limit. At most one wait is being cancelled
+// at a time; the event that reports its end triggers the next preemption.
 func (c *dispatchCore) preempt() []dispatchAction {
-	for _, entry := range c.flights {
-		if entry.stopping {
+	for _, entry := range c.inFlight {
+		if entry.cancelling {
 			return nil
 		}
 	}
 	for _, queue := range c.sortedQueues() {
 		if worst, found := c.worstWaiting(queue); found && compareJobs(queue.jobs[0], worst.job) < 0 {
-			return c.stop(worst)
+			return c.cancelWaitOf(worst)
 		}
 		if queue.waiting == 0 && c.running+c.waiting >= c.limit {
 			if worst, found := c.worstWaiting(nil); found && c.queueOf(worst.job).waiting > 1 {
-				return c.stop(worst)
+				return c.cancelWaitOf(worst)
 			}
 		}
 	}
 	return nil
 }
 
-func (c *dispatchCore) stop(key flightKey) []dispatchAction {
-	c.flights[key].stopping = true
-	return []dispatchAction{stopWaiting{key}}
+func (c *dispatchCore) cancelWaitOf(key itemKey) []dispatchAction {
+	c.inFlight[key].cancelling = true
+	return []dispatchAction{cancelWait{key}}
 }
 
-// sortedQueues returns the services that have something to start, best first.
+// sortedQueues returns the queues with items to start, best job first.
 func (c *dispatchCore) sortedQueues() []*serviceQueue {
 	var queues []*serviceQueue
 	for _, queue := range c.services {
@@ -251,11 +260,12 @@
 	return queues
 }
 
-// worstWaiting returns the item that waits with the worst job, of one service or, for nil, of any.
-func (c *dispatchCore) worstWaiting(queue *serviceQueue) (flightKey, bool) {
-	var worst flightKey
+// worstWaiting returns the waiting item of the worst job in the given queue, or in any
+// queue if it is nil. The result is false if no item waits.
+func (c *dispatchCore) worstWaiting(queue *serviceQueue) (itemKey, bool) {
+	var worst itemKey
 	found := false
-	for key, entry := range c.flights {
+	for key, entry := range c.inFlight {
 		if entry.running || (queue != nil && c.queueOf(key.job) != queue) {
 			continue
 		}
@@ -279,38 +289,39 @@
 	)
 }
 
-// insert puts the job in its place. A job of the same id can stand there still, of an
-// earlier ownership that has not ended yet.
+// insert adds the job in order, unless the queue holds it already. A different job with
+// the same id may still be present from an earlier ownership that has not ended yet.
 func (q *serviceQueue) insert(job *dispatchJob) {
 	if !slices.Contains(q.jobs, job) {
-		at, _ := slices.BinarySearchFunc(q.jobs, job, compareJobs)
-		q.jobs = slices.Insert(q.jobs, at, job)
+		index, _ := slices.BinarySearchFunc(q.jobs, job, compareJobs)
+		q.jobs = slices.Insert(q.jobs, index, job)
 	}
 }
 
 func (q *serviceQueue) remove(job *dispatchJob) {
-	if at := slices.Index(q.jobs, job); at >= 0 {
-		q.jobs = slices.Delete(q.jobs, at, at+1)
+	if index := slices.Index(q.jobs, job); index >= 0 {
+		q.jobs = slices.Delete(q.jobs, index, index+1)
 	}
 }
 
-// pending tells whether the job has an item to start; it moves next to it.
+// pending reports whether the job has an item to start. It advances nextIndex past
+// skipped items.
 func (j *dispatchJob) pending() bool {
-	for j.next < j.total && j.done.has(j.next) {
-		j.next++
+	for j.nextIndex < j.total && j.skip.has(j.nextIndex) {
+		j.nextIndex++
 	}
-	return len(j.requeued) > 0 || j.next < j.total
+	return len(j.requeued) > 0 || j.nextIndex < j.total
 }
 
-// take returns the next item; pending was true.
-func (j *dispatchJob) take() requeuedItem {
+// takeItem returns the next item to start; pending must have returned true.
+func (j *dispatchJob) takeItem() requeuedItem {
 	if len(j.requeued) > 0 {
 		item := j.requeued[0]
 		j.requeued = j.requeued[1:]
 		return item
 	}
-	item := requeuedItem{index: j.next, progress: &itemProgress{}}
-	j.next++
+	item := requeuedItem{index: j.nextIndex, progress: &itemProgress{}}
+	j.nextIndex++
 	return item
 }
 
--- a/internal/job/dispatcher.go
+++ b/internal/job/dispatcher.go
@@ -15,8 +15,8 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// dispatcher runs the items of all partitions that this node owns. Its core
-// belongs to one goroutine; each item in flight has its own.
+// dispatcher runs the items of all partitions that this node owns. Its core is confined
+// to the loop goroutine; each item in flight has a goroutine of its own.
 type dispatcher struct {
 	credits  admission.CreditSource
 	engines  engine.Client
@@ -27,14 +27,15 @@
 
 	core   *dispatchCore
 	events chan dispatchEvent
-	// waits holds the cancel of each item's wait for a credit; it belongs to the loop.
-	waits map[flightKey]context.CancelFunc
+	// waitCancels cancels the wait for a credit of each item in flight; only the loop
+	// goroutine uses it.
+	waitCancels map[itemKey]context.CancelFunc
 
 	stopped chan struct{}
 	group   sync.WaitGroup
 }
 
-// dispatcherParams are what a dispatcher works with.
+// dispatcherParams are the dependencies of a dispatcher.
 type dispatcherParams struct {
 	fx.In
 
@@ -49,29 +50,31 @@
 
 func newDispatcher(params dispatcherParams) *dispatcher {
 	return &dispatcher{
-		credits: params.Credits, engines: params.Engines, reporter: params.Reporter, models: params.Models, metrics: params.Metrics,
-		logger:  params.Logger.With().Str(logging.FieldSlice, sliceName).Logger(),
-		core:    newDispatchCore(params.Settings.Limits.BatchConcurrency),
-		events:  make(chan dispatchEvent),
-		waits:   make(map[flightKey]context.CancelFunc),
-		stopped: make(chan struct{}),
+		credits: params.Credits, engines: params.Engines, reporter: params.Reporter,
+		models: params.Models, metrics: params.Metrics,
+		logger:      params.Logger.With().Str(logging.FieldSlice, sliceName).Logger(),
+		core:        newDispatchCore(params.Settings.Limits.BatchConcurrency),
+		events:      make(chan dispatchEvent),
+		waitCancels: make(map[itemKey]context.CancelFunc),
+		stopped:     make(chan struct{}),
 	}
 }
 
-// start begins the loop.
+// start starts the loop goroutine.
 func (d *dispatcher) start() {
 	d.group.Add(1)
 	go d.runLoop()
 }
 
-// stop ends the loop and waits for the items in flight, whose jobs must have ended.
+// stop ends the loop and waits for the goroutines of the items in flight. The runs of
+// their jobs must have ended before.
 func (d *dispatcher) stop() {
 	close(d.stopped)
 	d.group.Wait()
 }
 
-func (d *dispatcher) add(run *jobRun)    { d.send(jobAdded{run.dispatched}) }
-func (d *dispatcher) remove(run *jobRun) { d.send(jobRemoved{run.dispatched}) }
+func (d *dispatcher) add(run *jobRun)    { d.send(jobAdded{run.dispatch}) }
+func (d *dispatcher) remove(run *jobRun) { d.send(jobRemoved{run.dispatch}) }
 
 func (d *dispatcher) send(event dispatchEvent) {
 	select {
@@ -82,15 +85,15 @@
 
 func (d *dispatcher) runLoop() {
 	defer d.group.Done()
-	defer d.stopWaits()
+	defer d.cancelWaits()
 	for {
 		select {
 		case event := <-d.events:
-			if left, ok := event.(itemLeft); ok {
-				delete(d.waits, left.key)
+			if ended, ok := event.(itemRunEnded); ok {
+				delete(d.waitCancels, ended.key)
 			}
 			for _, action := range d.core.step(event) {
-				d.act(action)
+				d.execute(action)
 			}
 			d.metrics.itemsWaiting.Set(float64(d.core.waiting))
 			d.metrics.itemsRunning.Set(float64(d.core.running))
@@ -100,28 +103,30 @@
 	}
 }
 
-func (d *dispatcher) stopWaits() {
-	for _, cancel := range d.waits {
+func (d *dispatcher) cancelWaits() {
+	for _, cancel := range d.waitCancels {
 		cancel()
 	}
 }
 
-func (d *dispatcher) act(action dispatchAction) {
+func (d *dispatcher) execute(action dispatchAction) {
 	switch typed := action.(type) {
 	case startItem:
 		run := typed.key.job.run
 		waitContext, cancel := context.WithCancel(run.ctx)
-		d.waits[typed.key] = cancel
-		item := &itemRun{dispatcher: d, job: run, key: typed.key, progress: typed.progress, wait: waitContext}
+		d.waitCancels[typed.key] = cancel
+		item := &itemRun{
+			dispatcher: d, job: run, key: typed.key, progress: typed.progress, waitContext: waitContext,
+		}
 		d.group.Add(1)
 		go func() {
 			defer d.group.Done()
 			defer cancel()
 			requeue := item.run()
-			d.send(itemLeft{typed.key, requeue})
+			d.send(itemRunEnded{typed.key, requeue})
 		}()
-	case stopWaiting:
-		if cancel := d.waits[typed.key]; cancel != nil {
+	case cancelWait:
+		if cancel := d.waitCancels[typed.key]; cancel != nil {
 			cancel()
 		}
 	}
--- a/internal/job/fake_test.go
+++ b/internal/job/fake_test.go
@@ -29,8 +29,8 @@
 
 const testPartitions = 2
 
-// testCluster is a few nodes of this slice in one process. Partition i is owned by
-// the node that owners says; the logs outlive the owners.
+// testCluster runs several nodes of this package in one process. Each partition is served
+// by the node in owners; its log is kept when the owner changes.
 type testCluster struct {
 	test    testing.TB
 	engine  *fakeEngine
@@ -39,12 +39,13 @@
 	nodes   []*testNode
 	mutex   sync.Mutex
 	owners  map[ledger.PartitionID]int
-	// paused is the number of a node that answers no call, -1 for none.
+	// paused is the number of the node that answers no calls, -1 for none.
 	paused   int
 	machines map[ledger.PartitionID]ledger.StateMachine
 }
 
-// testNode is one node; it is its own locator and caller.
+// testNode is one node. It also implements ledger.Locator, transport.Caller and
+// transport.Registrar for itself.
 type testNode struct {
 	cluster    *testCluster
 	number     int
@@ -69,25 +70,28 @@
 	for number := range nodes {
 		node := &testNode{cluster: cluster, number: number, handlers: make(map[transport.Method]testHandler)}
 		node.dispatcher = newDispatcher(dispatcherParams{
-			Settings: settings.Settings{Limits: settings.Limits{BatchConcurrency: 64}}, Credits: cluster.credits, Engines: cluster.engine,
+			Settings: settings.Settings{Limits: settings.Limits{BatchConcurrency: 64}},
+			Credits:  cluster.credits, Engines: cluster.engine,
 			Reporter: fakeReporter{}, Models: fakeConfig{}, Metrics: newMetrics(prometheus.NewRegistry()), Logger: zerolog.Nop(),
 		})
 		node.partitions = newRegistry(node.dispatcher, zerolog.Nop())
 		registerMethods(node, node.partitions)
-		carrier := newForwarder(node.partitions, node, node)
-		node.service, node.files, node.claimer = &service{carrier, fakeConfig{}}, &fileStore{carrier}, &claimer{carrier}
+		nodeForwarder := newForwarder(node.partitions, node, node)
+		node.service, node.files, node.claimer =
+			&service{nodeForwarder, fakeConfig{}}, &fileStore{nodeForwarder}, &claimer{nodeForwarder}
 		node.dispatcher.start()
 		cluster.nodes = append(cluster.nodes, node)
 	}
 	for partition := range ledger.PartitionID(testPartitions) {
 		cluster.logs = append(cluster.logs, ledgertest.NewLog(partition))
-		cluster.own(partition, int(partition)%nodes)
+		cluster.assign(partition, int(partition)%nodes)
 	}
 	return cluster
 }
 
-// own gives a partition to a node, as after a takeover; the old owner stops.
-func (c *testCluster) own(partition ledger.PartitionID, number int) {
+// assign makes a node the owner of a partition, as in a takeover, and then stops the
+// previous owner.
+func (c *testCluster) assign(partition ledger.PartitionID, number int) {
 	c.mutex.Lock()
 	previous := c.machines[partition]
 	c.mutex.Unlock()
@@ -128,16 +132,19 @@
 	return fmt.Sprintf("127.0.0.1:%d", n.cluster.owners[partition]+1), true
 }
 
-// Call serves the request at the addressed node, through the wire form.
-func (n *testNode) Call(ctx context.Context, to netip.AddrPort, method transport.Method, request, response proto.Message) error {
+// Call has the addressed node serve the request. Messages are encoded and decoded as on the
+// wire.
+func (n *testNode) Call(
+	ctx context.Context, address netip.AddrPort, method transport.Method, request, response proto.Message,
+) error {
 	n.cluster.mutex.Lock()
-	paused := n.cluster.paused == int(to.Port())-1
+	paused := n.cluster.paused == int(address.Port())-1
 	n.cluster.mutex.Unlock()
 	if paused {
 		<-ctx.Done()
 		return transport.KindNoAnswer.Wrap(ctx.Err(), "no answer")
 	}
-	handler := n.cluster.nodes[to.Port()-1].handlers[method]
+	handler := n.cluster.nodes[address.Port()-1].handlers[method]
 	received := handler.newRequest()
 	encoded, err := proto.Marshal(request)
 	if err != nil {
@@ -149,7 +156,10 @@
 	answer, err := handler.serve(ctx, netip.AddrPort{}, received)
 	if err != nil {
 		failure := outcome.As(err)
-		return &transport.RemoteError{Outcome: string(failure.Outcome), Reason: string(failure.Reason), Message: failure.Message, RetryAfter: failure.RetryAfter}
+		return &transport.RemoteError{
+			Outcome: string(failure.Outcome), Reason: string(failure.Reason),
+			Message: failure.Message, RetryAfter: failure.RetryAfter,
+		}
 	}
 	encoded, err = proto.Marshal(answer)
 	if err != nil {
@@ -173,7 +183,7 @@
 }
 func (fakeConfig) Subscribe(func(*config.Snapshot)) func() { return func() {} }
 
-// fakeCredits grants up to limit credits on its replicas in turn.
+// fakeCredits grants up to limit credits, round-robin over its replicas.
 type fakeCredits struct {
 	replicas int
 	limit    int
@@ -203,7 +213,7 @@
 	}
 }
 
-// grant is called with the mutex held.
+// grant grants a credit. The caller holds the mutex.
 func (c *fakeCredits) grant(request admission.BatchRequest) *admission.Credit {
 	c.next++
 	number, revoked := c.next, make(chan struct{})
@@ -212,7 +222,10 @@
 	if request.Routing.Exclude[fmt.Sprintf("replica-%d", replica)] {
 		replica = (replica + 1) % c.replicas
 	}
-	endpoint := engine.Endpoint{Replica: fmt.Sprintf("replica-%d", replica), Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(replica+1))}
+	endpoint := engine.Endpoint{
+		Replica: fmt.Sprintf("replica-%d", replica),
+		Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(replica+1)),
+	}
 	return &admission.Credit{
 		Decision: routing.Decision{Endpoint: endpoint}, Revoked: revoked,
 		Release: func() {
@@ -225,7 +238,7 @@
 	}
 }
 
-// revokeAll takes all credits back.
+// revokeAll revokes all granted credits.
 func (c *fakeCredits) revokeAll() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -251,15 +264,15 @@
 // answerTokens is the number of tokens of each answer of the fake engine.
 const answerTokens = 4
 
-// fakeEngine answers each prompt with answerTokens tokens. Hooks, set before use,
-// may block or fail a call or a token.
+// fakeEngine answers each prompt with answerTokens tokens. The hooks, set before use, may
+// block or fail a call or a token.
 type fakeEngine struct {
-	onCall  func(ctx context.Context, to engine.Endpoint, request engine.Request) error
-	onToken func(ctx context.Context, to engine.Endpoint, request engine.Request, token int) error
+	onCall  func(ctx context.Context, endpoint engine.Endpoint, request engine.Request) error
+	onToken func(ctx context.Context, endpoint engine.Endpoint, request engine.Request, token int) error
 
 	mutex   sync.Mutex
 	runs    map[string]map[string]bool // replica, then request id
-	started map[string]int             // item, that is, request id without its run
+	started map[string]int             // runs by item, that is, the request id without the run's suffix
 	cancels int
 	lastAt  time.Time
 }
@@ -268,58 +281,58 @@
 	return &fakeEngine{runs: make(map[string]map[string]bool), started: make(map[string]int)}
 }
 
-func itemOf(requestID string) string {
+func itemOfRequest(requestID string) string {
 	parts := strings.SplitN(requestID, ":", 3)
 	return strings.Join(parts[:min(2, len(parts))], ":")
 }
 
-func (e *fakeEngine) Generate(ctx context.Context, to engine.Endpoint, request engine.Request) (engine.Stream, error) {
+func (e *fakeEngine) Generate(ctx context.Context, endpoint engine.Endpoint, request engine.Request) (engine.Stream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, engine.KindNotSent.Wrap(err, "not sent")
 	}
 	if e.onCall != nil {
-		if err := e.onCall(ctx, to, request); err != nil {
+		if err := e.onCall(ctx, endpoint, request); err != nil {
 			return nil, err
 		}
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.runs[to.Replica] == nil {
-		e.runs[to.Replica] = make(map[string]bool)
+	if e.runs[endpoint.Replica] == nil {
+		e.runs[endpoint.Replica] = make(map[string]bool)
 	}
-	if !e.runs[to.Replica][request.ID] {
+	if !e.runs[endpoint.Replica][request.ID] {
 		if request.AttachOnly {
 			return nil, engine.KindNoSuchRun.New("no run %s", request.ID)
 		}
-		e.runs[to.Replica][request.ID] = true
-		e.started[itemOf(request.ID)]++
+		e.runs[endpoint.Replica][request.ID] = true
+		e.started[itemOfRequest(request.ID)]++
 	}
 	e.lastAt = time.Now()
-	return &fakeStream{engine: e, ctx: ctx, to: to, request: request, token: request.Offset}, nil
+	return &fakeStream{engine: e, ctx: ctx, endpoint: endpoint, request: request, token: request.Offset}, nil
 }
 
-func (e *fakeEngine) Cancel(_ context.Context, to engine.Endpoint, id string) (engine.CancelResult, error) {
+func (e *fakeEngine) Cancel(_ context.Context, endpoint engine.Endpoint, id string) (engine.CancelResult, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.cancels++
-	return engine.CancelResult{Found: e.runs[to.Replica][id]}, nil
+	return engine.CancelResult{Found: e.runs[endpoint.Replica][id]}, nil
 }
 
-// forgetRuns is what a restart of all engines does.
+// forgetRuns drops all runs, as a restart of all engines does.
 func (e *fakeEngine) forgetRuns() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	clear(e.runs)
 }
 
-func (e *fakeEngine) starts() (total, most int) {
+func (e *fakeEngine) starts() (total, maxPerItem int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, count := range e.started {
 		total += count
-		most = max(most, count)
+		maxPerItem = max(maxPerItem, count)
 	}
-	return total, most
+	return total, maxPerItem
 }
 
 var errUnused = errors.New("unused")
@@ -337,12 +350,12 @@
 func (e *fakeEngine) ImportCache(context.Context, engine.Endpoint, []byte) error { return errUnused }
 
 type fakeStream struct {
-	engine  *fakeEngine
-	ctx     context.Context
-	to      engine.Endpoint
-	request engine.Request
-	token   int
-	ended   bool
+	engine   *fakeEngine
+	ctx      context.Context
+	endpoint engine.Endpoint
+	request  engine.Request
+	token    int
+	ended    bool
 }
 
 func (s *fakeStream) Next() (engine.Chunk, error) {
@@ -350,7 +363,7 @@
 		return engine.Chunk{}, io.EOF
 	}
 	if s.engine.onToken != nil {
-		if err := s.engine.onToken(s.ctx, s.to, s.request, s.token); err != nil {
+		if err := s.engine.onToken(s.ctx, s.endpoint, s.request, s.token); err != nil {
 			return engine.Chunk{}, err
 		}
 	}
@@ -359,7 +372,10 @@
 	}
 	if s.token >= answerTokens {
 		s.ended = true
-		return engine.Chunk{Offset: s.token, FinishReason: "stop", Usage: &engine.Usage{PromptTokens: 3, CompletionTokens: answerTokens}}, nil
+		return engine.Chunk{
+			Offset: s.token, FinishReason: "stop",
+			Usage: &engine.Usage{PromptTokens: 3, CompletionTokens: answerTokens},
+		}, nil
 	}
 	chunk := engine.Chunk{Offset: s.token, Tokens: 1, Text: fmt.Sprintf("t%d ", s.token)}
 	s.token++
@@ -368,8 +384,8 @@
 
 func (s *fakeStream) Close() error { return nil }
 
-// waitUntil blocks until ctx ends; hooks use it to hold a stream.
-func waitUntil(ctx context.Context) error {
+// blockUntilDone blocks until ctx ends, for hooks that stall a stream.
+func blockUntilDone(ctx context.Context) error {
 	<-ctx.Done()
 	return engine.KindLost.Wrap(ctx.Err(), "cut")
 }
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -20,13 +20,13 @@
 	"github.com/sloelift/sloelift/internal/pause"
 )
 
-// faultPlan is what TestJobsUnderFaults does to a cluster.
+// faultPlan is the sequence of faults that TestJobsUnderFaults injects into a cluster.
 type faultPlan struct {
 	seed  uint64
 	steps []faultStep
 }
 
-// faultStep is one fault after a wait.
+// faultStep is one fault, injected after wait.
 type faultStep struct {
 	wait      time.Duration
 	kind      string
@@ -38,8 +38,10 @@
 	plan := faultPlan{seed: rapid.Uint64().Draw(t, "seed")}
 	for range rapid.IntRange(3, 8).Draw(t, "steps") {
 		plan.steps = append(plan.steps, faultStep{
-			wait:      time.Duration(rapid.IntRange(0, 700).Draw(t, "wait")) * time.Millisecond,
-			kind:      rapid.SampledFrom([]string{"takeover", "unaware", "revoke", "resend", "cancel", "compact", "engines"}).Draw(t, "kind"),
+			wait: time.Duration(rapid.IntRange(0, 700).Draw(t, "wait")) * time.Millisecond,
+			kind: rapid.SampledFrom([]string{
+				"takeover", "unaware", "revoke", "resend", "cancel", "compact", "engines",
+			}).Draw(t, "kind"),
 			partition: ledger.PartitionID(rapid.IntRange(0, testPartitions-1).Draw(t, "partition")),
 			node:      rapid.IntRange(0, 2).Draw(t, "node"),
 		})
@@ -47,36 +49,38 @@
 	return plan
 }
 
-// uncertainMachine gives its state machine an Owned whose appends sometimes end
-// with an unknown outcome, and whose loss is noticed late.
-type uncertainMachine struct {
+// faultyMachine serves a partition with a faultyOwned. The partition learns of the loss of
+// its ownership only after lossDelay.
+type faultyMachine struct {
 	*partition
-	run  *faultRun
-	late atomic.Int64 // a time.Duration
+	run       *faultRun
+	lossDelay atomic.Int64 // in nanoseconds
 }
 
-func (m *uncertainMachine) Serve(owned ledger.Owned) {
+func (m *faultyMachine) Serve(owned ledger.Owned) {
 	lost := make(chan struct{})
 	m.run.background.Go(func() {
 		select {
 		case <-owned.Lost():
-			time.Sleep(time.Duration(m.late.Load()))
+			time.Sleep(time.Duration(m.lossDelay.Load()))
 			close(lost)
 		case <-m.stopped:
 		}
 	})
-	m.partition.Serve(&uncertainOwned{Owned: owned, run: m.run, lost: lost})
+	m.partition.Serve(&faultyOwned{Owned: owned, run: m.run, lost: lost})
 }
 
-type uncertainOwned struct {
+// faultyOwned is a ledger.Owned with random append failures: an unknown outcome, with and
+// without the append having taken effect, and for Append also a full disk.
+type faultyOwned struct {
 	ledger.Owned
 	run  *faultRun
 	lost chan struct{}
 }
 
-func (o *uncertainOwned) Lost() <-chan struct{} { return o.lost }
+func (o *faultyOwned) Lost() <-chan struct{} { return o.lost }
 
-func (o *uncertainOwned) Append(ctx context.Context, records []ledger.Record) (ledger.Position, error) {
+func (o *faultyOwned) Append(ctx context.Context, records []ledger.Record) (ledger.Position, error) {
 	if draw := o.run.draw(20); draw != 2 {
 		return o.append(ctx, records, draw)
 	}
@@ -84,29 +88,29 @@
 	return 0, outcome.New(outcome.NotRun, outcome.ReasonStorageFull, "disk full")
 }
 
-func (o *uncertainOwned) AppendReserved(ctx context.Context, records []ledger.Record) (ledger.Position, error) {
+func (o *faultyOwned) AppendReserved(ctx context.Context, records []ledger.Record) (ledger.Position, error) {
 	return o.append(ctx, records, o.run.draw(20))
 }
 
-func (o *uncertainOwned) append(ctx context.Context, records []ledger.Record, draw int) (ledger.Position, error) {
+func (o *faultyOwned) append(ctx context.Context, records []ledger.Record, draw int) (ledger.Position, error) {
 	time.Sleep(5 * time.Millisecond)
-	uncertain := outcome.New(outcome.Indeterminate, outcome.ReasonUnavailable, "answer lost")
+	indeterminate := outcome.New(outcome.Indeterminate, outcome.ReasonUnavailable, "answer lost")
 	switch draw {
 	case 0:
-		return 0, uncertain
+		return 0, indeterminate
 	case 1:
 		if _, err := o.Owned.Append(ctx, records); err != nil {
 			return 0, err
 		}
-		return 0, uncertain
+		return 0, indeterminate
 	}
 	return o.Owned.Append(ctx, records)
 }
 
-// TestJobsUnderFaults: whatever happens to owners, appends, credits and engines, each
-// item of a job that isn't cancelled completes once with its whole answer, a marked
-// item runs at most once, and nothing of a job is dispatched after its cancel was
-// acknowledged.
+// TestJobsUnderFaults injects takeovers, stale owners, failed appends, revoked credits and
+// engine restarts. Each item of a job that is not cancelled must complete once with its
+// complete answer; an item that is not repeatable must run at most once and may end as
+// indeterminate; no item may be dispatched after the cancel of its job was acknowledged.
 func TestJobsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		plan := drawPlan(r)
@@ -125,8 +129,8 @@
 	random    *rand.Rand
 	mutex     sync.Mutex
 	cancelled map[string]bool
-	broken    error
-	// background are the goroutines of late losses.
+	violation error
+	// background counts the goroutines that delay the loss or the stop of an owner.
 	background sync.WaitGroup
 }
 
@@ -148,14 +152,14 @@
 	}
 	for _, step := range plan.steps {
 		time.Sleep(step.wait)
-		run.act(t, step, ids)
+		run.inject(t, step, ids)
 	}
 	for number, id := range ids {
-		if run.broken == nil {
-			run.broken = run.check(t, number, id)
+		if run.violation == nil {
+			run.violation = run.check(t, number, id)
 		}
 	}
-	return run.broken
+	return run.violation
 }
 
 func (f *faultRun) draw(bound int) int {
@@ -164,13 +168,13 @@
 	return f.random.IntN(bound)
 }
 
-// submit submits job number; odd ones are marked as not repeatable. A refusal of the
-// ledger is a refusal of the whole submission, which is then sent again.
+// submit submits the job with the given number; jobs with odd numbers are not repeatable. If
+// the ledger refuses an append, the whole submission fails and is sent again.
 func (f *faultRun) submit(t *testing.T, number int) Status {
 	for {
-		wanted := submission(fmt.Sprintf("job-%d", number), faultItems)
-		wanted.NotRepeatable = number%2 == 1
-		status, err := f.nodes[number%3].service.Submit(t.Context(), wanted)
+		input := submission(fmt.Sprintf("job-%d", number), faultItems)
+		input.NotRepeatable = number%2 == 1
+		status, err := f.nodes[number%3].service.Submit(t.Context(), input)
 		if err == nil {
 			return status
 		}
@@ -182,7 +186,7 @@
 
 func (f *faultRun) takeOver(id ledger.PartitionID, node int) {
 	previous := f.machines[id]
-	machine := &uncertainMachine{partition: f.nodes[node].partitions.factory(id).(*partition), run: f}
+	machine := &faultyMachine{partition: f.nodes[node].partitions.factory(id).(*partition), run: f}
 	if _, err := f.logs[id].Start(machine); err != nil {
 		f.test.Fatal(err)
 	}
@@ -190,19 +194,19 @@
 	f.owners[id], f.machines[id] = node, machine
 	f.testCluster.mutex.Unlock()
 	f.background.Go(func() {
-		if unaware, is := previous.(*uncertainMachine); is {
-			time.Sleep(time.Duration(unaware.late.Load()))
+		if faulty, is := previous.(*faultyMachine); is {
+			time.Sleep(time.Duration(faulty.lossDelay.Load()))
 		}
 		previous.Stop()
 	})
 }
 
-func (f *faultRun) act(t *testing.T, step faultStep, ids []string) {
+func (f *faultRun) inject(t *testing.T, step faultStep, ids []string) {
 	switch step.kind {
 	case "takeover":
 		f.takeOver(step.partition, step.node)
 	case "unaware":
-		f.machines[step.partition].(*uncertainMachine).late.Store(int64(3 * time.Second))
+		f.machines[step.partition].(*faultyMachine).lossDelay.Store(int64(3 * time.Second))
 		f.takeOver(step.partition, (f.owners[step.partition]+1)%3)
 	case "revoke":
 		f.credits.revokeAll()
@@ -234,7 +238,7 @@
 	defer f.mutex.Unlock()
 	id, _, _ := strings.Cut(request.ID, ":")
 	if f.cancelled[id] {
-		f.broken = fmt.Errorf("%s was dispatched after the cancel", request.ID)
+		f.violation = fmt.Errorf("%s was dispatched after the cancel", request.ID)
 	}
 	switch f.random.IntN(12) {
 	case 0:
@@ -258,34 +262,35 @@
 }
 
 func (f *faultRun) check(t *testing.T, number int, id string) error {
-	ended := finish(t, f.nodes[2], id)
-	all := results(t, f.nodes[1], id, 0)
+	ended := waitForEnd(t, f.nodes[2], id)
+	all := readResults(t, f.nodes[1], id, 0)
 	if ended.Phase == PhaseCancelled {
 		return nil
 	}
-	marked := number%2 == 1
-	if len(all) != faultItems || ended.Completed+ended.Failed != faultItems || (!marked && ended.Failed > 0) {
+	notRepeatable := number%2 == 1
+	if len(all) != faultItems || ended.Completed+ended.Failed != faultItems || (!notRepeatable && ended.Failed > 0) {
 		return fmt.Errorf("%s ended as %+v with %d results", id, ended, len(all))
 	}
 	for index, result := range all {
-		whole := strings.Contains(string(result.Body), wholeAnswer+`"`)
-		indeterminate := marked && result.Outcome == string(outcome.Indeterminate)
-		if result.Index != index || (!whole && !indeterminate) {
+		complete := strings.Contains(string(result.Body), completeAnswer+`"`)
+		indeterminate := notRepeatable && result.Outcome == string(outcome.Indeterminate)
+		if result.Index != index || (!complete && !indeterminate) {
 			return fmt.Errorf("%s: result %d is %s %s", id, index, result.Outcome, result.Body)
 		}
 	}
 	f.engine.mutex.Lock()
 	defer f.engine.mutex.Unlock()
 	for item, count := range f.engine.started {
-		if marked && strings.HasPrefix(item, id) && count > 1 {
+		if notRepeatable && strings.HasPrefix(item, id) && count > 1 {
 			return errors.New(item + " ran more than once")
 		}
 	}
 	return nil
 }
 
-// TestUnawareOwnerAnswersNoReads: what a caller read of a job, and that it is there, stays so, also at an owner that
-// doesn't know of its successor.
+// TestUnawareOwnerAnswersNoReads checks reads sent to a stale owner, which has not noticed
+// its successor. They must not return an older state of the job than was read before, nor
+// miss the job.
 func TestUnawareOwnerAnswersNoReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 3)
@@ -296,10 +301,10 @@
 		faults.takeOver(1, 0)
 		status := faults.submit(t, 0)
 		partition := partitionOf(t, status.ID)
-		faults.machines[partition].(*uncertainMachine).late.Store(int64(time.Hour))
+		faults.machines[partition].(*faultyMachine).lossDelay.Store(int64(time.Hour))
 		faults.takeOver(partition, 1)
-		ended := finish(t, cluster.nodes[1], status.ID)
-		if all := results(t, cluster.nodes[0], status.ID, 0); len(all) != ended.Completed {
+		ended := waitForEnd(t, cluster.nodes[1], status.ID)
+		if all := readResults(t, cluster.nodes[0], status.ID, 0); len(all) != ended.Completed {
 			t.Errorf("%d results at the former owner, %d items completed", len(all), ended.Completed)
 		}
 		if again, err := cluster.nodes[0].service.Status(t.Context(), "registry", status.ID); err != nil || again.Phase != ended.Phase {
@@ -308,8 +313,9 @@
 	})
 }
 
-// TestUnawareOwnerDispatchesNothingAfterTheCancel: an owner that doesn't know of its
-// successor has free credits again right after the successor acknowledged the cancel.
+// TestUnawareOwnerDispatchesNothingAfterTheCancel checks that a stale owner, which has not
+// noticed its successor, dispatches no item after the successor acknowledged the cancel,
+// although credits become free at that moment.
 func TestUnawareOwnerDispatchesNothingAfterTheCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 3)
@@ -317,14 +323,16 @@
 		defer faults.background.Wait()
 		defer cluster.stop()
 		cluster.credits.limit = 1
-		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error { return waitUntil(ctx) }
+		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error {
+			return blockUntilDone(ctx)
+		}
 		for id := range ledger.PartitionID(testPartitions) {
 			faults.takeOver(id, 0)
 		}
 		status := faults.submit(t, 0)
 		synctest.Wait()
 		partition := partitionOf(t, status.ID)
-		faults.machines[partition].(*uncertainMachine).late.Store(int64(time.Hour))
+		faults.machines[partition].(*faultyMachine).lossDelay.Store(int64(time.Hour))
 		faults.takeOver(partition, 1)
 		cancelled, err := cluster.nodes[2].service.Cancel(t.Context(), "registry", status.ID)
 		if err != nil || cancelled.Phase != PhaseCancelled {
--- a/internal/job/file_store.go
+++ b/internal/job/file_store.go
@@ -9,14 +9,14 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// fileStore is the FileStore of a node.
+// fileStore implements FileStore by forwarding to the partition in the file id.
 type fileStore struct {
 	forwarder *forwarder
 }
 
 // Put implements FileStore.
 func (s *fileStore) Put(ctx context.Context, tenant, name, purpose string, content io.Reader) (File, error) {
-	if tenant == "" || !validText(tenant, name, purpose) {
+	if tenant == "" || !validUTF8(tenant, name, purpose) {
 		return File{}, outcome.New(outcome.NotRun, outcome.ReasonInvalid, "tenant, name or purpose")
 	}
 	unique := newULID()
@@ -35,10 +35,11 @@
 	if err != nil {
 		return File{}, err
 	}
-	return fromStored(stored), nil
+	return fileFromProto(stored), nil
 }
 
-// uploadContent sends the content to its end, waits for its chunks and returns its size.
+// uploadContent uploads the whole content, waits until its chunks are durable and returns
+// its size in bytes.
 func uploadContent(upload *uploader, content io.Reader) (int64, error) {
 	size := int64(0)
 	for !upload.failed() {
@@ -59,7 +60,7 @@
 	return size, upload.wait()
 }
 
-func (s *fileStore) request(tenant, id string) (*jobpb.FileRequest, error) {
+func (s *fileStore) fileRequest(tenant, id string) (*jobpb.FileRequest, error) {
 	partition, err := partitionOfID(filePrefix, id, s.forwarder.locator.Partitions())
 	if err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 
 // Get implements FileStore.
 func (s *fileStore) Get(ctx context.Context, tenant, id string) (File, error) {
-	request, err := s.request(tenant, id)
+	request, err := s.fileRequest(tenant, id)
 	if err != nil {
 		return File{}, err
 	}
@@ -77,12 +78,12 @@
 	if err != nil {
 		return File{}, err
 	}
-	return fromStored(stored), nil
+	return fileFromProto(stored), nil
 }
 
 // Read implements FileStore.
-func (s *fileStore) Read(ctx context.Context, tenant, id string, to io.Writer) error {
-	file, err := s.request(tenant, id)
+func (s *fileStore) Read(ctx context.Context, tenant, id string, writer io.Writer) error {
+	file, err := s.fileRequest(tenant, id)
 	if err != nil {
 		return err
 	}
@@ -92,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := to.Write(response.GetData()); err != nil {
+		if _, err := writer.Write(response.GetData()); err != nil {
 			return err
 		}
 		request.Chunk++
@@ -104,7 +105,7 @@
 
 // Delete implements FileStore.
 func (s *fileStore) Delete(ctx context.Context, tenant, id string) error {
-	request, err := s.request(tenant, id)
+	request, err := s.fileRequest(tenant, id)
 	if err != nil {
 		return err
 	}
@@ -112,14 +113,14 @@
 	return err
 }
 
-// List implements FileStore. Files are ordered by id, that is, by partition.
+// List implements FileStore. Files are ordered by id, and therefore by partition.
 func (s *fileStore) List(ctx context.Context, tenant, after string, limit int) ([]File, error) {
 	files := []File{}
 	err := s.forwarder.list(filePrefix, tenant, after, limit, func(request *jobpb.ListRequest) (listPage, error) {
 		response, err := forward(ctx, s.forwarder, methodListFiles, request)
 		page := listPage{more: response.GetMore()}
 		for _, stored := range response.GetFiles() {
-			files = append(files, fromStored(stored))
+			files = append(files, fileFromProto(stored))
 			page.count, page.last = page.count+1, stored.GetId()
 		}
 		return page, err
@@ -127,7 +128,7 @@
 	return files, err
 }
 
-func fromStored(stored *jobpb.FileStored) File {
+func fileFromProto(stored *jobpb.FileStored) File {
 	return File{
 		ID: stored.GetId(), Tenant: stored.GetTenant(), Name: stored.GetName(), Purpose: stored.GetPurpose(),
 		Bytes: stored.GetBytes(), CreatedAt: fromMicros(stored.GetCreatedAtMicros()),
--- a/internal/job/fx.go
+++ b/internal/job/fx.go
@@ -30,8 +30,9 @@
 	fx.Invoke(registerMethods),
 )
 
-// provideRegistry also ties the dispatcher to the process: partitions that the
-// ledger hasn't stopped are stopped first, since the dispatcher waits for their items.
+// provideRegistry creates the registry and starts and stops the dispatcher with the
+// process. Partitions that the ledger has not stopped are stopped before the dispatcher,
+// which waits for their items.
 func provideRegistry(lifecycle fx.Lifecycle, dispatcher *dispatcher, logger zerolog.Logger) *registry {
 	partitions := newRegistry(dispatcher, logger.With().Str(logging.FieldSlice, sliceName).Logger())
 	lifecycle.Append(fx.Hook{
--- a/internal/job/helpers_test.go
+++ b/internal/job/helpers_test.go
@@ -13,13 +13,16 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-const wholeAnswer = "t0 t1 t2 t3 "
+// completeAnswer is the text of every complete answer of fakeEngine.
+const completeAnswer = "t0 t1 t2 t3 "
 
-// itemLines returns a JSONL input of count items.
+// itemLines returns a JSONL input with count items.
 func itemLines(count int) string {
 	var lines strings.Builder
 	for index := range count {
-		fmt.Fprintf(&lines, `{"custom_id":"item-%d","method":"POST","url":"/v1/chat/completions","body":{"model":"small","messages":[{"role":"user","content":"page %d"}]}}`+"\n", index, index)
+		fmt.Fprintf(&lines,
+			`{"custom_id":"item-%d","method":"POST","url":"/v1/chat/completions","body":{"model":"small","messages":[{"role":"user","content":"page %d"}]}}`+"\n",
+			index, index)
 	}
 	return lines.String()
 }
@@ -31,8 +34,8 @@
 	}
 }
 
-// run runs body on virtual time with a cluster of three nodes.
-func run(t *testing.T, body func(t *testing.T, cluster *testCluster)) {
+// runWithCluster runs body in virtual time (a synctest bubble), with a cluster of three nodes.
+func runWithCluster(t *testing.T, body func(t *testing.T, cluster *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 3)
@@ -41,22 +44,22 @@
 	})
 }
 
-func mustSubmit(t *testing.T, node *testNode, wanted Submission) Status {
+func mustSubmit(t *testing.T, node *testNode, input Submission) Status {
 	t.Helper()
-	status, err := node.service.Submit(t.Context(), wanted)
+	status, err := node.service.Submit(t.Context(), input)
 	if err != nil {
 		t.Fatalf("submit: %v", err)
 	}
 	return status
 }
 
-// finish waits for the end of a job.
-func finish(t *testing.T, node *testNode, id string) Status {
+// waitForEnd polls the status at node until the job has ended, for at most 600 s.
+func waitForEnd(t *testing.T, node *testNode, id string) Status {
 	t.Helper()
-	return finishAt(t, node.service, id)
+	return waitForEndAt(t, node.service, id)
 }
 
-func finishAt(t *testing.T, jobs Service, id string) Status {
+func waitForEndAt(t *testing.T, jobs Service, id string) Status {
 	t.Helper()
 	for range 600 {
 		status, err := jobs.Status(t.Context(), "registry", id)
@@ -72,12 +75,12 @@
 	return Status{}
 }
 
-func results(t *testing.T, node *testNode, id string, from int) []ItemResult {
+func readResults(t *testing.T, node *testNode, id string, from int) []ItemResult {
 	t.Helper()
-	return resultsAt(t, node.service, id, from)
+	return readResultsAt(t, node.service, id, from)
 }
 
-func resultsAt(t *testing.T, jobs Service, id string, from int) []ItemResult {
+func readResultsAt(t *testing.T, jobs Service, id string, from int) []ItemResult {
 	t.Helper()
 	var all []ItemResult
 	err := jobs.Results(t.Context(), "registry", id, from, func(result ItemResult) error {
@@ -90,7 +93,8 @@
 	return all
 }
 
-// checkAnswers checks that each item has the whole answer, once and in order.
+// checkAnswers checks that the results are those of the items from first to total-1, in
+// order, each with the complete answer.
 func checkAnswers(t *testing.T, all []ItemResult, first, total int) {
 	t.Helper()
 	if len(all) != total-first {
@@ -104,7 +108,7 @@
 		if result.Index != first+offset || result.CustomID != fmt.Sprintf("item-%d", result.Index) || result.Status != statusCompleted {
 			t.Fatalf("result %d is %+v", first+offset, result)
 		}
-		if got := body.Choices[0].Message.Content; got != wholeAnswer {
+		if got := body.Choices[0].Message.Content; got != completeAnswer {
 			t.Fatalf("answer of item %d is %q", result.Index, got)
 		}
 	}
--- a/internal/job/identity.go
+++ b/internal/job/identity.go
@@ -14,8 +14,8 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Identifiers of jobs and files carry their partition, so that any node finds the
-// owner without a directory: prefix, partition in hex, "_", rest.
+// Ids of jobs and files contain their partition, so that any node finds the owner
+// without a directory. The format is: prefix, partition in hex, "_", rest.
 const (
 	jobPrefix       = "batch_"
 	filePrefix      = "file-"
@@ -23,27 +23,30 @@
 	digestDigits    = 24
 )
 
-// jobKey is what hashes to a job's partition.
+// jobKey returns the string whose hash selects the partition of a job.
 func jobKey(tenant, clientKey string) string { return tenant + "\x00job\x00" + clientKey }
 
-// idempotencyKey is what hashes to an idempotency key's partition.
+// idempotencyKey returns the string whose hash selects the partition of an idempotency
+// key. It also names the key within its partition.
 func idempotencyKey(tenant, key string) string { return tenant + "\x00key\x00" + key }
 
-// jobID makes the id of the job that tenant names clientKey; it never changes.
+// jobID returns the id of the job with the given client key. It is deterministic, so that
+// a resubmission finds the same job.
 func jobID(partition ledger.PartitionID, tenant, clientKey string) string {
 	digest := sha256.Sum256([]byte(jobKey(tenant, clientKey)))
 	return fmt.Sprintf("%s%04x_%s", jobPrefix, uint32(partition), hex.EncodeToString(digest[:])[:digestDigits])
 }
 
-// newFileID makes the id of a new file in a partition.
-func newFileID(partition ledger.PartitionID, name ulid.ULID) string {
-	return fmt.Sprintf("%s%04x_%s", filePrefix, uint32(partition), strings.ToLower(name.String()))
+// newFileID returns the id of a new file in the partition.
+func newFileID(partition ledger.PartitionID, unique ulid.ULID) string {
+	return fmt.Sprintf("%s%04x_%s", filePrefix, uint32(partition), strings.ToLower(unique.String()))
 }
 
-// newULID returns a unique sortable name.
+// newULID returns a unique identifier that sorts by creation time.
 func newULID() ulid.ULID { return ulid.MustNew(ulid.Now(), rand.Reader) }
 
-// partitionOfID reads the partition out of an id; the error is NotRun/not_found.
+// partitionOfID parses the partition from an id. The error for a malformed id or an
+// unknown partition is NotRun/not_found.
 func partitionOfID(prefix, id string, partitions int) (ledger.PartitionID, error) {
 	rest, found := strings.CutPrefix(id, prefix)
 	if !found || len(rest) <= partitionDigits || rest[partitionDigits] != '_' {
--- a/internal/job/integration_test.go
+++ b/internal/job/integration_test.go
@@ -24,8 +24,8 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// ledgerCluster is nodes with the real ledger over an in-memory network. The first
-// four have a disk.
+// ledgerCluster runs nodes with the real ledger over an in-memory network. The first
+// ledgerStores nodes have a disk.
 type ledgerCluster struct {
 	t        *testing.T
 	network  *memory.Network
@@ -72,9 +72,14 @@
 	if node.transport, err = memory.NewTransport(c.network, address, prometheus.NewRegistry()); err != nil {
 		c.t.Fatal(err)
 	}
-	member := membership.Member{ID: node.id, Zone: fmt.Sprintf("zone-%d", number), PeerAddress: address, State: membership.Alive}
+	member := membership.Member{
+		ID: node.id, Zone: fmt.Sprintf("zone-%d", number), PeerAddress: address, State: membership.Alive,
+	}
 	if number < ledgerStores {
-		node.disk, err = store.Open("/data", store.Options{Files: vfs.NewMem(), Logger: zerolog.Nop(), Free: func() (uint64, error) { return 1 << 40, nil }})
+		node.disk, err = store.Open("/data", store.Options{
+			Files: vfs.NewMem(), Logger: zerolog.Nop(),
+			Free: func() (uint64, error) { return 1 << 40, nil },
+		})
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -83,7 +88,10 @@
 	c.mutex.Lock()
 	c.members = append(c.members, member)
 	c.mutex.Unlock()
-	values := settings.Settings{Node: string(node.id), Ledger: settings.Ledger{Partitions: testPartitions, Replicas: ledgerStores, WriteQuorum: 3}}
+	values := settings.Settings{
+		Node:   string(node.id),
+		Ledger: settings.Ledger{Partitions: testPartitions, Replicas: ledgerStores, WriteQuorum: 3},
+	}
 	values.Limits.BatchConcurrency = 32
 	node.dispatcher = newDispatcher(dispatcherParams{
 		Settings: values, Credits: c.credits, Engines: c.engine, Reporter: fakeReporter{}, Models: fakeConfig{},
@@ -102,7 +110,7 @@
 	return node
 }
 
-// stop ends a node; others may still hold it for alive.
+// stop stops a node without changing its state in the membership view.
 func (n *ledgerNode) stop() {
 	if n.killed {
 		return
@@ -119,7 +127,7 @@
 	}
 }
 
-// kill ends a node, which the others come to know.
+// kill stops a node and marks it as dead in the membership view.
 func (n *ledgerNode) kill() {
 	n.stop()
 	n.cluster.mutex.Lock()
@@ -139,8 +147,9 @@
 
 func (n *ledgerNode) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// TestOwnersKilledMidJob: owners die with items in flight, at most one of them with a
-// disk; every item of both jobs completes once and a marked one runs at most once.
+// TestOwnersKilledMidJob kills owners while items are in flight, at most one of them with a
+// disk. Every item of both jobs must get one result, and an item that is not repeatable must
+// run at most once.
 func TestOwnersKilledMidJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const items = 120
@@ -157,10 +166,10 @@
 			return nil
 		}
 		var ids []string
-		for _, marked := range []bool{false, true} {
-			wanted := submission(fmt.Sprintf("killed-%t", marked), items)
-			wanted.NotRepeatable = marked
-			status, err := cluster.alive().service.Submit(t.Context(), wanted)
+		for _, notRepeatable := range []bool{false, true} {
+			input := submission(fmt.Sprintf("killed-%t", notRepeatable), items)
+			input.NotRepeatable = notRepeatable
+			status, err := cluster.liveNode().service.Submit(t.Context(), input)
 			if err != nil {
 				t.Fatalf("submit: %v", err)
 			}
@@ -180,13 +189,13 @@
 			killed++
 		}
 		for number, id := range ids {
-			ended := finishAt(t, cluster.alive().service, id)
-			all := resultsAt(t, cluster.alive().service, id, 0)
+			ended := waitForEndAt(t, cluster.liveNode().service, id)
+			all := readResultsAt(t, cluster.liveNode().service, id, 0)
 			if len(all) != items || ended.Completed+ended.Failed != items || (number == 0 && ended.Failed > 0) {
 				t.Fatalf("%s ended as %+v with %d results", id, ended, len(all))
 			}
 			for index, result := range all {
-				if result.Index != index || (result.Status == statusCompleted && !strings.Contains(string(result.Body), wholeAnswer+`"`)) {
+				if result.Index != index || (result.Status == statusCompleted && !strings.Contains(string(result.Body), completeAnswer+`"`)) {
 					t.Fatalf("result %d is %+v", index, result)
 				}
 			}
@@ -215,8 +224,8 @@
 	return nil
 }
 
-// alive returns a node that wasn't killed.
-func (c *ledgerCluster) alive() *ledgerNode {
+// liveNode returns a node that was not killed.
+func (c *ledgerCluster) liveNode() *ledgerNode {
 	for _, node := range c.nodes {
 		if !node.killed {
 			return node
--- a/internal/job/item_line.go
+++ b/internal/job/item_line.go
@@ -21,11 +21,12 @@
 	URL      string          `json:"url"`
 	Body     json.RawMessage `json:"body"`
 
-	// generation is what the system reads of Body.
+	// generation is the part of Body that the serving system interprets.
 	generation engine.Generation
 }
 
-// parseItemLine parses and checks a line; a URL, if any, must be the operation.
+// parseItemLine parses and validates a line. A URL, if present, must equal the job's
+// operation.
 func parseItemLine(line []byte, operation engine.Operation) (*itemLine, error) {
 	item := new(itemLine)
 	if err := json.Unmarshal(line, item); err != nil {
@@ -51,9 +52,9 @@
 	return item, nil
 }
 
-// readItem reads the line of an item from the log.
+// readItem reads and parses the input line of an item from the log.
 func (r *jobRun) readItem(index int) (*itemLine, error) {
-	position, within, err := r.layout.locate(index)
+	position, lineNumber, err := r.layout.locate(index)
 	if err != nil {
 		return nil, err
 	}
@@ -61,14 +62,15 @@
 	if err != nil {
 		return nil, err
 	}
-	line, found := nthLine(chunk.GetData(), within)
+	line, found := nthLine(chunk.GetData(), lineNumber)
 	if !found {
-		return nil, fmt.Errorf("chunk at %d has no line %d", position, within)
+		return nil, fmt.Errorf("chunk at %d has no line %d", position, lineNumber)
 	}
 	return parseItemLine(line, r.operation)
 }
 
-// nthLine returns a line of data without its newline.
+// nthLine returns the line with the given zero-based number, without its newline. It
+// returns false if the line is missing or empty.
 func nthLine(data []byte, number int) ([]byte, bool) {
 	for range number {
 		end := bytes.IndexByte(data, '\n')
@@ -81,9 +83,10 @@
 	return line, len(line) > 0
 }
 
-// resolveModel finds what an item's "model" stands for within its job's service: as
-// for online requests, "service/model", "model" or "service" (its first model), each
-// with an optional ":adapter". False means that the service doesn't have it.
+// resolveModel resolves the "model" field of an item within the service of its job. As
+// for online requests, the name is "service/model", "model" or "service" (its first
+// model), each with an optional ":adapter". It returns false if the service does not
+// serve the model or adapter.
 func resolveModel(snapshot *config.Snapshot, serviceName, name string) (model, adapter string, served bool) {
 	service := snapshot.Services[serviceName]
 	if service == nil || len(service.Models) == 0 {
--- a/internal/job/item_progress.go
+++ b/internal/job/item_progress.go
@@ -5,23 +5,24 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// itemProgress is what is known of an item between its runs.
+// itemProgress is the state of an item that carries over from one run to the next.
 type itemProgress struct {
-	// offset tokens of the answer are in text.
+	// offset is the number of answer tokens in text.
 	offset int
 	text   []byte
-	// failures in a row set the wait before the next try; lost counts those of them
-	// whose run may have begun.
+	// failures counts the consecutive failed attempts and determines the backoff. lostRuns
+	// counts those whose run may have started. Both are reset by a new token.
 	failures int
-	lost     int
-	// exclude holds replicas that failed the item.
-	exclude map[string]bool
-	// attach is the recorded call of an item that is not repeatable.
-	attach *jobpb.ItemAttempt
+	lostRuns int
+	// excluded holds the replica that failed the item last; nil if none is excluded.
+	excluded map[string]bool
+	// recordedAttempt is the recorded engine call of an item that is not repeatable.
+	recordedAttempt *jobpb.ItemAttempt
 }
 
-// take adds a chunk; one that was taken before is passed over.
-func (p *itemProgress) take(chunk engine.Chunk) error {
+// addChunk appends a chunk of the answer. It ignores a chunk received before, and returns
+// an error if tokens are missing in front of it.
+func (p *itemProgress) addChunk(chunk engine.Chunk) error {
 	if chunk.Tokens == 0 && chunk.Text == "" {
 		return nil
 	}
@@ -29,7 +30,7 @@
 	case chunk.Offset == p.offset:
 		p.offset += chunk.Tokens
 		p.text = append(p.text, chunk.Text...)
-		p.lost, p.failures = 0, 0
+		p.lostRuns, p.failures = 0, 0
 		return nil
 	case chunk.Offset+chunk.Tokens <= p.offset:
 		return nil
@@ -38,10 +39,10 @@
 	}
 }
 
-// errFinished ends consume with the whole answer.
-type errFinished struct {
+// finishedError is returned by consume at the end of an answer, with the finish reason.
+type finishedError struct {
 	reason string
 	usage  *engine.Usage
 }
 
-func (e *errFinished) Error() string { return "finished: " + e.reason }
+func (e *finishedError) Error() string { return "finished: " + e.reason }
--- a/internal/job/item_record.go
+++ b/internal/job/item_record.go
@@ -9,26 +9,27 @@
 	"github.com/sloelift/sloelift/internal/pause"
 )
 
-// complete records the whole answer.
-func (r *itemRun) complete(finished *errFinished) *itemProgress {
+// recordCompleted records the complete answer.
+func (r *itemRun) recordCompleted(finished *finishedError) *itemProgress {
 	body := completionBody(r.job.operation, r.itemName(), r.line.generation.Model, r.progress, finished)
-	return r.record(&jobpb.ItemResult{
-		Index: uint32(r.key.index), CustomId: r.line.CustomID, Outcome: string(outcome.Completed), Status: statusCompleted, Body: body,
+	return r.recordResult(&jobpb.ItemResult{
+		Index: uint32(r.key.index), CustomId: r.line.CustomID,
+		Outcome: string(outcome.Completed), Status: statusCompleted, Body: body,
 	})
 }
 
-// fail records a result without an answer.
-func (r *itemRun) fail(result outcome.Outcome, status int32, reason outcome.Reason, cause error) *itemProgress {
-	return r.record(&jobpb.ItemResult{
+// recordFailure records an error as the result of the item.
+func (r *itemRun) recordFailure(result outcome.Outcome, status int32, reason outcome.Reason, cause error) *itemProgress {
+	return r.recordResult(&jobpb.ItemResult{
 		Index: uint32(r.key.index), CustomId: r.line.CustomID, Outcome: string(result), Status: status,
 		Body: errorBody(reason, cause),
 	})
 }
 
-// record gives the credit back and makes the result durable. While the ledger takes
-// nothing it keeps trying, because the work is done. A result of a job that has ended
-// is dropped.
-func (r *itemRun) record(result *jobpb.ItemResult) *itemProgress {
+// recordResult releases the credit and makes the result durable. It retries while the
+// ledger refuses the record, because the item has already run. A result is dropped if its
+// job has ended.
+func (r *itemRun) recordResult(result *jobpb.ItemResult) *itemProgress {
 	if r.release != nil {
 		r.release()
 	}
@@ -39,14 +40,14 @@
 	record := encodeRecord(ledger.KindItemCompleted, &jobpb.ItemCompleted{
 		JobId: r.job.id, Index: result.GetIndex(), Result: result, RecordedAtMicros: micros(time.Now()),
 	})
-	wait := newBackOff()
+	retryBackoff := newBackoff()
 	for {
 		err := r.job.partition.propose(r.job.ctx, record)
 		if err == nil {
 			r.dispatcher.metrics.itemsCompleted.WithLabelValues(result.GetOutcome()).Inc()
 			return nil
 		}
-		if outcome.As(err).Outcome != outcome.NotRun || !pause.Sleep(r.job.ctx, wait.NextBackOff()) {
+		if outcome.As(err).Outcome != outcome.NotRun || !pause.Sleep(r.job.ctx, retryBackoff.NextBackOff()) {
 			return nil
 		}
 		r.logger().Err(err).Msg("result_not_recorded")
--- a/internal/job/item_result.go
+++ b/internal/job/item_result.go
@@ -50,8 +50,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// completionBody assembles the body that one unstreamed call would have given.
-func completionBody(operation engine.Operation, id, model string, progress *itemProgress, finished *errFinished) []byte {
+// completionBody returns the body that a non-streaming call would have returned.
+func completionBody(operation engine.Operation, id, model string, progress *itemProgress, finished *finishedError) []byte {
 	body := completion{ID: id, Created: time.Now().Unix(), Model: model}
 	text := string(progress.text)
 	choice := completionChoice{FinishReason: finished.reason}
@@ -72,7 +72,7 @@
 	return mustEncode(body)
 }
 
-// errorEnvelope is the OpenAI form of an error.
+// errorEnvelope is an error in the OpenAI format.
 type errorEnvelope struct {
 	Error errorDetail `json:"error"`
 }
@@ -91,7 +91,7 @@
 	return mustEncode(errorEnvelope{errorDetail{Message: message, Type: string(reason), Code: string(reason)}})
 }
 
-// mustEncode encodes a value of this file's types, which always can be.
+// mustEncode encodes a value of one of this file's types as JSON, which cannot fail.
 func mustEncode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/job/item_run.go
+++ b/internal/job/item_run.go
@@ -19,48 +19,52 @@
 )
 
 const (
-	// cancelTimeout bounds the cancel of a run at its engine.
+	// cancelTimeout bounds the call that cancels a run at its engine.
 	cancelTimeout = 2 * time.Second
-	// attachWindow is how long an engine keeps the output of a run that ended; a
-	// lost run that can't be reached for as long is given up.
+	// attachWindow is how long an engine retains the output of a finished run. An item
+	// gets an indeterminate result if its run yields no new token for as long.
 	attachWindow = 60 * time.Second
-	// excludeTimeout is how long an item waits for another replica than the one that failed it.
+	// excludeTimeout is how long an item waits for a credit on a replica other than the one
+	// that failed it.
 	excludeTimeout = 3 * time.Second
-	// maxResultBytes bounds the body of a result; custom_id, at most a line, stands beside it.
+	// maxResultBytes bounds the body of a result, so that the record has room for the
+	// custom_id (up to one input line) and the other fields.
 	maxResultBytes = ledger.MaxRecordBytes - maxLineBytes - 4096
-	// maxLostRuns bounds the runs of one repeatable item that end without an answer
-	// or any new token, before the item fails.
+	// maxLostRuns bounds the consecutive runs of a repeatable item that are lost without
+	// any new token. The item fails after one more.
 	maxLostRuns = 16
 )
 
 var (
-	// errCreditRevoked is the cause of a stream's end when its credit is taken back.
+	// errCreditRevoked is the cancel cause of a stream whose credit was revoked.
 	errCreditRevoked = errors.New("the credit was revoked")
-	// errNotCalled: the job had ended, so that the engine was not called.
+	// errNotCalled means that the engine was not called because the job had ended.
 	errNotCalled = errors.New("the engine was not called")
-	// errNotConfirmed: ownership was not proved, so that the engine was not called.
-	errNotConfirmed = errors.New("ownership was not confirmed")
+	// errNoDispatchLease means that the engine was not called because the dispatch lease
+	// could not be renewed.
+	errNoDispatchLease = errors.New("ownership was not confirmed")
 )
 
-// itemRun is one try of one item, on its own goroutine.
+// itemRun is one attempt to run an item, on a goroutine of its own.
 type itemRun struct {
 	dispatcher *dispatcher
 	job        *jobRun
-	key        flightKey
+	key        itemKey
 	progress   *itemProgress
-	// wait ends when the job ends here or the core gives the wait up.
-	wait context.Context
-	line *itemLine
-	// model and adapter are what the line's model stands for now.
+	// waitContext ends when the job ends on this node or the core cancels the wait for a
+	// credit.
+	waitContext context.Context
+	line        *itemLine
+	// model and adapter are resolved from the line's model by the current configuration.
 	model, adapter string
-	// release gives the credit back, at the first call; nil where there is none.
+	// release releases the credit once; nil if there is none.
 	release func()
 }
 
-// run returns nil once the item has its result or its job has ended here, or what
-// is known of it if it has to go back to the queue.
+// run returns nil if the item has its result or its job has ended on this node, and the
+// progress of the item if it has to be requeued.
 func (r *itemRun) run() *itemProgress {
-	if !r.backOff() {
+	if !r.waitBackoff() {
 		return r.requeueUnlessEnded()
 	}
 	line, err := r.job.readItem(r.key.index)
@@ -69,13 +73,13 @@
 	}
 	r.line = line
 	r.model, r.adapter, _ = resolveModel(r.dispatcher.models.Current(), r.job.service, line.generation.Model)
-	if r.progress.attach != nil {
+	if r.progress.recordedAttempt != nil {
 		r.dispatcher.send(itemGranted{r.key})
-		return r.attach()
+		return r.attachToRun()
 	}
 	credit, err := r.acquire()
 	if err != nil {
-		if r.wait.Err() != nil {
+		if r.waitContext.Err() != nil {
 			return r.requeueUnlessEnded()
 		}
 		return r.retryLater(err, "credit_not_granted")
@@ -93,7 +97,8 @@
 	return r.progress
 }
 
-// retryLater puts the item back after a failure that is sure not to have run it.
+// retryLater counts and logs a failed attempt and returns the progress, so that the item
+// is requeued. It returns nil if the job has ended on this node.
 func (r *itemRun) retryLater(err error, event string) *itemProgress {
 	if r.job.ctx.Err() != nil {
 		return nil
@@ -103,12 +108,13 @@
 	return r.progress
 }
 
-// backOff waits by the number of failures in a row; false if the wait was given up.
-func (r *itemRun) backOff() bool {
+// waitBackoff waits according to the number of consecutive failures. It returns false if
+// the wait was cancelled.
+func (r *itemRun) waitBackoff() bool {
 	if r.progress.failures == 0 {
 		return true
 	}
-	policy := newBackOff()
+	policy := newBackoff()
 	wait := policy.NextBackOff()
 	for range min(r.progress.failures-1, 10) {
 		wait = policy.NextBackOff()
@@ -118,25 +124,25 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-r.wait.Done():
+	case <-r.waitContext.Done():
 		return false
 	}
 }
 
-// acquire waits for a credit. A replica that failed the item is kept out for a while
-// only, because there may be no other.
+// acquire waits for a credit. The replica that failed the item is excluded for at most
+// excludeTimeout, because there may be no other.
 func (r *itemRun) acquire() (*admission.Credit, error) {
-	if r.progress.exclude == nil {
-		return r.dispatcher.credits.Acquire(r.wait, r.creditRequest())
+	if r.progress.excluded == nil {
+		return r.dispatcher.credits.Acquire(r.waitContext, r.creditRequest())
 	}
-	ctx, cancel := context.WithTimeout(r.wait, excludeTimeout)
+	ctx, cancel := context.WithTimeout(r.waitContext, excludeTimeout)
 	defer cancel()
 	credit, err := r.dispatcher.credits.Acquire(ctx, r.creditRequest())
-	if err == nil || r.wait.Err() != nil {
+	if err == nil || r.waitContext.Err() != nil {
 		return credit, err
 	}
-	r.progress.exclude = nil
-	return r.dispatcher.credits.Acquire(r.wait, r.creditRequest())
+	r.progress.excluded = nil
+	return r.dispatcher.credits.Acquire(r.waitContext, r.creditRequest())
 }
 
 func (r *itemRun) creditRequest() admission.BatchRequest {
@@ -145,17 +151,18 @@
 		Routing: routing.Request{
 			ID: r.itemName(), Service: r.job.service, Model: r.model, Adapter: r.adapter,
 			PrefixBlocks: engine.PrefixBlocks(r.model, r.adapter, generation.Prompt),
-			PromptBytes:  len(generation.Prompt), MaxTokens: generation.MaxTokens, Batch: true, Exclude: r.progress.exclude,
+			PromptBytes:  len(generation.Prompt), MaxTokens: generation.MaxTokens,
+			Batch: true, Exclude: r.progress.excluded,
 		},
 		Tenant: r.job.tenant, Rank: r.job.rank, Deadline: r.key.job.deadline,
 	}
 }
 
-// itemName is the request id of an item that is not repeatable.
+// itemName identifies the item. It is the request id of an item that is not repeatable.
 func (r *itemRun) itemName() string { return fmt.Sprintf("%s:%d", r.job.id, r.key.index) }
 
-// requestID is unique for each run of a repeatable item, so that a run which was
-// cancelled on a replica is never attached to.
+// requestID returns the request id of a new run. For a repeatable item it is unique, so
+// that a replica never attaches the request to an earlier, cancelled run.
 func (r *itemRun) requestID() string {
 	if r.job.notRepeatable {
 		return r.itemName()
@@ -165,43 +172,43 @@
 
 // generate runs the item on the replica of its credit.
 func (r *itemRun) generate(credit *admission.Credit) *itemProgress {
-	to := credit.Decision.Endpoint
+	endpoint := credit.Decision.Endpoint
 	if r.job.notRepeatable {
-		return r.generateMarked(to)
+		return r.generateNotRepeatable(endpoint)
 	}
 	requestID := r.requestID()
 	streamContext, cancel := context.WithCancelCause(r.job.ctx)
 	defer cancel(nil)
 	go cancelOnRevoke(streamContext, credit.Revoked, cancel)
-	stream, err := r.open(streamContext, to, requestID, false)
+	stream, err := r.open(streamContext, endpoint, requestID, false)
 	if err == nil {
 		err = r.consume(stream)
 	}
-	return r.conclude(streamContext, to, requestID, err)
+	return r.handleRunEnd(streamContext, endpoint, requestID, err)
 }
 
-// generateMarked records the attempt before it calls the engine. The run keeps going when
-// the credit is taken back; the engine's priority still holds.
-func (r *itemRun) generateMarked(to engine.Endpoint) *itemProgress {
+// generateNotRepeatable records the attempt before it calls the engine. The run continues
+// when the credit is revoked; the engine still applies the priority of the request.
+func (r *itemRun) generateNotRepeatable(endpoint engine.Endpoint) *itemProgress {
 	requestID := r.requestID()
 	if !r.job.partition.attempts.begin() {
 		// The next owner runs the item.
 		return nil
 	}
-	if err := r.job.partition.propose(r.job.ctx, r.job.attemptRecord(r.key.index, requestID, to)); err != nil {
+	if err := r.job.partition.propose(r.job.ctx, r.job.attemptRecord(r.key.index, requestID, endpoint)); err != nil {
 		r.job.partition.attempts.finish()
 		return r.retryLater(err, "attempt_not_recorded")
 	}
-	stream, err := r.open(r.job.ctx, to, requestID, false)
-	if isNotRun(err) || errors.Is(err, errNotConfirmed) {
-		// Best effort: a next owner that finds the attempt would ask for its run in vain.
-		_ = r.job.partition.propose(r.job.ctx, r.job.voidRecord(r.key.index))
+	stream, err := r.open(r.job.ctx, endpoint, requestID, false)
+	if isNotRun(err) || errors.Is(err, errNoDispatchLease) {
+		// Best effort: without this record, a new owner would try to attach to a run that does not exist.
+		_ = r.job.partition.propose(r.job.ctx, r.job.voidAttemptRecord(r.key.index))
 	}
 	r.job.partition.attempts.finish()
 	if err == nil {
 		err = r.consume(stream)
 	}
-	return r.conclude(r.job.ctx, to, requestID, err)
+	return r.handleRunEnd(r.job.ctx, endpoint, requestID, err)
 }
 
 func cancelOnRevoke(ctx context.Context, revoked <-chan struct{}, cancel context.CancelCauseFunc) {
@@ -213,23 +220,26 @@
 }
 
 // open calls the engine, unless the job has ended.
-func (r *itemRun) open(ctx context.Context, to engine.Endpoint, requestID string, attachOnly bool) (engine.Stream, error) {
+func (r *itemRun) open(
+	ctx context.Context, endpoint engine.Endpoint, requestID string, attachOnly bool,
+) (engine.Stream, error) {
 	if !r.job.calls.begin() {
 		return nil, errNotCalled
 	}
 	defer r.job.calls.finish()
-	if err := r.job.partition.confirmOwnership(r.job.ctx); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotConfirmed, err)
+	if err := r.job.partition.ensureLease(r.job.ctx); err != nil {
+		return nil, fmt.Errorf("%w: %w", errNoDispatchLease, err)
 	}
 	r.dispatcher.metrics.engineCalls.Inc()
-	return r.dispatcher.engines.Generate(ctx, to, engine.Request{
+	return r.dispatcher.engines.Generate(ctx, endpoint, engine.Request{
 		ID: requestID, Operation: r.job.operation, Body: r.line.Body,
-		Model: engine.JoinModel(r.model, r.adapter), Priority: r.job.rank, Offset: r.progress.offset, Prior: string(r.progress.text), AttachOnly: attachOnly,
+		Model: engine.JoinModel(r.model, r.adapter), Priority: r.job.rank,
+		Offset: r.progress.offset, Prior: string(r.progress.text), AttachOnly: attachOnly,
 	})
 }
 
-// consume reads the stream into the progress, each token once; it always returns an
-// error, *errFinished at the end of the answer.
+// consume adds the chunks of the stream to the progress, each token once. It always
+// returns an error; at the end of the answer this is a *finishedError.
 func (r *itemRun) consume(stream engine.Stream) error {
 	defer func() { _ = stream.Close() }()
 	for {
@@ -240,16 +250,16 @@
 		if err != nil {
 			return err
 		}
-		if err := r.progress.take(chunk); err != nil {
+		if err := r.progress.addChunk(chunk); err != nil {
 			return err
 		}
 		if chunk.FinishReason != "" {
-			return &errFinished{chunk.FinishReason, chunk.Usage}
+			return &finishedError{chunk.FinishReason, chunk.Usage}
 		}
 	}
 }
 
-// logger returns a warning of this item.
+// logger returns a warning event with the fields of this item.
 func (r *itemRun) logger() *zerolog.Event {
 	return r.dispatcher.logger.Warn().Str(logging.FieldJob, r.job.id).Int("item", r.key.index)
 }
--- a/internal/job/item_run_test.go
+++ b/internal/job/item_run_test.go
@@ -14,42 +14,46 @@
 	"github.com/sloelift/sloelift/internal/pause"
 )
 
+// TestRevokedMarkedItemKeepsItsRun checks that the run of an item that is not repeatable
+// continues when its credit is revoked.
 func TestRevokedMarkedItemKeepsItsRun(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error {
 			pause.Sleep(ctx, time.Second)
 			return nil
 		}
-		wanted := submission("revoked and marked", 10)
-		wanted.NotRepeatable = true
-		status := mustSubmit(t, cluster.nodes[0], wanted)
+		input := submission("revoked and marked", 10)
+		input.NotRepeatable = true
+		status := mustSubmit(t, cluster.nodes[0], input)
 		synctest.Wait()
 		cluster.credits.revokeAll()
-		finish(t, cluster.nodes[0], status.ID)
-		checkAnswers(t, results(t, cluster.nodes[0], status.ID, 0), 0, 10)
+		waitForEnd(t, cluster.nodes[0], status.ID)
+		checkAnswers(t, readResults(t, cluster.nodes[0], status.ID, 0), 0, 10)
 		if total, _ := cluster.engine.starts(); total != 10 || cluster.engine.cancels != 0 {
 			t.Fatalf("%d runs, %d cancelled", total, cluster.engine.cancels)
 		}
 	})
 }
 
+// TestRevokedItemGoesOnBehindItsTokens checks that a repeatable item whose credit is revoked
+// is cancelled and resumes after the tokens received so far.
 func TestRevokedItemGoesOnBehindItsTokens(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		var offsets sync.Map
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, request engine.Request, token int) error {
 			if request.Offset > 0 {
-				offsets.Store(itemOf(request.ID), request.Prior)
+				offsets.Store(itemOfRequest(request.ID), request.Prior)
 			}
 			if token == 2 && request.Offset == 0 {
-				return waitUntil(ctx)
+				return blockUntilDone(ctx)
 			}
 			return nil
 		}
 		status := mustSubmit(t, cluster.nodes[0], submission("revoked", 10))
 		synctest.Wait()
 		cluster.credits.revokeAll()
-		finish(t, cluster.nodes[0], status.ID)
-		checkAnswers(t, results(t, cluster.nodes[0], status.ID, 0), 0, 10)
+		waitForEnd(t, cluster.nodes[0], status.ID)
+		checkAnswers(t, readResults(t, cluster.nodes[0], status.ID, 0), 0, 10)
 		count := 0
 		offsets.Range(func(_, prior any) bool {
 			count++
@@ -65,13 +69,13 @@
 }
 
 func TestEngineErrors(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		var mutex sync.Mutex
 		calls := make(map[string]int)
 		cluster.engine.onCall = func(_ context.Context, _ engine.Endpoint, request engine.Request) error {
 			mutex.Lock()
 			defer mutex.Unlock()
-			item := itemOf(request.ID)
+			item := itemOfRequest(request.ID)
 			calls[item]++
 			switch {
 			case strings.HasSuffix(item, ":0"):
@@ -86,9 +90,9 @@
 			return nil
 		}
 		status := mustSubmit(t, cluster.nodes[0], submission("errors", 5))
-		finish(t, cluster.nodes[0], status.ID)
+		waitForEnd(t, cluster.nodes[0], status.ID)
 		got := map[int]int{}
-		for _, result := range results(t, cluster.nodes[0], status.ID, 0) {
+		for _, result := range readResults(t, cluster.nodes[0], status.ID, 0) {
 			got[result.Index] = result.Status
 		}
 		if diff := cmp.Diff(map[int]int{0: 400, 1: 200, 2: 200, 3: 502, 4: 200}, got); diff != "" {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -9,20 +9,24 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// Submission is a batch job as a caller gives it.
+// Submission is a batch job as submitted by a caller.
 type Submission struct {
 	Tenant string
-	// ClientKey names the job for its tenant: the same key and content give the same
-	// job; other content is an *outcome.Error with ReasonConflict.
-	ClientKey     string
-	Service       string
-	Priority      string
-	Rank          int
-	Operation     engine.Operation
-	Deadline      time.Duration
-	Retention     time.Duration
+	// ClientKey identifies the job within its tenant. Submitting the same key and content
+	// again returns the existing job; different content fails with an *outcome.Error with
+	// ReasonConflict.
+	ClientKey string
+	Service   string
+	Priority  string
+	Rank      int
+	Operation engine.Operation
+	// Deadline counts from acceptance; 0 means none.
+	Deadline time.Duration
+	// Retention counts from the end of the job; 0 means 7 days.
+	Retention time.Duration
+	// NotRepeatable means that an item must not run on an engine more than once.
 	NotRepeatable bool
-	// Metadata is the caller's own, returned unchanged.
+	// Metadata is opaque and returned unchanged.
 	Metadata map[string]string
 	// Items streams the JSONL input; it is read once.
 	Items io.Reader
@@ -37,11 +41,11 @@
 	PhaseRunning   Phase = "running"
 	PhaseCompleted Phase = "completed"
 	PhaseCancelled Phase = "cancelled"
-	// PhaseExpired: the retention is over; counts remain, results are gone.
+	// PhaseExpired means that the retention has passed: the counts remain, the results are gone.
 	PhaseExpired Phase = "expired"
 )
 
-// Status tells how far a job is.
+// Status is the state and progress of a job.
 type Status struct {
 	ID         string
 	Tenant     string
@@ -54,15 +58,15 @@
 	AcceptedAt time.Time
 	Deadline   time.Time
 	EndedAt    time.Time
-	// Failed counts indeterminate items too; at the end Completed + Failed = Total.
+	// Failed includes indeterminate items. For a completed job, Completed + Failed = Total.
 	Total     int
 	Completed int
 	Failed    int
-	// AtRisk says that the job will not make its deadline at its present rate.
+	// AtRisk reports whether the job would miss its deadline at its current rate.
 	AtRisk bool
 }
 
-// ItemResult is one completed item.
+// ItemResult is the result of one item.
 type ItemResult struct {
 	Index    int             `json:"index"`
 	CustomID string          `json:"custom_id"`
@@ -71,16 +75,20 @@
 	Body     json.RawMessage `json:"body"`
 }
 
-// Service is the batch interface of any node; it finds the owner of a job's
-// partition. Errors are *outcome.Error. It is safe for concurrent use.
+// Service submits and manages batch jobs. It works on any node and forwards requests to
+// the owner of the job's partition. Errors are *outcome.Error. It is safe for concurrent
+// use.
 type Service interface {
 	// Submit returns once the job and all its items are durable.
 	Submit(ctx context.Context, submission Submission) (Status, error)
 	Status(ctx context.Context, tenant, id string) (Status, error)
+	// List returns up to limit jobs of the tenant with ids greater than after, by id. A
+	// limit of 0 means the maximum, 1000.
 	List(ctx context.Context, tenant string, after string, limit int) ([]Status, error)
-	// Cancel returns once the cancel is durable; nothing new is dispatched after that.
+	// Cancel returns once the cancel is durable; no item of the job is dispatched after that.
 	Cancel(ctx context.Context, tenant, id string) (Status, error)
-	// Results streams the completed items' results from the given index, in item order.
+	// Results passes the recorded results to yield, starting at item index from, in item
+	// order. An error of yield ends it and is returned.
 	Results(ctx context.Context, tenant, id string, from int, yield func(ItemResult) error) error
 }
 
@@ -94,14 +102,16 @@
 	CreatedAt time.Time
 }
 
-// FileStore keeps uploaded files durably until they are deleted or expire. Errors
-// are *outcome.Error. It is safe for concurrent use.
+// FileStore stores uploaded files durably until they are deleted or expire. Errors are
+// *outcome.Error. It is safe for concurrent use.
 type FileStore interface {
 	// Put returns once the whole content is durable.
 	Put(ctx context.Context, tenant, name, purpose string, content io.Reader) (File, error)
 	Get(ctx context.Context, tenant, id string) (File, error)
-	// Read streams the content.
-	Read(ctx context.Context, tenant, id string, to io.Writer) error
+	// Read writes the content to the given writer.
+	Read(ctx context.Context, tenant, id string, writer io.Writer) error
 	Delete(ctx context.Context, tenant, id string) error
+	// List returns up to limit files of the tenant with ids greater than after, by id. A
+	// limit of 0 means the maximum, 1000.
 	List(ctx context.Context, tenant string, after string, limit int) ([]File, error)
 }
--- a/internal/job/job_run.go
+++ b/internal/job/job_run.go
@@ -15,18 +15,19 @@
 	"github.com/sloelift/sloelift/internal/ledger"
 )
 
-// Causes of the end of a job's run on this node.
+// Cancel causes of the context of a job's run on this node.
 var (
 	errJobEnded      = errors.New("the job has ended")
 	errJobCancelled  = errors.New("the job was cancelled")
 	errPartitionLost = errors.New("the partition was lost")
 )
 
-// noDeadline stands for the deadline of a job that names none.
-const noDeadline = 365 * 24 * time.Hour
+// implicitDeadline is the time after acceptance that orders a job without a deadline.
+const implicitDeadline = 365 * 24 * time.Hour
 
-// jobRun is a live job at its owner: what the dispatch of its items needs. Its
-// fields don't change after it was made, except those with a lock of their own.
+// jobRun is a live job at its owner, with all that running its items needs. Its fields do
+// not change after creation, except calls and completed, which are safe for concurrent use,
+// and rate and atRisk. What dispatch points to is updated by the dispatcher's loop.
 type jobRun struct {
 	id            string
 	partition     *partition
@@ -36,19 +37,19 @@
 	operation     engine.Operation
 	notRepeatable bool
 	layout        chunkLayout
-	dispatched    *dispatchJob
+	dispatch      *dispatchJob
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	calls  callTracker
-	// completed counts the results since the run began.
+	// completed counts the results recorded since the run began.
 	completed atomic.Int64
-	// rate and atRisk belong to the partition's loop.
+	// rate and atRisk are used only by the partition's loop goroutine.
 	rate   rateMeter
 	atRisk bool
 }
 
-// newJobRun copies what it needs of the state, which goes on changing.
+// newJobRun copies what it needs from the state, which keeps changing.
 func newJobRun(owner *partition, job *jobState) *jobRun {
 	accepted := job.accepted
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -59,39 +60,43 @@
 		layout:        newChunkLayout(accepted.GetChunkPositions(), accepted.GetChunkItems()),
 		ctx:           ctx, cancel: cancel,
 	}
-	run.dispatched = &dispatchJob{
+	run.dispatch = &dispatchJob{
 		id: run.id, service: run.service, rank: run.rank, deadline: deadlineOf(accepted),
-		total: len(job.entries), done: newBitmap(len(job.entries)), run: run,
+		total: len(job.entries), skip: newBitmap(len(job.entries)), run: run,
 	}
 	for index, entry := range job.entries {
 		if entry.class() != classOpen {
-			run.dispatched.done.set(index)
+			run.dispatch.skip.set(index)
 		}
 	}
 	for index, attempt := range job.attempts {
-		run.dispatched.done.set(int(index))
-		run.dispatched.requeued = append(run.dispatched.requeued, requeuedItem{int(index), &itemProgress{attach: attempt}})
+		run.dispatch.skip.set(int(index))
+		run.dispatch.requeued = append(run.dispatch.requeued,
+			requeuedItem{int(index), &itemProgress{recordedAttempt: attempt}})
 	}
 	return run
 }
 
-// deadlineOf returns the deadline that orders the job; one without goes last.
+// deadlineOf returns the deadline by which the job is ordered. A job without one goes
+// behind those with a deadline within implicitDeadline.
 func deadlineOf(accepted *jobpb.JobAccepted) time.Time {
 	if accepted.GetDeadlineMicros() == 0 {
-		return fromMicros(accepted.GetAcceptedAtMicros()).Add(noDeadline)
+		return fromMicros(accepted.GetAcceptedAtMicros()).Add(implicitDeadline)
 	}
 	return fromMicros(accepted.GetDeadlineMicros())
 }
 
-// end stops the run: nothing is started after it returns.
+// end stops the run at once and cancels its context: no engine call begins after it returns.
 func (r *jobRun) end(cause error) {
 	r.calls.close()
 	r.cancel(cause)
 	r.partition.dispatcher.remove(r)
 }
 
-// endAfterCalls ends the run once its calls have reached the engines, so that none is cut off whose request an engine
-// may still read after the end was acknowledged; at the latest after drainTimeout. Nothing is started after it returns.
+// endAfterCalls stops the run, but cancels its context only once the pending calls have
+// reached the engines, or after drainTimeout: an engine might still read the request of an
+// interrupted call after the end of the job was acknowledged. No engine call begins after
+// it returns.
 func (r *jobRun) endAfterCalls(cause error) {
 	r.calls.close()
 	r.partition.dispatcher.remove(r)
@@ -103,10 +108,10 @@
 	})
 }
 
-// chunkLayout finds the chunk of an item.
+// chunkLayout maps an item index to the chunk that holds its input line.
 type chunkLayout struct {
 	positions []ledger.Position
-	// ends holds, for each chunk, the index behind its last item.
+	// ends holds, for each chunk, the index of the first item after it.
 	ends []uint32
 }
 
@@ -121,7 +126,7 @@
 	return layout
 }
 
-// locate returns the position of the item's chunk and its place within.
+// locate returns the position of the item's chunk and the number of the item's line in it.
 func (l chunkLayout) locate(index int) (ledger.Position, int, error) {
 	chunk := sort.Search(len(l.ends), func(i int) bool { return l.ends[i] > uint32(index) })
 	if chunk == len(l.ends) {
@@ -134,16 +139,17 @@
 	return l.positions[chunk], index - first, nil
 }
 
-// callTracker counts the calls that are about to reach an engine, so that a cancel
-// is answered only when none can start any more. It is safe for concurrent use.
+// callTracker counts the calls that have not reached their engine yet, so that a cancel
+// is acknowledged only when no further call can start. It is safe for concurrent use.
 type callTracker struct {
 	mutex   sync.Mutex
 	closed  bool
 	calls   int
-	drained []chan struct{}
+	waiters []chan struct{}
 }
 
-// begin announces a call; false means that none may be made.
+// begin registers a call. It returns false if the tracker is closed; then the call must
+// not be made.
 func (t *callTracker) begin() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -154,26 +160,27 @@
 	return true
 }
 
-// finish says that the call has reached the engine or has failed.
+// finish reports that the call has reached the engine or has failed.
 func (t *callTracker) finish() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.calls--
 	if t.calls == 0 {
-		for _, waiter := range t.drained {
+		for _, waiter := range t.waiters {
 			close(waiter)
 		}
-		t.drained = nil
+		t.waiters = nil
 	}
 }
 
+// close makes all later calls of begin return false.
 func (t *callTracker) close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.closed = true
 }
 
-// wait waits until all calls that have begun are finished, or ctx ends.
+// wait blocks until all registered calls are finished or ctx ends.
 func (t *callTracker) wait(ctx context.Context) {
 	t.mutex.Lock()
 	if t.calls == 0 {
@@ -181,7 +188,7 @@
 		return
 	}
 	drained := make(chan struct{})
-	t.drained = append(slices.Clip(t.drained), drained)
+	t.waiters = append(slices.Clip(t.waiters), drained)
 	t.mutex.Unlock()
 	select {
 	case <-drained:
@@ -189,14 +196,17 @@
 	}
 }
 
-// voidRecord is the record that the last attempt of an item is known not to have run.
-func (r *jobRun) voidRecord(index int) ledger.Record {
+// voidAttemptRecord returns the record that voids the last attempt of an item, which is
+// known not to have run.
+func (r *jobRun) voidAttemptRecord(index int) ledger.Record {
 	return encodeRecord(ledger.KindItemAttempt, &jobpb.ItemAttempt{JobId: r.id, Index: uint32(index)})
 }
 
-// attemptRecord is the record of a call to come for an item that is not repeatable.
-func (r *jobRun) attemptRecord(index int, requestID string, to engine.Endpoint) ledger.Record {
+// attemptRecord returns the record that is written before the engine call of an item that
+// is not repeatable.
+func (r *jobRun) attemptRecord(index int, requestID string, endpoint engine.Endpoint) ledger.Record {
 	return encodeRecord(ledger.KindItemAttempt, &jobpb.ItemAttempt{
-		JobId: r.id, Index: uint32(index), RequestId: requestID, Replica: to.Replica, Address: to.Address.String(),
+		JobId: r.id, Index: uint32(index), RequestId: requestID,
+		Replica: endpoint.Replica, Address: endpoint.Address.String(),
 	})
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestJobCompletesAndResendGivesTheSameJob(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		const items = 3000 // several chunks
 		status := mustSubmit(t, cluster.nodes[0], submission("night", items))
 		again := mustSubmit(t, cluster.nodes[1], submission("night", items))
@@ -26,28 +26,29 @@
 		}
 		_, err := cluster.nodes[2].service.Submit(t.Context(), submission("night", items-1))
 		wantReason(t, err, outcome.ReasonConflict)
-		ended := finish(t, cluster.nodes[2], status.ID)
+		ended := waitForEnd(t, cluster.nodes[2], status.ID)
 		if ended.Phase != PhaseCompleted || ended.Completed != items || ended.Failed != 0 {
 			t.Fatalf("ended as %+v", ended)
 		}
-		checkAnswers(t, results(t, cluster.nodes[1], status.ID, 0), 0, items)
-		checkAnswers(t, results(t, cluster.nodes[2], status.ID, 2900), 2900, items)
-		if total, most := cluster.engine.starts(); total != items || most != 1 {
-			t.Fatalf("%d runs, at most %d of one item", total, most)
+		checkAnswers(t, readResults(t, cluster.nodes[1], status.ID, 0), 0, items)
+		checkAnswers(t, readResults(t, cluster.nodes[2], status.ID, 2900), 2900, items)
+		if total, maxPerItem := cluster.engine.starts(); total != items || maxPerItem != 1 {
+			t.Fatalf("%d runs, at most %d of one item", total, maxPerItem)
 		}
 	})
 }
 
 func TestSubmitRefusesBadInput(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		for name, items := range map[string]string{
-			"empty": "", "no JSON": "page", "no id": `{"body":{}}`, "no body": `{"custom_id":"a"}`, "other model": `{"custom_id":"a","body":{"model":"big","messages":[{"role":"user","content":"x"}]}}`,
-			"other url": `{"custom_id":"a","url":"/v1/embeddings","body":{}}`,
-			"twice":     itemLines(1) + itemLines(1),
+			"empty": "", "no JSON": "page", "no id": `{"body":{}}`, "no body": `{"custom_id":"a"}`,
+			"other model": `{"custom_id":"a","body":{"model":"big","messages":[{"role":"user","content":"x"}]}}`,
+			"other url":   `{"custom_id":"a","url":"/v1/embeddings","body":{}}`,
+			"twice":       itemLines(1) + itemLines(1),
 		} {
-			wanted := submission("bad "+name, 0)
-			wanted.Items = strings.NewReader(items)
-			_, err := cluster.nodes[0].service.Submit(t.Context(), wanted)
+			input := submission("bad "+name, 0)
+			input.Items = strings.NewReader(items)
+			_, err := cluster.nodes[0].service.Submit(t.Context(), input)
 			wantReason(t, err, outcome.ReasonInvalid)
 			if outcome.Of(err) != outcome.NotRun {
 				t.Errorf("%s: outcome %s", name, outcome.Of(err))
@@ -56,7 +57,7 @@
 	})
 }
 
-// cancelReader cancels the submission after its first chunks.
+// cancelReader cancels the submission at the read that makes left 0.
 type cancelReader struct {
 	io.Reader
 	cancel context.CancelFunc
@@ -70,13 +71,15 @@
 	return r.Reader.Read(into)
 }
 
+// TestSubmissionCutOffIsNoJob checks that a submission cancelled during the upload creates
+// no job and that its chunks are dropped.
 func TestSubmissionCutOffIsNoJob(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		wanted := submission("cut off", 0)
-		wanted.Items = &cancelReader{strings.NewReader(itemLines(20_000)), cancel, 5}
-		if _, err := cluster.nodes[0].service.Submit(ctx, wanted); outcome.Of(err) != outcome.NotRun {
+		input := submission("cut off", 0)
+		input.Items = &cancelReader{strings.NewReader(itemLines(20_000)), cancel, 5}
+		if _, err := cluster.nodes[0].service.Submit(ctx, input); outcome.Of(err) != outcome.NotRun {
 			t.Fatalf("submit: %v", err)
 		}
 		if listed, err := cluster.nodes[1].service.List(t.Context(), "registry", "", 0); err != nil || len(listed) != 0 {
@@ -95,10 +98,10 @@
 }
 
 func TestCancelStopsTheJob(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, token int) error {
 			if token == 1 {
-				return waitUntil(ctx)
+				return blockUntilDone(ctx)
 			}
 			return nil
 		}
@@ -123,8 +126,11 @@
 	})
 }
 
+// TestCancelCutsNoCallOff checks that a cancel neither interrupts engine calls that have
+// begun nor is acknowledged before they have reached the engine: the engine could still
+// read an interrupted request after the acknowledgement.
 func TestCancelCutsNoCallOff(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		answer := make(chan struct{})
 		var cut atomic.Int32
 		cluster.engine.onCall = func(ctx context.Context, _ engine.Endpoint, _ engine.Request) error {
@@ -132,12 +138,14 @@
 			case <-answer:
 				return nil
 			case <-ctx.Done():
-				// The engine may read the request all the same, at any time.
+				// The engine may still read the request at any later time.
 				cut.Add(1)
 				return engine.KindLost.New("cut")
 			}
 		}
-		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error { return waitUntil(ctx) }
+		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error {
+			return blockUntilDone(ctx)
+		}
 		status := mustSubmit(t, cluster.nodes[0], submission("calls", 10))
 		synctest.Wait()
 		acknowledged := make(chan error)
@@ -166,7 +174,7 @@
 }
 
 func TestJobAtRiskIsReportedEarly(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		cluster.credits.limit = 1
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error {
 			pause.Sleep(ctx, 200*time.Millisecond) // one item a second
@@ -182,19 +190,19 @@
 			}
 		}
 		cluster.credits.setLimit(64)
-		if ended := finish(t, cluster.nodes[0], lateID); ended.EndedAt.After(ended.Deadline) || ended.AtRisk {
+		if ended := waitForEnd(t, cluster.nodes[0], lateID); ended.EndedAt.After(ended.Deadline) || ended.AtRisk {
 			t.Errorf("ended as %+v", ended)
 		}
 	})
 }
 
 func TestListsGoOnBehindTheLastID(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		want := make(map[string]bool)
 		for number := range 9 {
-			wanted := submission(fmt.Sprintf("list-%d", number), 1)
-			wanted.Metadata = map[string]string{"note": strings.Repeat("n", 300<<10)}
-			want[mustSubmit(t, cluster.nodes[0], wanted).ID] = true
+			input := submission(fmt.Sprintf("list-%d", number), 1)
+			input.Metadata = map[string]string{"note": strings.Repeat("n", 300<<10)}
+			want[mustSubmit(t, cluster.nodes[0], input).ID] = true
 		}
 		if all, err := cluster.nodes[2].service.List(t.Context(), "registry", "", 0); err != nil || len(all) != 9 {
 			t.Fatalf("%d listed in one call: %v", len(all), err)
@@ -221,9 +229,9 @@
 }
 
 func TestRetentionDropsResultsAndKeepsTheName(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		status := mustSubmit(t, cluster.nodes[0], submission("old", 20))
-		finish(t, cluster.nodes[0], status.ID)
+		waitForEnd(t, cluster.nodes[0], status.ID)
 		time.Sleep(2 * time.Hour)
 		expired, err := cluster.nodes[0].service.Status(t.Context(), "registry", status.ID)
 		if err != nil || expired.Phase != PhaseExpired || expired.Completed != 20 {
--- a/internal/job/owner_files.go
+++ b/internal/job/owner_files.go
@@ -13,27 +13,28 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// fileRetention is how long a file is kept that nobody deletes.
+// fileRetention is how long a file is kept unless it is deleted earlier.
 const fileRetention = 30 * 24 * time.Hour
 
-// commitFile stores a file whose chunks are recorded.
+// commitFile records a file whose chunks have been uploaded. A repeated request returns
+// the existing file.
 func (p *partition) commitFile(ctx context.Context, request *jobpb.CommitFileRequest) (*jobpb.FileStored, error) {
-	wanted := request.GetFile()
-	var present *jobpb.FileStored
+	requested := request.GetFile()
+	var existing *jobpb.FileStored
 	var upload uploadState
 	err := p.query(ctx, func(state *partitionState) {
-		present = state.files[wanted.GetId()]
-		if found := state.uploads[wanted.GetUploadId()]; found != nil {
+		existing = state.files[requested.GetId()]
+		if found := state.uploads[requested.GetUploadId()]; found != nil {
 			upload = uploadState{positions: slices.Clone(found.positions), bytes: found.bytes}
 		}
 	})
-	if err != nil || present != nil {
-		return present, err
+	if err != nil || existing != nil {
+		return existing, err
 	}
-	if !upload.whole(int(request.GetChunks())) || upload.bytes != wanted.GetBytes() {
+	if !upload.complete(int(request.GetChunks())) || upload.bytes != requested.GetBytes() {
 		return nil, errUploadGone()
 	}
-	stored := proto.Clone(wanted).(*jobpb.FileStored)
+	stored := proto.Clone(requested).(*jobpb.FileStored)
 	now := time.Now()
 	stored.CreatedAtMicros, stored.ExpiresAtMicros = micros(now), micros(now.Add(fileRetention))
 	stored.ChunkPositions = upload.positions
@@ -43,14 +44,15 @@
 	return stored, nil
 }
 
-// getFile returns a file of the tenant. FileStored messages don't change once in the state.
+// getFile returns a file of the tenant. A FileStored message is immutable once it is in
+// the state, so it is not copied.
 func (p *partition) getFile(ctx context.Context, request *jobpb.FileRequest) (*jobpb.FileStored, error) {
-	return p.file(ctx, request.GetTenant(), request.GetId())
+	return p.findFile(ctx, request.GetTenant(), request.GetId())
 }
 
-func (p *partition) file(ctx context.Context, tenant, id string) (*jobpb.FileStored, error) {
+func (p *partition) findFile(ctx context.Context, tenant, id string) (*jobpb.FileStored, error) {
 	var found *jobpb.FileStored
-	if err := p.read(ctx, func(state *partitionState) { found = state.files[id] }); err != nil {
+	if err := p.verifiedQuery(ctx, func(state *partitionState) { found = state.files[id] }); err != nil {
 		return nil, err
 	}
 	if found == nil || found.GetTenant() != tenant {
@@ -61,7 +63,7 @@
 
 // readFile returns one chunk of a file.
 func (p *partition) readFile(ctx context.Context, request *jobpb.ReadFileRequest) (*jobpb.ReadFileResponse, error) {
-	file, err := p.file(ctx, request.GetTenant(), request.GetId())
+	file, err := p.findFile(ctx, request.GetTenant(), request.GetId())
 	if err != nil {
 		return nil, err
 	}
@@ -83,9 +85,10 @@
 	return response, nil
 }
 
-// deleteFile records the end of a file. A job made from it has its own copy.
+// deleteFile records the deletion of a file. A job created from it has its own copy of the
+// input.
 func (p *partition) deleteFile(ctx context.Context, request *jobpb.FileRequest) (*jobpb.DeleteFileResponse, error) {
-	if _, err := p.file(ctx, request.GetTenant(), request.GetId()); err != nil {
+	if _, err := p.findFile(ctx, request.GetTenant(), request.GetId()); err != nil {
 		return nil, err
 	}
 	if err := p.propose(ctx, encodeRecord(kindFileDeleted, &jobpb.FileDeleted{Id: request.GetId()})); err != nil {
@@ -94,10 +97,10 @@
 	return &jobpb.DeleteFileResponse{}, nil
 }
 
-// listFiles returns the tenant's files of this partition, by id.
+// listFiles returns a page of the tenant's files in this partition, ordered by id.
 func (p *partition) listFiles(ctx context.Context, request *jobpb.ListRequest) (*jobpb.ListFilesResponse, error) {
 	var files []*jobpb.FileStored
-	err := p.read(ctx, func(state *partitionState) {
+	err := p.verifiedQuery(ctx, func(state *partitionState) {
 		for id, file := range state.files {
 			if file.GetTenant() == request.GetTenant() && id > request.GetAfter() {
 				files = append(files, file)
@@ -106,9 +109,9 @@
 	})
 	slices.SortFunc(files, func(a, b *jobpb.FileStored) int { return strings.Compare(a.GetId(), b.GetId()) })
 	response := &jobpb.ListFilesResponse{}
-	bytes := 0
+	size := 0
 	for _, file := range files[:min(len(files), int(request.GetLimit()))] {
-		if bytes > listPageBytes {
+		if size > listPageBytes {
 			response.More = true
 			break
 		}
@@ -116,7 +119,7 @@
 			Id: file.GetId(), Tenant: file.GetTenant(), Name: file.GetName(), Purpose: file.GetPurpose(),
 			Bytes: file.GetBytes(), CreatedAtMicros: file.GetCreatedAtMicros(), ExpiresAtMicros: file.GetExpiresAtMicros(),
 		}
-		bytes += proto.Size(listed)
+		size += proto.Size(listed)
 		response.Files = append(response.Files, listed)
 	}
 	return response, err
--- a/internal/job/owner_jobs.go
+++ b/internal/job/owner_jobs.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// resultPageBytes bounds one answer with results, and resultPageItems the items it looks at.
+	// resultPageBytes bounds the results in one response, unless the first alone is larger;
+	// resultPageItems bounds the items that are examined for it.
 	resultPageBytes = 1 << 20
 	resultPageItems = 4096
-	// listPageBytes is the size from which a page of a list is cut.
+	// listPageBytes is the size after which a list page takes no further entry.
 	listPageBytes = 1 << 20
-	// drainTimeout bounds how long the answer to a cancel waits for calls to engines
-	// that had begun before it.
+	// drainTimeout bounds how long the response to a cancel waits for engine calls that
+	// began before it.
 	drainTimeout = 5 * time.Second
 )
 
-// appendChunk records a part of an upload, once.
+// appendChunk records a chunk of an upload, unless it is recorded already.
 func (p *partition) appendChunk(ctx context.Context, request *jobpb.AppendChunkRequest) (*jobpb.AppendChunkResponse, error) {
 	chunk := request.GetChunk()
 	if chunk.GetSequence() >= maxChunks {
@@ -48,69 +49,72 @@
 	return &jobpb.AppendChunkResponse{}, nil
 }
 
-// reasonUploadGone: the chunks of an upload were dropped before it was committed.
+// reasonUploadGone means that the commit of an upload found its chunks missing: they are
+// dropped after uploadTimeout.
 const reasonUploadGone outcome.Reason = "upload_gone"
 
 func errUploadGone() *outcome.Error {
 	return outcome.New(outcome.NotRun, reasonUploadGone, "the upload was given up; send it again")
 }
 
-// commitJob accepts a job whose chunks are recorded. The same content again gives
-// the same job, other content a conflict.
+// commitJob accepts a job whose chunks have been uploaded. If the job exists, the same
+// content returns it and different content is a conflict.
 func (p *partition) commitJob(ctx context.Context, request *jobpb.CommitJobRequest) (*jobpb.JobStatus, error) {
-	wanted := request.GetJob()
-	var present *jobpb.JobStatus
+	requested := request.GetJob()
+	var existing *jobpb.JobStatus
 	var upload uploadState
 	err := p.query(ctx, func(state *partitionState) {
-		present = p.statusOf(state, wanted.GetId())
-		if found := state.uploads[wanted.GetUploadId()]; found != nil {
+		existing = p.statusOf(state, requested.GetId())
+		if found := state.uploads[requested.GetUploadId()]; found != nil {
 			upload = uploadState{positions: slices.Clone(found.positions), items: slices.Clone(found.items)}
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	if present != nil {
-		return sameContent(present, wanted)
+	if existing != nil {
+		return checkSameContent(existing, requested)
 	}
-	accepted := proto.Clone(wanted).(*jobpb.JobAccepted)
+	accepted := proto.Clone(requested).(*jobpb.JobAccepted)
 	if err := fillAccepted(accepted, request, upload); err != nil {
 		return nil, err
 	}
 	if err := p.propose(ctx, encodeRecord(ledger.KindJobAccepted, accepted)); err != nil {
 		return nil, err
 	}
-	present, err = p.knownStatus(ctx, wanted.GetTenant(), wanted.GetId())
+	existing, err = p.statusAfterAppend(ctx, requested.GetTenant(), requested.GetId())
 	if err != nil {
 		return nil, err
 	}
-	return sameContent(present, wanted)
+	return checkSameContent(existing, requested)
 }
 
-// fillAccepted sets what the owner knows, after it checked that the upload is whole.
+// fillAccepted checks that the upload is complete and sets the fields that the owner
+// determines.
 func fillAccepted(accepted *jobpb.JobAccepted, request *jobpb.CommitJobRequest, upload uploadState) error {
 	items := uint32(0)
 	for _, count := range upload.items {
 		items += count
 	}
-	if !upload.whole(int(request.GetChunks())) || items != accepted.GetTotal() {
+	if !upload.complete(int(request.GetChunks())) || items != accepted.GetTotal() {
 		return errUploadGone()
 	}
 	now := time.Now()
 	accepted.AcceptedAtMicros = micros(now)
-	if after := request.GetDeadlineAfterMicros(); after > 0 {
-		accepted.DeadlineMicros = micros(now) + after
+	if deadlineAfter := request.GetDeadlineAfterMicros(); deadlineAfter > 0 {
+		accepted.DeadlineMicros = micros(now) + deadlineAfter
 	}
 	accepted.ChunkPositions, accepted.ChunkItems = upload.positions, upload.items
 	return nil
 }
 
-// sameContent returns the job that is there, if it is of the content asked for.
-func sameContent(present *jobpb.JobStatus, wanted *jobpb.JobAccepted) (*jobpb.JobStatus, error) {
-	if !bytes.Equal(present.GetDigest(), wanted.GetDigest()) {
+// checkSameContent returns the existing job if its content is the requested one, else a
+// conflict.
+func checkSameContent(existing *jobpb.JobStatus, requested *jobpb.JobAccepted) (*jobpb.JobStatus, error) {
+	if !bytes.Equal(existing.GetDigest(), requested.GetDigest()) {
 		return nil, errJobConflict()
 	}
-	return present, nil
+	return existing, nil
 }
 
 func errJobConflict() *outcome.Error {
@@ -122,16 +126,17 @@
 	return p.status(ctx, request.GetTenant(), request.GetId())
 }
 
-// status returns the state of a job, as this node knows it while it is the owner.
+// status returns the status of a job after verifying that this node is the owner.
 func (p *partition) status(ctx context.Context, tenant, id string) (*jobpb.JobStatus, error) {
-	if err := p.proveOwnership(ctx); err != nil {
+	if err := p.verifyOwnership(ctx); err != nil {
 		return nil, err
 	}
-	return p.knownStatus(ctx, tenant, id)
+	return p.statusAfterAppend(ctx, tenant, id)
 }
 
-// knownStatus is status right after an append of the caller, which has proved the ownership.
-func (p *partition) knownStatus(ctx context.Context, tenant, id string) (*jobpb.JobStatus, error) {
+// statusAfterAppend is status without the ownership check, for a caller whose own append
+// has just verified the ownership.
+func (p *partition) statusAfterAppend(ctx context.Context, tenant, id string) (*jobpb.JobStatus, error) {
 	var found *jobpb.JobStatus
 	if err := p.query(ctx, func(state *partitionState) { found = p.statusOf(state, id) }); err != nil {
 		return nil, err
@@ -142,15 +147,16 @@
 	return found, nil
 }
 
-// notFound makes sure by an append that this node is the owner, and returns the error.
+// notFound verifies that this node is the owner and returns the not_found error for id.
 func (p *partition) notFound(ctx context.Context, id string) error {
-	if err := p.proveOwnership(ctx); err != nil {
+	if err := p.verifyOwnership(ctx); err != nil {
 		return err
 	}
 	return errNotFound(id)
 }
 
-// statusOf runs in the loop; nil where there is no such job.
+// statusOf returns the status of a job or its tombstone, nil if there is neither. It runs
+// in the loop goroutine.
 func (p *partition) statusOf(state *partitionState, id string) *jobpb.JobStatus {
 	if tombstone := state.tombstones[id]; tombstone != nil {
 		return tombstoneStatus(tombstone)
@@ -165,7 +171,8 @@
 		Priority: accepted.GetPriority(), Operation: accepted.GetOperation(), Phase: string(job.phase),
 		Metadata: accepted.GetMetadata(), AcceptedAtMicros: accepted.GetAcceptedAtMicros(),
 		DeadlineMicros: accepted.GetDeadlineMicros(), EndedAtMicros: micros(job.endedAt),
-		Total: accepted.GetTotal(), Completed: uint32(job.completed), Failed: uint32(job.failed), Digest: accepted.GetDigest(),
+		Total: accepted.GetTotal(), Completed: uint32(job.completed), Failed: uint32(job.failed),
+		Digest: accepted.GetDigest(),
 	}
 	if run := p.runs[id]; run != nil {
 		status.AtRisk = run.atRisk
@@ -177,15 +184,16 @@
 	return &jobpb.JobStatus{
 		Id: t.GetId(), Tenant: t.GetTenant(), ClientKey: t.GetClientKey(), Service: t.GetService(),
 		Priority: t.GetPriority(), Operation: t.GetOperation(), Phase: string(PhaseExpired),
-		AcceptedAtMicros: t.GetAcceptedAtMicros(), DeadlineMicros: t.GetDeadlineMicros(), EndedAtMicros: t.GetEndedAtMicros(),
-		Total: t.GetTotal(), Completed: t.GetCompleted(), Failed: t.GetFailed(), Digest: t.GetDigest(),
+		AcceptedAtMicros: t.GetAcceptedAtMicros(), DeadlineMicros: t.GetDeadlineMicros(),
+		EndedAtMicros: t.GetEndedAtMicros(),
+		Total:         t.GetTotal(), Completed: t.GetCompleted(), Failed: t.GetFailed(), Digest: t.GetDigest(),
 	}
 }
 
-// listJobs returns the tenant's jobs of this partition, by id.
+// listJobs returns a page of the tenant's jobs in this partition, ordered by id.
 func (p *partition) listJobs(ctx context.Context, request *jobpb.ListRequest) (*jobpb.ListJobsResponse, error) {
 	response := &jobpb.ListJobsResponse{}
-	err := p.read(ctx, func(state *partitionState) {
+	err := p.verifiedQuery(ctx, func(state *partitionState) {
 		var ids []string
 		for id, job := range state.jobs {
 			if job.accepted.GetTenant() == request.GetTenant() && id > request.GetAfter() {
@@ -193,21 +201,22 @@
 			}
 		}
 		slices.Sort(ids)
-		bytes := 0
+		size := 0
 		for _, id := range ids[:min(len(ids), int(request.GetLimit()))] {
-			if bytes > listPageBytes {
+			if size > listPageBytes {
 				response.More = true
 				return
 			}
 			status := p.statusOf(state, id)
-			bytes += proto.Size(status)
+			size += proto.Size(status)
 			response.Jobs = append(response.Jobs, status)
 		}
 	})
 	return response, err
 }
 
-// cancelJob records the cancel. Its answer says that no call to an engine begins any more.
+// cancelJob records the cancel. When it returns without an error, no further engine call of
+// the job begins, here or at a previous owner.
 func (p *partition) cancelJob(ctx context.Context, request *jobpb.JobRequest) (*jobpb.JobStatus, error) {
 	var run *jobRun
 	if err := p.query(ctx, func(*partitionState) { run = p.runs[request.GetId()] }); err != nil {
@@ -216,11 +225,13 @@
 	if _, err := p.status(ctx, request.GetTenant(), request.GetId()); err != nil {
 		return nil, err
 	}
-	record := encodeRecord(ledger.KindJobCancelled, &jobpb.JobCancelled{JobId: request.GetId(), RecordedAtMicros: micros(time.Now())})
+	record := encodeRecord(ledger.KindJobCancelled, &jobpb.JobCancelled{
+		JobId: request.GetId(), RecordedAtMicros: micros(time.Now()),
+	})
 	if err := p.propose(ctx, record); err != nil {
 		return nil, err
 	}
-	if !pause.Sleep(ctx, p.ownership.untilSettled(clock.Now())) {
+	if !pause.Sleep(ctx, p.lease.untilPredecessorExpires(clock.Now())) {
 		return nil, contextError(ctx, outcome.Indeterminate)
 	}
 	if run != nil {
@@ -228,15 +239,15 @@
 		defer cancel()
 		run.calls.wait(drainContext)
 	}
-	return p.knownStatus(ctx, request.GetTenant(), request.GetId())
+	return p.statusAfterAppend(ctx, request.GetTenant(), request.GetId())
 }
 
-// readResults returns a page of completed items.
+// readResults returns a page of results in item order.
 func (p *partition) readResults(ctx context.Context, request *jobpb.ResultsRequest) (*jobpb.ResultsResponse, error) {
 	response := &jobpb.ResultsResponse{Next: request.GetFrom()}
 	var entries []itemEntry
 	found, expired := false, false
-	err := p.read(ctx, func(state *partitionState) {
+	err := p.verifiedQuery(ctx, func(state *partitionState) {
 		expired = state.tombstones[request.GetId()] != nil
 		job := state.jobs[request.GetId()]
 		if job == nil || job.accepted.GetTenant() != request.GetTenant() {
@@ -260,15 +271,15 @@
 
 func (p *partition) fillResults(ctx context.Context, response *jobpb.ResultsResponse, entries []itemEntry) error {
 	window := &resultWindow{owned: p.owned}
-	bytes := 0
+	size := 0
 	for index, entry := range entries {
 		if entry.class() != classOpen {
 			result, err := window.read(ctx, entries[index:])
 			if err != nil {
 				return outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "results not read")
 			}
-			bytes += len(result.GetBody()) + len(result.GetCustomId())
-			if bytes > resultPageBytes && len(response.Results) > 0 {
+			size += len(result.GetBody()) + len(result.GetCustomId())
+			if size > resultPageBytes && len(response.Results) > 0 {
 				return nil
 			}
 			response.Results = append(response.Results, result)
@@ -278,8 +289,8 @@
 	return nil
 }
 
-// validText tells whether all values can stand in a record.
-func validText(values ...string) bool {
+// validUTF8 reports whether all values are valid UTF-8, as the strings of a record must be.
+func validUTF8(values ...string) bool {
 	for _, value := range values {
 		if strings.ToValidUTF8(value, "") != value {
 			return false
--- a/internal/job/owner_keys_files_test.go
+++ b/internal/job/owner_keys_files_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestKeyIsGrantedOnceAndAwaited(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		claims := make([]session.Claim, 2)
 		var group sync.WaitGroup
 		for number := range claims {
@@ -36,8 +36,8 @@
 			})
 		}
 		time.Sleep(20 * time.Second)
-		cluster.own(0, 2)
-		cluster.own(1, 2)
+		cluster.assign(0, 2)
+		cluster.assign(1, 2)
 		group.Wait()
 		if claims[0].Granted == claims[1].Granted {
 			t.Fatalf("claims %+v", claims)
@@ -55,7 +55,7 @@
 }
 
 func TestFiles(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		content := strings.Repeat("one line of a ledger page\n", 40_000)
 		file, err := cluster.nodes[0].files.Put(t.Context(), "registry", "pages.jsonl", "batch", strings.NewReader(content))
 		if err != nil || file.Bytes != int64(len(content)) {
@@ -79,7 +79,7 @@
 }
 
 func TestFullStoresRefuseAndSayWhenToComeBack(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		full := outcome.New(outcome.NotRun, outcome.ReasonStorageFull, "full").After(7 * time.Second)
 		for _, log := range cluster.logs {
 			log.FailAppends(full)
--- a/internal/job/partition.go
+++ b/internal/job/partition.go
@@ -14,24 +14,26 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// tickInterval is how often a partition looks at deadlines, retentions and stale uploads.
+// tickInterval is how often a partition checks deadlines, retentions and abandoned uploads.
 const tickInterval = time.Second
 
-// partition is one owned partition: its state, which belongs to the loop goroutine,
-// and the appender, through which all its records go. It is the ledger.StateMachine.
+// partition is a partition owned by this node. It consists of a state confined to the
+// loop goroutine and an appender goroutine that writes all its records. It implements
+// ledger.StateMachine.
 type partition struct {
 	id         ledger.PartitionID
 	dispatcher *dispatcher
 	registry   *registry
 	logger     zerolog.Logger
 
-	// state is used by the ledger's goroutine up to Serve, then by the loop alone.
+	// state is used by the ledger's goroutine up to Serve, then by the loop goroutine only.
 	state *partitionState
-	// runs holds the live jobs that the dispatcher has; keyWaiters what Await waits for.
-	// Both belong to the loop.
+	// runs holds the live jobs, which the dispatcher has too. keyWaiters holds channels by
+	// idempotencyKey, closed when the key gets its result. Both are used only by the loop
+	// goroutine.
 	runs       map[string]*jobRun
 	keyWaiters map[string][]chan struct{}
-	// expiring holds the jobs whose expiry is being appended; it belongs to the loop.
+	// expiring holds the jobs whose expiry is being appended; used only by the loop goroutine.
 	expiring map[string]bool
 	ticks    int
 
@@ -39,15 +41,16 @@
 	proposals chan *proposal
 	applied   chan appliedBatch
 	queries   chan func(*partitionState)
-	// serving ends, and stopped is closed, when the partition stops.
+	// serving is cancelled when the partition stops; stopped is its Done channel.
 	serving       context.Context
 	cancelServing context.CancelFunc
 	stopped       <-chan struct{}
 	stopOnce      sync.Once
 	group         sync.WaitGroup
 	reader        *recordReader
-	ownership     ownershipClock
-	// attempts counts the marked items between their attempt's record and the engine's answer.
+	lease         dispatchLease
+	// attempts tracks the items that are not repeatable from before the append of their
+	// attempt record until the engine has accepted or refused the call.
 	attempts callTracker
 }
 
@@ -77,8 +80,8 @@
 	return nil
 }
 
-// Apply implements ledger.StateMachine. Effects are not acted on: Serve takes up the
-// state as it is then.
+// Apply implements ledger.StateMachine. It ignores the effects, because Serve starts from
+// the resulting state.
 func (p *partition) Apply(position ledger.Position, record ledger.Record) error {
 	_, err := p.state.step(position, record)
 	return err
@@ -88,7 +91,7 @@
 func (p *partition) Serve(owned ledger.Owned) {
 	p.owned = owned
 	p.reader = newRecordReader(owned)
-	p.ownership.begin(clock.Now())
+	p.lease.begin(clock.Now())
 	p.logger.Info().Int("jobs", len(p.state.jobs)).Msg("partition_served")
 	p.group.Add(2)
 	go p.runLoop()
@@ -96,14 +99,15 @@
 	p.registry.add(p)
 }
 
-// Stop implements ledger.StateMachine. Streams of items that are not repeatable are
-// left running, for the next owner to attach to.
+// Stop implements ledger.StateMachine. The runs of items that are not repeatable continue
+// at their engines, for the next owner to attach to.
 func (p *partition) Stop() {
 	p.halt()
 	p.group.Wait()
 }
 
-// halt makes all goroutines of the partition end; it doesn't wait for them.
+// halt unregisters the partition and signals its goroutines to end, without waiting for
+// them.
 func (p *partition) halt() {
 	p.stopOnce.Do(func() {
 		p.registry.remove(p)
@@ -111,8 +115,9 @@
 	})
 }
 
-// Quiesce implements ledger.Quiescer: no more marked items are sent to engines, and those whose attempt is being
-// recorded are sent, so that the next owner finds their runs.
+// Quiesce implements ledger.Quiescer. It stops sending further items that are not
+// repeatable, and waits until those whose attempt is being recorded have been sent, so
+// that the next owner finds their runs.
 func (p *partition) Quiesce(ctx context.Context) {
 	p.attempts.close()
 	p.attempts.wait(ctx)
@@ -134,7 +139,7 @@
 	return upTo, keepFrom, state, err
 }
 
-// query runs read in the loop goroutine and waits for its end.
+// query runs read in the loop goroutine and waits until it returns.
 func (p *partition) query(ctx context.Context, read func(*partitionState)) error {
 	done := make(chan struct{})
 	err := p.send(ctx, func(state *partitionState) {
@@ -144,12 +149,13 @@
 	if err != nil {
 		return err
 	}
-	// The loop took it, so it runs to its end even if the partition stops.
+	// The loop has received the function and completes it even if the partition stops.
 	<-done
 	return nil
 }
 
-// send has the loop goroutine run a function once.
+// send passes a function to the loop goroutine, which runs it once. It does not wait for
+// the function to return.
 func (p *partition) send(ctx context.Context, run func(*partitionState)) error {
 	select {
 	case p.queries <- run:
@@ -161,7 +167,7 @@
 	}
 }
 
-// contextError turns the end of ctx into an outcome.
+// contextError returns the error for a request whose ctx has ended.
 func contextError(ctx context.Context, result outcome.Outcome) *outcome.Error {
 	reason := outcome.ReasonCallerCancelled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -170,7 +176,7 @@
 	return outcome.Wrap(ctx.Err(), result, reason, "the request's time is over")
 }
 
-// runLoop owns the state until the partition stops.
+// runLoop is the loop goroutine. It is the only user of the state until the partition stops.
 func (p *partition) runLoop() {
 	defer p.group.Done()
 	defer p.endRuns()
@@ -195,23 +201,23 @@
 	}
 }
 
-// applyBatch applies records that are durable now, then tells their proposers.
+// applyBatch applies durable records, carries out their effects and notifies the proposers.
 func (p *partition) applyBatch(batch appliedBatch) {
 	for offset, proposed := range batch.proposals {
 		position := batch.first + ledger.Position(offset)
 		effects, err := p.state.step(position, proposed.record)
 		if err != nil {
-			panic("job: own record doesn't decode: " + err.Error())
+			panic("job: cannot apply a record proposed by this node: " + err.Error())
 		}
 		for _, change := range effects {
-			p.act(change)
+			p.applyEffect(change)
 		}
 		close(proposed.applied)
 	}
 }
 
-// act carries out one effect.
-func (p *partition) act(change effect) {
+// applyEffect carries out one effect.
+func (p *partition) applyEffect(change effect) {
 	switch typed := change.(type) {
 	case jobBegan:
 		p.beginRun(typed.job)
--- a/internal/job/partition_tick.go
+++ b/internal/job/partition_tick.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// sweepTicks is the number of ticks between looks at all jobs, keys and files.
+	// sweepTicks is the number of ticks between checks of all jobs, keys, files and uploads
+	// for expiry.
 	sweepTicks = 10
-	// uploadTimeout is how long an upload may rest before its chunks are dropped.
+	// uploadTimeout is how long after its last chunk an uncommitted upload is dropped.
 	uploadTimeout = 15 * time.Minute
-	// keyRetention is how long an idempotency key is remembered after its last record.
+	// keyRetention is how long an idempotency key is kept after its last record.
 	keyRetention = 7 * 24 * time.Hour
-	// tombstoneRetention is how long an expired job still answers a resend.
+	// tombstoneRetention is how long an expired job is still recognized when it is resubmitted.
 	tombstoneRetention = 30 * 24 * time.Hour
 	// expireTimeout bounds the append that expires a job.
 	expireTimeout = 30 * time.Second
 )
 
-// tick looks at what time alone changes. It runs in the loop.
+// tick performs the periodic checks of deadlines and retentions. It runs in the loop
+// goroutine.
 func (p *partition) tick(now time.Time) {
 	for _, run := range p.runs {
 		p.checkDeadline(run, now)
@@ -35,14 +37,15 @@
 	for _, id := range p.state.dueForExpiry(now) {
 		p.expire(id, now)
 	}
-	p.state.forget(now)
+	p.state.dropExpired(now)
 }
 
-// checkDeadline measures the job's rate, and reports when its risk changes.
+// checkDeadline samples the job's rate and logs a change of its risk of missing the
+// deadline.
 func (p *partition) checkDeadline(run *jobRun, now time.Time) {
 	job := p.state.jobs[run.id]
 	run.rate.sample(now, run.completed.Load())
-	deadline := run.dispatched.deadline
+	deadline := run.dispatch.deadline
 	atRisk := run.rate.atRisk(now, deadline, job.remaining())
 	if atRisk == run.atRisk {
 		return
@@ -59,8 +62,8 @@
 		Int("remaining", job.remaining()).Float64("items_per_second", run.rate.perSecond).Msg(message)
 }
 
-// expire appends the end of a job's retention, beside the loop. A failed append is
-// tried again at a later tick.
+// expire appends the expiry of a job in a goroutine of its own. A failed append is retried
+// by a later sweep.
 func (p *partition) expire(id string, now time.Time) {
 	if p.expiring[id] {
 		return
@@ -80,7 +83,7 @@
 	}()
 }
 
-// dueForExpiry returns the ended jobs whose retention is over.
+// dueForExpiry returns the ids of ended jobs whose retention has passed.
 func (s *partitionState) dueForExpiry(now time.Time) []string {
 	var due []string
 	for id, job := range s.jobs {
@@ -95,20 +98,21 @@
 	return due
 }
 
-// forget drops what nobody can need any more. It isn't recorded: the next owner
-// drops the same by the times in the records.
-func (s *partitionState) forget(now time.Time) {
+// dropExpired drops abandoned uploads and the keys, files and tombstones past their
+// retention. It appends no record: the next owner drops the same entries by the times in
+// their records.
+func (s *partitionState) dropExpired(now time.Time) {
 	for id, upload := range s.uploads {
-		if now.Sub(upload.lastAt) > uploadTimeout {
+		if now.Sub(upload.lastChunkAt) > uploadTimeout {
 			delete(s.uploads, id)
 		}
 	}
 	for name, key := range s.keys {
-		last := fromMicros(key.claimed.GetRecordedAtMicros())
-		if key.completedAt.After(last) {
-			last = key.completedAt
+		lastRecordAt := fromMicros(key.claimed.GetRecordedAtMicros())
+		if key.completedAt.After(lastRecordAt) {
+			lastRecordAt = key.completedAt
 		}
-		if now.Sub(last) > keyRetention {
+		if now.Sub(lastRecordAt) > keyRetention {
 			delete(s.keys, name)
 		}
 	}
--- a/internal/job/rate.go
+++ b/internal/job/rate.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// rateMinimumAge is how long a rate must have been measured before it is believed.
-	rateMinimumAge = 5 * time.Second
-	// idleShare is the share of its time that a job may pass without any result.
-	idleShare = 10
-	// rateWeight is the weight of the newest second in the moving average.
+	// minRateAge is how long a rate must have been measured before it is used.
+	minRateAge = 5 * time.Second
+	// idleDivisor: a job is at risk if it has no result after 1/idleDivisor of the time from
+	// the first sample to its deadline.
+	idleDivisor = 10
+	// rateWeight is the weight of the newest sample (one a second) in the moving average.
 	rateWeight = 0.03
 )
 
-// rateMeter measures the results of one job per second. It is used by one goroutine.
+// rateMeter measures the rate of one job, in results per second. It is not safe for
+// concurrent use.
 type rateMeter struct {
 	began     time.Time
 	sampledAt time.Time
@@ -19,7 +21,8 @@
 	perSecond float64
 }
 
-// sample takes the count of results so far.
+// sample updates the rate with the number of results so far. During the first minRateAge
+// the rate is the mean, after that an exponential moving average.
 func (m *rateMeter) sample(now time.Time, count int64) {
 	if m.began.IsZero() {
 		m.began, m.sampledAt, m.count = now, now, count
@@ -29,18 +32,18 @@
 	if seconds <= 0 {
 		return
 	}
-	present := float64(count-m.count) / seconds
+	current := float64(count-m.count) / seconds
 	m.sampledAt, m.count = now, count
 	mean := float64(count) / now.Sub(m.began).Seconds()
-	if now.Sub(m.began) < rateMinimumAge {
+	if now.Sub(m.began) < minRateAge {
 		m.perSecond = mean
 		return
 	}
-	m.perSecond += rateWeight * (present - m.perSecond)
+	m.perSecond += rateWeight * (current - m.perSecond)
 }
 
-// atRisk tells whether remaining items will not be done by the deadline at the
-// measured rate.
+// atRisk reports whether the remaining items would miss the deadline at the measured
+// rate.
 func (m *rateMeter) atRisk(now, deadline time.Time, remaining int) bool {
 	if deadline.IsZero() || remaining == 0 {
 		return false
@@ -51,7 +54,7 @@
 	}
 	age := now.Sub(m.began)
 	if m.perSecond <= 0 {
-		return age > rateMinimumAge && age > (age+left)/idleShare
+		return age > minRateAge && age > (age+left)/idleDivisor
 	}
-	return age >= rateMinimumAge && float64(remaining)/m.perSecond > left.Seconds()
+	return age >= minRateAge && float64(remaining)/m.perSecond > left.Seconds()
 }
--- a/internal/job/record_reader.go
+++ b/internal/job/record_reader.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// readWindowBytes is how much of the log one read for results takes.
+	// readWindowBytes is the size of a log read that covers several results.
 	readWindowBytes = 512 << 10
-	// readTimeout bounds one read of a chunk.
+	// readTimeout bounds the read of one chunk.
 	readTimeout = 10 * time.Second
-	// chunkCacheSize is how many chunks a partition keeps in memory for dispatch.
+	// chunkCacheSize is the number of input chunks that a partition caches for dispatch.
 	chunkCacheSize = 4
 )
 
-// recordReader reads bulk data of one partition by position. It keeps the last few
-// chunks. It is safe for concurrent use.
+// recordReader reads the input chunks of one partition by position and caches the last
+// few. It is safe for concurrent use.
 type recordReader struct {
 	owned ledger.Owned
 
@@ -29,7 +29,8 @@
 	order  []ledger.Position
 }
 
-// chunkLoad is a chunk that was read or is being read; ready is closed at its end.
+// chunkLoad is a chunk that has been or is being read; ready is closed when chunk or err
+// is set.
 type chunkLoad struct {
 	ready chan struct{}
 	chunk *jobpb.Chunk
@@ -40,17 +41,18 @@
 	return &recordReader{owned: owned, chunks: make(map[ledger.Position]*chunkLoad)}
 }
 
-// readChunk returns the chunk at position; callers share it and don't change it.
+// readChunk returns the chunk at position. It is shared by its callers, which must not
+// modify it.
 func (r *recordReader) readChunk(ctx context.Context, position ledger.Position) (*jobpb.Chunk, error) {
 	r.mutex.Lock()
 	load := r.chunks[position]
 	if load == nil {
 		load = &chunkLoad{ready: make(chan struct{})}
-		r.remember(position, load)
+		r.cacheLoad(position, load)
 		r.mutex.Unlock()
 		load.chunk, load.err = r.loadChunk(position)
 		if load.err != nil {
-			r.forget(position, load)
+			r.removeLoad(position, load)
 		}
 		close(load.ready)
 		return load.chunk, load.err
@@ -64,8 +66,9 @@
 	}
 }
 
-// remember keeps a load and drops the oldest; the mutex is held.
-func (r *recordReader) remember(position ledger.Position, load *chunkLoad) {
+// cacheLoad caches a load and evicts the oldest beyond chunkCacheSize. The caller holds the
+// mutex.
+func (r *recordReader) cacheLoad(position ledger.Position, load *chunkLoad) {
 	r.chunks[position] = load
 	r.order = append(r.order, position)
 	if len(r.order) > chunkCacheSize {
@@ -74,7 +77,7 @@
 	}
 }
 
-func (r *recordReader) forget(position ledger.Position, load *chunkLoad) {
+func (r *recordReader) removeLoad(position ledger.Position, load *chunkLoad) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.chunks[position] == load {
@@ -82,7 +85,8 @@
 	}
 }
 
-// loadChunk reads for all who wait, so it doesn't end with the first one's context.
+// loadChunk reads a chunk on behalf of all waiting callers, so it does not use the context
+// of the first one.
 func (r *recordReader) loadChunk(position ledger.Position) (*jobpb.Chunk, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
@@ -97,7 +101,8 @@
 	return chunk, nil
 }
 
-// decodeAs decodes the first record, which must hold the message type asked for.
+// decodeAs decodes the first of records, read from position. It fails if there is none or
+// it holds another message type.
 func decodeAs[Message any](records []ledger.Record, position ledger.Position) (Message, error) {
 	var none Message
 	if len(records) == 0 {
@@ -115,23 +120,24 @@
 }
 
 const (
-	// spanPositions is the stretch of the log that is looked at for nearby results, and
-	// denseResults how many of them in it make one large read worth while.
-	spanPositions = 256
-	denseResults  = 16
+	// nearbyPositions is the range of positions around a result that is considered for one
+	// large read, and minNearbyResults the number of wanted results in it from which the
+	// large read is made.
+	nearbyPositions  = 256
+	minNearbyResults = 16
 )
 
-// resultWindow reads results by position. Where results of the same job lie close
-// together, one read serves all of them; where other records lie between, each is read
-// alone, so that little is read in vain. It is used by one goroutine.
+// resultWindow reads results by position. Where results of a job lie close together in
+// the log, one read covers many of them; where they are mixed with other records, each is
+// read alone, so that few unneeded records are read. It is not safe for concurrent use.
 type resultWindow struct {
 	owned   ledger.Owned
 	first   ledger.Position
 	records []ledger.Record
 }
 
-// read returns the result of the first entry, which is closed; the entries behind it
-// tell what will be asked for next.
+// read returns the result of the first entry, which must have one. The entries after it
+// are those to be read next, and only help to choose the read size.
 func (w *resultWindow) read(ctx context.Context, entries []itemEntry) (*jobpb.ItemResult, error) {
 	position := entries[0].position()
 	if position < w.first || position >= w.first+ledger.Position(len(w.records)) {
@@ -146,25 +152,26 @@
 		}
 		w.first, w.records = first, records
 	}
-	done, err := decodeAs[*jobpb.ItemCompleted](w.records[position-w.first:], position)
+	completed, err := decodeAs[*jobpb.ItemCompleted](w.records[position-w.first:], position)
 	if err != nil {
 		return nil, err
 	}
-	return done.GetResult(), nil
+	return completed.GetResult(), nil
 }
 
-// planRead returns from where to read for the first entry, and how many bytes.
+// planRead returns the start position and the maximal size in bytes of a read that covers
+// the first entry. A size of 1 reads a single record.
 func planRead(entries []itemEntry) (ledger.Position, int) {
 	wanted := entries[0].position()
-	first, near := wanted, 0
-	for _, entry := range entries[:min(len(entries), spanPositions)] {
+	first, nearby := wanted, 0
+	for _, entry := range entries[:min(len(entries), nearbyPositions)] {
 		position := entry.position()
-		if entry.class() != classOpen && position+spanPositions/2 >= wanted && position < wanted+spanPositions/2 {
+		if entry.class() != classOpen && position+nearbyPositions/2 >= wanted && position < wanted+nearbyPositions/2 {
 			first = min(first, position)
-			near++
+			nearby++
 		}
 	}
-	if near < denseResults {
+	if nearby < minNearbyResults {
 		return wanted, 1
 	}
 	return first, readWindowBytes
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -21,12 +21,12 @@
 	}
 }
 
-// factory is the ledger.Factory.
+// factory implements ledger.Factory.
 func (r *registry) factory(id ledger.PartitionID) ledger.StateMachine {
 	return newPartition(id, r.dispatcher, r, r.logger)
 }
 
-// find returns the partition if this node owns it; the error is NotRun/not_owner.
+// find returns the partition if this node owns it, else the error NotRun/not_owner.
 func (r *registry) find(id uint32) (*partition, error) {
 	found, owned := r.partitions.Load(ledger.PartitionID(id))
 	if !owned {
@@ -37,24 +37,24 @@
 
 func (r *registry) add(served *partition) { r.partitions.Store(served.id, served) }
 
-// remove forgets a partition unless a later ownership has taken its place.
+// remove removes a partition unless a later ownership of it has been added since.
 func (r *registry) remove(lost *partition) {
-	r.partitions.Compute(lost.id, func(present *partition, loaded bool) (*partition, xsync.ComputeOp) {
-		if loaded && present == lost {
+	r.partitions.Compute(lost.id, func(current *partition, loaded bool) (*partition, xsync.ComputeOp) {
+		if loaded && current == lost {
 			return nil, xsync.DeleteOp
 		}
-		return present, xsync.CancelOp
+		return current, xsync.CancelOp
 	})
 }
 
-// stop stops all partitions.
+// stop stops all partitions and waits for their goroutines.
 func (r *registry) stop() {
 	var owned []*partition
-	r.partitions.Range(func(_ ledger.PartitionID, present *partition) bool {
-		owned = append(owned, present)
+	r.partitions.Range(func(_ ledger.PartitionID, registered *partition) bool {
+		owned = append(owned, registered)
 		return true
 	})
-	for _, present := range owned {
-		present.Stop()
+	for _, served := range owned {
+		served.Stop()
 	}
 }
--- a/internal/job/service.go
+++ b/internal/job/service.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// defaultRetention applies where a submission names none.
+	// defaultRetention applies to submissions without a retention.
 	defaultRetention = 7 * 24 * time.Hour
-	// listLimit bounds one page of a list.
+	// listLimit bounds the entries that one list call returns.
 	listLimit = 1000
 )
 
-// service is the Service of a node.
+// service implements Service by forwarding to the partition of the job.
 type service struct {
 	forwarder *forwarder
 	configs   config.Source
@@ -33,11 +33,11 @@
 	partition := s.forwarder.locator.PartitionOf(jobKey(submission.Tenant, submission.ClientKey))
 	id := jobID(partition, submission.Tenant, submission.ClientKey)
 	scanner := newItemScanner(&submission, s.configs.Current())
-	present, err := forward(ctx, s.forwarder, methodJobStatus,
+	existing, err := forward(ctx, s.forwarder, methodJobStatus,
 		&jobpb.JobRequest{Partition: uint32(partition), Tenant: submission.Tenant, Id: id})
 	switch {
 	case err == nil:
-		return resent(present, scanner)
+		return resubmitted(existing, scanner)
 	case outcome.As(err).Reason != outcome.ReasonNotFound:
 		failure := *outcome.As(err)
 		failure.Outcome = outcome.NotRun
@@ -59,18 +59,18 @@
 	if err != nil {
 		return Status{}, err
 	}
-	return fromStatus(status), nil
+	return statusFromProto(status), nil
 }
 
-// resent returns the job that is there if the input is the same.
-func resent(present *jobpb.JobStatus, scanner *itemScanner) (Status, error) {
+// resubmitted returns the existing job if the input is the same, else a conflict.
+func resubmitted(existing *jobpb.JobStatus, scanner *itemScanner) (Status, error) {
 	if err := scanner.digestOnly(); err != nil {
 		return Status{}, err
 	}
-	if !bytes.Equal(present.GetDigest(), scanner.digest.Sum(nil)) {
+	if !bytes.Equal(existing.GetDigest(), scanner.digest.Sum(nil)) {
 		return Status{}, errJobConflict()
 	}
-	return fromStatus(present), nil
+	return statusFromProto(existing), nil
 }
 
 func checkSubmission(submission *Submission) error {
@@ -94,7 +94,7 @@
 	for name, value := range submission.Metadata {
 		texts = append(texts, name, value)
 	}
-	if !validText(texts...) {
+	if !validUTF8(texts...) {
 		return invalid("a text is not UTF-8")
 	}
 	return nil
@@ -116,7 +116,8 @@
 	}
 }
 
-// jobRequest names a job by its id; the error is NotRun/not_found.
+// jobRequest returns the request for a job by its id. The error for an invalid id is
+// NotRun/not_found.
 func (s *service) jobRequest(tenant, id string) (*jobpb.JobRequest, error) {
 	partition, err := partitionOfID(jobPrefix, id, s.forwarder.locator.Partitions())
 	if err != nil {
@@ -146,17 +147,17 @@
 	if err != nil {
 		return Status{}, err
 	}
-	return fromStatus(status), nil
+	return statusFromProto(status), nil
 }
 
-// List implements Service. Jobs are ordered by id, that is, by partition.
+// List implements Service. Jobs are ordered by id, and therefore by partition.
 func (s *service) List(ctx context.Context, tenant, after string, limit int) ([]Status, error) {
 	jobs := []Status{}
 	err := s.forwarder.list(jobPrefix, tenant, after, limit, func(request *jobpb.ListRequest) (listPage, error) {
 		response, err := forward(ctx, s.forwarder, methodListJobs, request)
 		page := listPage{more: response.GetMore()}
 		for _, status := range response.GetJobs() {
-			jobs = append(jobs, fromStatus(status))
+			jobs = append(jobs, statusFromProto(status))
 			page.count, page.last = page.count+1, status.GetId()
 		}
 		return page, err
@@ -164,16 +165,17 @@
 	return jobs, err
 }
 
-// listPage tells what a page of a list held.
+// listPage describes a page of a list.
 type listPage struct {
 	count int
-	// last is the id of the last entry; more says that the partition has others behind it.
+	// last is the id of the last entry; more reports whether the partition has further ones.
 	last string
 	more bool
 }
 
-// list asks partition by partition, behind the id after, until limit is reached.
-func (f *forwarder) list(prefix, tenant, after string, limit int, ask func(*jobpb.ListRequest) (listPage, error)) error {
+// list fetches pages partition by partition, starting after the id after, until it has
+// limit entries.
+func (f *forwarder) list(prefix, tenant, after string, limit int, fetchPage func(*jobpb.ListRequest) (listPage, error)) error {
 	partition := uint32(0)
 	if after != "" {
 		first, err := partitionOfID(prefix, after, f.locator.Partitions())
@@ -186,7 +188,7 @@
 		limit = listLimit
 	}
 	for partition < uint32(f.locator.Partitions()) && limit > 0 {
-		page, err := ask(&jobpb.ListRequest{Partition: partition, Tenant: tenant, After: after, Limit: uint32(limit)})
+		page, err := fetchPage(&jobpb.ListRequest{Partition: partition, Tenant: tenant, After: after, Limit: uint32(limit)})
 		if err != nil {
 			return err
 		}
@@ -216,7 +218,7 @@
 			return err
 		}
 		for _, result := range page.GetResults() {
-			if err := yield(fromResult(result)); err != nil {
+			if err := yield(resultFromProto(result)); err != nil {
 				return err
 			}
 		}
@@ -230,14 +232,14 @@
 	}
 }
 
-func fromResult(result *jobpb.ItemResult) ItemResult {
+func resultFromProto(result *jobpb.ItemResult) ItemResult {
 	return ItemResult{
 		Index: int(result.GetIndex()), CustomID: result.GetCustomId(), Outcome: result.GetOutcome(),
 		Status: int(result.GetStatus()), Body: result.GetBody(),
 	}
 }
 
-func fromStatus(status *jobpb.JobStatus) Status {
+func statusFromProto(status *jobpb.JobStatus) Status {
 	return Status{
 		ID: status.GetId(), Tenant: status.GetTenant(), ClientKey: status.GetClientKey(), Service: status.GetService(),
 		Priority: status.GetPriority(), Operation: engine.Operation(status.GetOperation()), Phase: Phase(status.GetPhase()),
--- a/internal/job/state.go
+++ b/internal/job/state.go
@@ -12,7 +12,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// itemClass is how an item ended.
+// itemClass is the outcome class of an item.
 type itemClass uint64
 
 const (
@@ -25,8 +25,8 @@
 	classMask = 1<<classBits - 1
 )
 
-// itemEntry is all that memory holds of an item: the position of its result and
-// its class, in 8 bytes; the zero value is an open item.
+// itemEntry is the in-memory state of an item, packed into 8 bytes: its class and the
+// position of its result. The zero value is an item without a result.
 type itemEntry uint64
 
 func newItemEntry(position ledger.Position, class itemClass) itemEntry {
@@ -47,16 +47,17 @@
 	}
 }
 
-// jobState is one job as its partition's log tells it.
+// jobState is the state of one job, derived from the partition's log.
 type jobState struct {
 	accepted *jobpb.JobAccepted
 	phase    Phase
 	endedAt  time.Time
-	// entries has one element an item.
+	// entries has one element per item.
 	entries   []itemEntry
 	completed int
 	failed    int
-	// attempts holds the last ItemAttempt of each open item that is not repeatable.
+	// attempts holds the last attempt, unless voided, of each item that is not repeatable
+	// and has no result.
 	attempts map[uint32]*jobpb.ItemAttempt
 }
 
@@ -64,7 +65,8 @@
 
 func (j *jobState) remaining() int { return len(j.entries) - j.completed - j.failed }
 
-// keyState is one idempotency key.
+// keyState is the state of one idempotency key. The result position is 0 until there is a
+// result.
 type keyState struct {
 	claimed     *jobpb.KeyClaimed
 	result      ledger.Position
@@ -74,18 +76,20 @@
 // maxChunks bounds the chunks of one upload.
 const maxChunks = 1 << 16
 
-// uploadState is an upload that no JobAccepted or FileStored has named yet.
+// uploadState is an upload that no JobAccepted or FileStored record has committed yet.
 type uploadState struct {
-	// positions holds 0 for a chunk that is not recorded yet; items runs in parallel.
-	positions []uint64
-	items     []uint32
-	bytes     int64
-	lastAt    time.Time
+	// positions holds the position of each chunk, 0 if it is not recorded yet. items holds
+	// the number of items in each.
+	positions   []uint64
+	items       []uint32
+	bytes       int64
+	lastChunkAt time.Time
 }
 
-// partitionState is the state of one partition: a function of its log alone. It is
-// used by one goroutine.
+// partitionState is the state of one partition, derived from its log; dropExpired also
+// drops entries by the current time. It is not safe for concurrent use.
 type partitionState struct {
+	// upTo is the position of the last applied record.
 	upTo       ledger.Position
 	jobs       map[string]*jobState
 	keys       map[string]*keyState
@@ -104,18 +108,21 @@
 	}
 }
 
-// effect is what a record changed; the partition acts on it. One of its types is below.
+// effect is a change of the state that the partition has to act on. It is one of the
+// types below.
 type effect interface{ isEffect() }
 
-// jobBegan: a job was accepted. jobEnded: it ended, or its results expired.
-// itemEnded: an item got its result. keyEnded: a key got its result.
 type (
-	jobBegan  struct{ job *jobState }
-	jobEnded  struct{ job *jobState }
+	// jobBegan reports that a job was accepted and has items to run.
+	jobBegan struct{ job *jobState }
+	// jobEnded reports that a job ended, or that its results expired.
+	jobEnded struct{ job *jobState }
+	// itemEnded reports that an item got its result.
 	itemEnded struct {
 		job   *jobState
 		index int
 	}
+	// keyEnded reports that an idempotency key got its result.
 	keyEnded struct{ name string }
 )
 
@@ -124,9 +131,9 @@
 func (itemEnded) isEffect() {}
 func (keyEnded) isEffect()  {}
 
-// step takes the record at position, in log order, and returns what it changed. A
-// record that says what is settled already has no effect, so that a record which
-// was appended twice does no harm.
+// step applies the record at position and returns the effects. Records are applied in
+// log order. Each kind is idempotent, so that a record which was appended twice does no
+// harm.
 func (s *partitionState) step(position ledger.Position, record ledger.Record) ([]effect, error) {
 	s.upTo = position
 	message, err := decodeRecord(record)
@@ -158,7 +165,7 @@
 	return nil, nil
 }
 
-// decodeRecord returns the message of a record, nil for KindNoOperation.
+// decodeRecord decodes the message of a record; it is nil for KindNoOperation.
 func decodeRecord(record ledger.Record) (proto.Message, error) {
 	var message proto.Message
 	switch record.Kind {
@@ -199,7 +206,7 @@
 		upload = &uploadState{}
 		s.uploads[chunk.GetUploadId()] = upload
 	}
-	upload.lastAt = fromMicros(chunk.GetRecordedAtMicros())
+	upload.lastChunkAt = fromMicros(chunk.GetRecordedAtMicros())
 	sequence := int(chunk.GetSequence())
 	if sequence >= maxChunks || upload.has(sequence) {
 		return
@@ -213,13 +220,14 @@
 	upload.bytes += int64(len(chunk.GetData()))
 }
 
-// has tells whether the chunk of that number is recorded.
+// has reports whether the chunk with the given sequence number is recorded.
 func (u *uploadState) has(sequence int) bool {
 	return sequence < len(u.positions) && u.positions[sequence] != 0
 }
 
-// whole tells whether exactly the first chunks are recorded.
-func (u *uploadState) whole(chunks int) bool {
+// complete reports whether exactly the chunks with the sequence numbers below chunks are
+// recorded.
+func (u *uploadState) complete(chunks int) bool {
 	return len(u.positions) == chunks && !slices.Contains(u.positions, 0)
 }
 
@@ -259,30 +267,30 @@
 	job.phase = PhaseRunning
 }
 
-// open tells whether the item exists and has no result.
+// open reports whether the item exists and has no result.
 func (j *jobState) open(index uint32) bool {
 	return int(index) < len(j.entries) && j.entries[index].class() == classOpen
 }
 
-func (s *partitionState) stepItemCompleted(position ledger.Position, done *jobpb.ItemCompleted) []effect {
-	job := s.jobs[done.GetJobId()]
-	if job == nil || !job.live() || !job.open(done.GetIndex()) {
+func (s *partitionState) stepItemCompleted(position ledger.Position, completed *jobpb.ItemCompleted) []effect {
+	job := s.jobs[completed.GetJobId()]
+	if job == nil || !job.live() || !job.open(completed.GetIndex()) {
 		return nil
 	}
-	class := classOf(outcome.Outcome(done.GetResult().GetOutcome()))
-	job.entries[done.GetIndex()] = newItemEntry(position, class)
-	job.count(class)
-	delete(job.attempts, done.GetIndex())
+	class := classOf(outcome.Outcome(completed.GetResult().GetOutcome()))
+	job.entries[completed.GetIndex()] = newItemEntry(position, class)
+	job.countItem(class)
+	delete(job.attempts, completed.GetIndex())
 	job.phase = PhaseRunning
-	effects := []effect{itemEnded{job, int(done.GetIndex())}}
+	effects := []effect{itemEnded{job, int(completed.GetIndex())}}
 	if job.remaining() == 0 {
-		job.end(PhaseCompleted, done.GetRecordedAtMicros())
+		job.end(PhaseCompleted, completed.GetRecordedAtMicros())
 		effects = append(effects, jobEnded{job})
 	}
 	return effects
 }
 
-func (j *jobState) count(class itemClass) {
+func (j *jobState) countItem(class itemClass) {
 	if class == classCompleted {
 		j.completed++
 	} else {
@@ -294,7 +302,7 @@
 	j.phase = phase
 	j.endedAt = fromMicros(atMicros)
 	j.attempts = nil
-	// What is left of the input is never read again.
+	// The input of an ended job is not read again, so its chunks need not be retained.
 	j.accepted.ChunkPositions, j.accepted.ChunkItems = nil, nil
 }
 
@@ -325,8 +333,9 @@
 	return []effect{jobEnded{job}}
 }
 
-// stepKeyClaimed: the first request id stands; the same one may move to another
-// replica, which it does only after the former one refused it.
+// stepKeyClaimed applies a claim. The first request id keeps the key. A further claim with
+// the same id moves it to another replica, which happens only after the previous replica
+// refused the request.
 func (s *partitionState) stepKeyClaimed(claimed *jobpb.KeyClaimed) {
 	name := idempotencyKey(claimed.GetTenant(), claimed.GetKey())
 	key := s.keys[name]
--- a/internal/job/state_snapshot.go
+++ b/internal/job/state_snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/ledger"
 )
 
-// snapshot encodes the state.
+// snapshot encodes the state as a jobpb.Snapshot.
 func (s *partitionState) snapshot() ([]byte, error) {
 	message := &jobpb.Snapshot{UpTo: uint64(s.upTo)}
 	for _, job := range s.jobs {
@@ -25,7 +25,8 @@
 	}
 	for id, upload := range s.uploads {
 		message.Uploads = append(message.Uploads, &jobpb.UploadSnapshot{
-			Id: id, Positions: upload.positions, Items: upload.items, Bytes: upload.bytes, LastAtMicros: micros(upload.lastAt),
+			Id: id, Positions: upload.positions, Items: upload.items, Bytes: upload.bytes,
+			LastAtMicros: micros(upload.lastChunkAt),
 		})
 	}
 	for _, tombstone := range s.tombstones {
@@ -48,7 +49,7 @@
 	return message
 }
 
-// restorePartitionState is the inverse of snapshot; an empty snapshot is the empty state.
+// restorePartitionState decodes a snapshot; an empty one gives the empty state.
 func restorePartitionState(encoded []byte) (*partitionState, error) {
 	var message jobpb.Snapshot
 	if err := proto.Unmarshal(encoded, &message); err != nil {
@@ -62,7 +63,8 @@
 	for _, key := range message.GetKeys() {
 		claimed := key.GetClaimed()
 		state.keys[idempotencyKey(claimed.GetTenant(), claimed.GetKey())] = &keyState{
-			claimed: claimed, result: ledger.Position(key.GetResultPosition()), completedAt: fromMicros(key.GetCompletedAtMicros()),
+			claimed: claimed, result: ledger.Position(key.GetResultPosition()),
+			completedAt: fromMicros(key.GetCompletedAtMicros()),
 		}
 	}
 	for _, file := range message.GetFiles() {
@@ -70,7 +72,8 @@
 	}
 	for _, upload := range message.GetUploads() {
 		state.uploads[upload.GetId()] = &uploadState{
-			positions: upload.GetPositions(), items: upload.GetItems(), bytes: upload.GetBytes(), lastAt: fromMicros(upload.GetLastAtMicros()),
+			positions: upload.GetPositions(), items: upload.GetItems(), bytes: upload.GetBytes(),
+			lastChunkAt: fromMicros(upload.GetLastAtMicros()),
 		}
 	}
 	for _, tombstone := range message.GetTombstones() {
@@ -90,7 +93,7 @@
 		entry := itemEntry(encoded)
 		job.entries[index] = entry
 		if entry.class() != classOpen {
-			job.count(entry.class())
+			job.countItem(entry.class())
 		}
 	}
 	for _, attempt := range message.GetAttempts() {
@@ -102,8 +105,8 @@
 	return job
 }
 
-// keepFrom returns the lowest position that is still read: inputs of live jobs,
-// results within their retention, files, results of keys, and open uploads.
+// keepFrom returns the lowest log position that may still be read: by the inputs of live
+// jobs, results within their retention, files, results of keys, or uncommitted uploads.
 func (s *partitionState) keepFrom() ledger.Position {
 	lowest := s.upTo + 1
 	keep := func(position ledger.Position) {
--- a/internal/job/takeover_test.go
+++ b/internal/job/takeover_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestTakeoverWithItemsInFlight(t *testing.T) {
-	for _, marked := range []bool{false, true} {
-		t.Run(fmt.Sprintf("marked=%t", marked), func(t *testing.T) {
-			run(t, func(t *testing.T, cluster *testCluster) {
+	for _, notRepeatable := range []bool{false, true} {
+		t.Run(fmt.Sprintf("marked=%t", notRepeatable), func(t *testing.T) {
+			runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 				const items = 150
 				hold := make(chan struct{})
 				cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, request engine.Request, token int) error {
@@ -29,32 +29,35 @@
 						return engine.KindLost.New("cut")
 					}
 				}
-				wanted := submission("takeover", items)
-				wanted.NotRepeatable = marked
-				status := mustSubmit(t, cluster.nodes[0], wanted)
+				input := submission("takeover", items)
+				input.NotRepeatable = notRepeatable
+				status := mustSubmit(t, cluster.nodes[0], input)
 				synctest.Wait()
 				partition := partitionOf(t, status.ID)
-				cluster.own(partition, 2)
+				cluster.assign(partition, 2)
 				if err := cluster.logs[partition].Compact(cluster.machines[partition]); err != nil {
 					t.Fatal(err)
 				}
-				cluster.own(partition, 1)
+				cluster.assign(partition, 1)
 				close(hold)
-				ended := finish(t, cluster.nodes[0], status.ID)
+				ended := waitForEnd(t, cluster.nodes[0], status.ID)
 				if ended.Completed != items {
 					t.Fatalf("ended as %+v", ended)
 				}
-				checkAnswers(t, results(t, cluster.nodes[0], status.ID, 0), 0, items)
-				if _, most := cluster.engine.starts(); marked && most != 1 {
-					t.Fatalf("a marked item ran %d times", most)
+				checkAnswers(t, readResults(t, cluster.nodes[0], status.ID, 0), 0, items)
+				if _, maxPerItem := cluster.engine.starts(); notRepeatable && maxPerItem != 1 {
+					t.Fatalf("an item that is not repeatable ran %d times", maxPerItem)
 				}
 			})
 		})
 	}
 }
 
+// TestPlannedHandoverLeavesNoAttemptWithoutItsCall checks that Quiesce waits until each
+// recorded attempt has reached its engine or has been refused. A new owner that found an
+// attempt without its call would end the item as indeterminate.
 func TestPlannedHandoverLeavesNoAttemptWithoutItsCall(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		const items, refused = 20, 3
 		cluster.credits.limit = 8
 		calls := make(chan error)
@@ -66,20 +69,20 @@
 				return engine.KindNotSent.New("cut")
 			}
 		}
-		wanted := submission("handover", items)
-		wanted.NotRepeatable = true
-		status := mustSubmit(t, cluster.nodes[0], wanted)
+		input := submission("handover", items)
+		input.NotRepeatable = true
+		status := mustSubmit(t, cluster.nodes[0], input)
 		synctest.Wait()
 		id := partitionOf(t, status.ID)
-		quiet := make(chan struct{})
+		quiesced := make(chan struct{})
 		go func() {
-			defer close(quiet)
+			defer close(quiesced)
 			cluster.machines[id].(ledger.Quiescer).Quiesce(t.Context())
 		}()
 		synctest.Wait()
 		for sent := range 8 {
 			select {
-			case <-quiet:
+			case <-quiesced:
 				t.Fatal("quiet with attempts under way")
 			default:
 			}
@@ -89,35 +92,37 @@
 				calls <- nil
 			}
 		}
-		<-quiet
-		cluster.own(id, 2)
+		<-quiesced
+		cluster.assign(id, 2)
 		close(calls)
-		ended := finish(t, cluster.nodes[0], status.ID)
-		if total, most := cluster.engine.starts(); ended.Completed != items || total != items || most != 1 {
-			t.Fatalf("ended as %+v after %d runs, %d of one item", ended, total, most)
+		ended := waitForEnd(t, cluster.nodes[0], status.ID)
+		if total, maxPerItem := cluster.engine.starts(); ended.Completed != items || total != items || maxPerItem != 1 {
+			t.Fatalf("ended as %+v after %d runs, %d of one item", ended, total, maxPerItem)
 		}
 	})
 }
 
+// TestMarkedItemWhoseRunIsGoneIsIndeterminate checks that an item that is not repeatable is
+// not run again when its engine no longer has the run.
 func TestMarkedItemWhoseRunIsGoneIsIndeterminate(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, token int) error {
 			if token == 2 {
-				return waitUntil(ctx)
+				return blockUntilDone(ctx)
 			}
 			return nil
 		}
-		wanted := submission("gone", 5)
-		wanted.NotRepeatable = true
-		status := mustSubmit(t, cluster.nodes[0], wanted)
+		input := submission("gone", 5)
+		input.NotRepeatable = true
+		status := mustSubmit(t, cluster.nodes[0], input)
 		synctest.Wait()
 		cluster.engine.forgetRuns()
-		cluster.own(partitionOf(t, status.ID), 2)
-		ended := finish(t, cluster.nodes[0], status.ID)
+		cluster.assign(partitionOf(t, status.ID), 2)
+		ended := waitForEnd(t, cluster.nodes[0], status.ID)
 		if total, _ := cluster.engine.starts(); ended.Failed != 5 || total != 5 {
 			t.Fatalf("ended as %+v after %d runs", ended, total)
 		}
-		for _, result := range results(t, cluster.nodes[0], status.ID, 0) {
+		for _, result := range readResults(t, cluster.nodes[0], status.ID, 0) {
 			if result.Outcome != string(outcome.Indeterminate) {
 				t.Errorf("item %d is %s", result.Index, result.Outcome)
 			}
@@ -125,8 +130,10 @@
 	})
 }
 
+// TestRequestLeavesAPausedOwnerForItsSuccessor checks that a request pending at a paused
+// owner is sent to the new owner within a second.
 func TestRequestLeavesAPausedOwnerForItsSuccessor(t *testing.T) {
-	run(t, func(t *testing.T, cluster *testCluster) {
+	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		partition := cluster.nodes[0].PartitionOf(idempotencyKey("registry", "key"))
 		owner := cluster.owners[partition]
 		cluster.mutex.Lock()
@@ -139,7 +146,7 @@
 			claimed <- err
 		}()
 		synctest.Wait()
-		cluster.own(partition, (owner+1)%2)
+		cluster.assign(partition, (owner+1)%2)
 		if err := <-claimed; err != nil || time.Since(began) > time.Second {
 			t.Fatalf("claimed after %v: %v", time.Since(began), err)
 		}
--- a/internal/job/upload.go
+++ b/internal/job/upload.go
@@ -21,36 +21,42 @@
 )
 
 const (
-	// chunkBytes is the size from which a chunk of a job is sent, and that of a file.
+	// chunkBytes is the size of a file chunk, and the size from which a chunk of job input
+	// is sent.
 	chunkBytes = 256 << 10
-	// maxLineBytes bounds one item, so that a chunk with it fits into one record.
+	// maxLineBytes bounds the input line of one item, so that a chunk fits into one record.
 	maxLineBytes = 512 << 10
 	// maxJobItems bounds the items of one job.
 	maxJobItems = 1_000_000
 )
 
-// uploadWindow is how many chunks of one upload are on their way at once.
+// uploadWindow is the maximum number of chunks of one upload in flight.
 const uploadWindow = 4
 
-// uploader sends chunks to the owner of a partition, a few at once. It is used by one
-// goroutine.
+// uploader sends the chunks of one upload to the owner of a partition, uploadWindow at a
+// time. It is not safe for concurrent use.
 type uploader struct {
 	forwarder *forwarder
 	partition ledger.PartitionID
 	id        string
 	chunks    uint32
 	sending   *errgroup.Group
-	// caller is the caller's context; ctx is its child that ends at the first chunk that fails.
-	caller, ctx context.Context
+	// callerContext is the caller's context; ctx is derived from it and ends when a chunk
+	// fails.
+	callerContext, ctx context.Context
 }
 
 func newUploader(ctx context.Context, f *forwarder, partition ledger.PartitionID) *uploader {
 	sending, sendContext := errgroup.WithContext(ctx)
 	sending.SetLimit(uploadWindow)
-	return &uploader{forwarder: f, partition: partition, id: newULID().String(), sending: sending, caller: ctx, ctx: sendContext}
+	return &uploader{
+		forwarder: f, partition: partition, id: newULID().String(),
+		sending: sending, callerContext: ctx, ctx: sendContext,
+	}
 }
 
-// send begins to make one chunk durable; it keeps data. It blocks while the window is full.
+// send starts to append one chunk and retains data. It blocks while uploadWindow chunks are
+// in flight.
 func (u *uploader) send(data []byte, items int) {
 	request := &jobpb.AppendChunkRequest{
 		Partition: uint32(u.partition),
@@ -63,15 +69,16 @@
 	})
 }
 
-// failed tells whether a chunk has failed, so that no more need be sent.
+// failed reports whether a chunk has failed or the caller's context has ended, so that no
+// more chunks need to be sent.
 func (u *uploader) failed() bool { return u.ctx.Err() != nil }
 
-// wait returns once all chunks are durable. Nothing depends on a chunk before the
-// commit, so that a failure is always NotRun.
+// wait returns once all chunks are durable or have failed. Its error is always NotRun,
+// because chunks have no effect before the upload is committed.
 func (u *uploader) wait() error {
 	err := u.sending.Wait()
-	if err == nil && u.caller.Err() != nil {
-		return contextError(u.caller, outcome.NotRun)
+	if err == nil && u.callerContext.Err() != nil {
+		return contextError(u.callerContext, outcome.NotRun)
 	}
 	if err == nil {
 		return nil
@@ -81,7 +88,8 @@
 	return &failure
 }
 
-// itemScanner reads a job's JSONL input, checks each line and digests the content.
+// itemScanner reads the JSONL input of a job, validates each line and computes the digest
+// of the content.
 type itemScanner struct {
 	lines     *bufio.Scanner
 	operation engine.Operation
@@ -89,37 +97,40 @@
 	configs   *config.Snapshot
 	maxItems  int
 	digest    hash.Hash
-	names     map[uint64]struct{}
-	items     int
-	number    int
+	// customIDHashes holds the hashes of the custom ids read so far.
+	customIDHashes map[uint64]struct{}
+	items          int
+	// lineNumber is the number of the current line, from 1, counting empty lines.
+	lineNumber int
 }
 
 func newItemScanner(submission *Submission, configs *config.Snapshot) *itemScanner {
 	scanner := &itemScanner{
 		lines: bufio.NewScanner(submission.Items), operation: submission.Operation,
 		service: submission.Service, configs: configs, maxItems: maxItems(configs, submission.Tenant),
-		digest: sha256.New(), names: make(map[uint64]struct{}),
+		digest: sha256.New(), customIDHashes: make(map[uint64]struct{}),
 	}
 	scanner.lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	fmt.Fprintf(scanner.digest, "%s\x00%s\x00%t\x00", submission.Service, submission.Operation, submission.NotRepeatable)
 	return scanner
 }
 
-// next returns the next line, valid until the call after; io.EOF at the end, else
-// an *outcome.Error.
+// next returns the next non-empty line, which is valid until the following call. The error
+// is io.EOF at the end of the input, otherwise an *outcome.Error.
 func (s *itemScanner) next() ([]byte, error) {
 	for s.lines.Scan() {
-		s.number++
+		s.lineNumber++
 		line := bytes.TrimSpace(s.lines.Bytes())
 		if len(line) == 0 {
 			continue
 		}
 		if err := s.check(line); err != nil {
-			return nil, outcome.Wrap(err, outcome.NotRun, outcome.ReasonInvalid, fmt.Sprintf("line %d", s.number))
+			return nil, outcome.Wrap(err, outcome.NotRun, outcome.ReasonInvalid, fmt.Sprintf("line %d", s.lineNumber))
 		}
 		s.items++
 		if s.items > s.maxItems {
-			return nil, outcome.New(outcome.NotRun, outcome.ReasonTooLarge, fmt.Sprintf("a job has at most %d items", s.maxItems))
+			return nil, outcome.New(outcome.NotRun, outcome.ReasonTooLarge,
+				fmt.Sprintf("a job has at most %d items", s.maxItems))
 		}
 		_, _ = s.digest.Write(line)
 		_, _ = s.digest.Write([]byte{'\n'})
@@ -130,7 +141,8 @@
 	case err == nil:
 		return nil, io.EOF
 	case errors.Is(err, bufio.ErrTooLong):
-		return nil, outcome.New(outcome.NotRun, outcome.ReasonTooLarge, fmt.Sprintf("line %d is over %d bytes", s.number+1, maxLineBytes))
+		return nil, outcome.New(outcome.NotRun, outcome.ReasonTooLarge,
+			fmt.Sprintf("line %d is over %d bytes", s.lineNumber+1, maxLineBytes))
 	}
 	var typed *outcome.Error
 	if errors.As(err, &typed) {
@@ -144,21 +156,21 @@
 	if err != nil {
 		return err
 	}
-	if !validText(item.CustomID) {
+	if !validUTF8(item.CustomID) {
 		return errors.New("custom_id is not UTF-8")
 	}
 	if _, _, served := resolveModel(s.configs, s.service, item.generation.Model); !served {
 		return fmt.Errorf("model %q is not served by %s", item.generation.Model, s.service)
 	}
-	name := xxhash.Sum64String(item.CustomID)
-	if _, present := s.names[name]; present {
+	idHash := xxhash.Sum64String(item.CustomID)
+	if _, seen := s.customIDHashes[idHash]; seen {
 		return fmt.Errorf("custom_id %q stands twice", item.CustomID)
 	}
-	s.names[name] = struct{}{}
+	s.customIDHashes[idHash] = struct{}{}
 	return nil
 }
 
-// digestOnly reads the input to its end.
+// digestOnly validates and digests the input without uploading it.
 func (s *itemScanner) digestOnly() error {
 	for {
 		if _, err := s.next(); errors.Is(err, io.EOF) {
@@ -169,24 +181,24 @@
 	}
 }
 
-// uploadTo sends the input to its end in chunks of whole lines and waits for them.
-func (s *itemScanner) uploadTo(to *uploader) error {
+// uploadTo uploads the input in chunks of whole lines and waits until they are durable.
+func (s *itemScanner) uploadTo(upload *uploader) error {
 	var chunk []byte
 	items := 0
 	flush := func() {
 		if items > 0 {
-			to.send(chunk, items)
+			upload.send(chunk, items)
 		}
 		chunk, items = nil, 0
 	}
-	for !to.failed() {
+	for !upload.failed() {
 		line, err := s.next()
 		if errors.Is(err, io.EOF) {
 			flush()
 			break
 		}
 		if err != nil {
-			_ = to.wait()
+			_ = upload.wait()
 			return err
 		}
 		if chunk == nil {
@@ -198,5 +210,5 @@
 			flush()
 		}
 	}
-	return to.wait()
+	return upload.wait()
 }
