--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -18,69 +18,70 @@
 )
 
 const (
-	// maxHeldAnswer bounds an answer that is read whole before the caller gets it, so that another replica can be tried.
-	maxHeldAnswer = 256 << 10
-	// copyBufferBytes is the size of the pieces in which an answer is passed on.
+	// maxBufferedAnswerBytes bounds an answer that is buffered whole before the caller gets it, so that another replica can still be
+	// tried if it is an error or is cut off.
+	maxBufferedAnswerBytes = 256 << 10
+	// copyBufferBytes is the size of the chunks in which a larger answer is relayed.
 	copyBufferBytes = 16 << 10
 )
 
-// errSilent says that a replica sent nothing for too long.
-var errSilent = errors.New("replica is silent")
+// errSilenceTimeout reports that a replica sent no data within the silence timeout.
+var errSilenceTimeout = errors.New("replica sent no data within the silence timeout")
 
-// errUnsigned says that a success came without the replica's signature: its head may have been cut short.
-var errUnsigned = errors.New("answer is not signed")
+// errUnsigned reports a success without the replica's signature: its header may have been cut short.
+var errUnsigned = errors.New("answer has no replica signature")
 
-// attempt sends the request to one replica and passes its answer on.
-func (e *exchange) attempt(ctx context.Context, handle *replica.Handle) verdict {
+// sendToReplica sends the request to one replica and relays its answer.
+func (e *exchange) sendToReplica(ctx context.Context, handle *replica.Handle) attemptOutcome {
 	release := handle.Acquire()
 	defer release()
-	e.promptRead = handle.BeginReading(e.promptTokens)
-	defer e.promptRead()
+	e.markPromptRead = handle.BeginReading(e.promptTokens)
+	defer e.markPromptRead()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	e.attemptBegan = clock.Now()
-	patience := e.watchSilence(cancel)
-	defer patience.stop()
+	e.attemptStart = clock.Now()
+	silence := e.watchSilence(cancel)
+	defer silence.stop()
 	answer, err := e.handler.client.Do(ctx, handle, e.callFor(handle))
 	if err != nil {
-		return e.failed(ctx, handle, err)
+		return e.handleCallError(ctx, handle, err)
 	}
 	e.lastStatus = answer.Status
-	whole := false
-	defer func() { answer.Close(whole) }()
-	if refused(answer, e.handler.headers) {
-		_, err := io.CopyN(io.Discard, answer.Body, maxHeldAnswer)
-		whole = errors.Is(err, io.EOF)
+	consumed := false
+	defer func() { answer.Close(consumed) }()
+	if promisesNotRun(answer, e.handler.headers) {
+		_, err := io.CopyN(io.Discard, answer.Body, maxBufferedAnswerBytes)
+		consumed = errors.Is(err, io.EOF)
 		handle.Refused(answer.Status, clock.Now())
-		e.event(handle).Int("status", answer.Status).Msg("replica_refused")
+		e.logEvent(handle).Int("status", answer.Status).Msg("replica_refused")
 		return notRun
 	}
 	if answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices && answer.Header.Get(e.handler.headers.Signature) == "" {
 		handle.Failed(clock.Now())
 		e.lastError = errUnsigned
-		e.event(handle).Int("status", answer.Status).Msg("answer_unsigned")
-		return e.afterLoss()
+		e.logEvent(handle).Int("status", answer.Status).Msg("answer_unsigned")
+		return e.lossOutcome()
 	}
-	var result verdict
-	result, whole = e.passOn(ctx, handle, answer, patience)
+	var result attemptOutcome
+	result, consumed = e.forwardAnswer(ctx, handle, answer, silence)
 	return result
 }
 
-// refused says that the answer promises that the request has not run.
-func refused(answer *replica.Answer, headers replica.Headers) bool {
+// promisesNotRun reports whether the answer guarantees that the request has not run.
+func promisesNotRun(answer *replica.Answer, headers replica.Headers) bool {
 	if answer.Status == http.StatusMisdirectedRequest {
 		return true
 	}
 	return answer.Header.Get(headers.NotRun) != "" && answer.Status != http.StatusBadRequest
 }
 
-// failed judges a call without an answer.
-func (e *exchange) failed(ctx context.Context, handle *replica.Handle, err error) verdict {
+// handleCallError records a call that failed without a complete answer, and returns its outcome.
+func (e *exchange) handleCallError(ctx context.Context, handle *replica.Handle, err error) attemptOutcome {
 	if e.request.Context().Err() != nil {
 		return callerGone
 	}
 	if errors.Is(err, replica.ErrEvacuated) {
-		e.event(handle).Msg("zone_left")
+		e.logEvent(handle).Msg("zone_left")
 		return notRun
 	}
 	e.lastError = errors.Join(err, context.Cause(ctx))
@@ -88,111 +89,111 @@
 		if errors.Is(err, replica.ErrNotSent) {
 			return notSent
 		}
-		return e.afterLoss()
+		return e.lossOutcome()
 	}
-	silent := e.silent()
-	if silent && handle.AnsweredSince(e.attemptBegan) {
-		// It answers others: it is not down, the request waits there for its turn.
+	timedOut := e.endedBySilence()
+	if timedOut && handle.AnsweredSince(e.attemptStart) {
+		// The replica answers other requests, so it is up and this request is waiting in its queue.
 		handle.Rejected(clock.Now())
 	} else {
 		handle.Failed(clock.Now())
-		if silent {
-			e.foundSilence = true
+		if timedOut {
+			e.silenceDetected = true
 			handle.DropKept()
 			handle.Silent()
 		}
 	}
-	e.event(handle).Err(e.lastError).Msg("call_failed")
+	e.logEvent(handle).Err(e.lastError).Msg("call_failed")
 	if errors.Is(err, replica.ErrNotSent) {
 		return notSent
 	}
-	return e.afterLoss()
+	return e.lossOutcome()
 }
 
-// silent says that the last attempt ended since nothing came.
-func (e *exchange) silent() bool {
-	return errors.Is(e.lastError, errSilent) || errors.Is(e.lastError, syscall.ETIMEDOUT)
+// endedBySilence reports whether the last attempt ended because the replica sent nothing.
+func (e *exchange) endedBySilence() bool {
+	return errors.Is(e.lastError, errSilenceTimeout) || errors.Is(e.lastError, syscall.ETIMEDOUT)
 }
 
-// afterLoss is the verdict on a run whose answer did not come to its end.
-func (e *exchange) afterLoss() verdict {
-	if e.headSent {
-		return brokenOff
+// lossOutcome is the outcome of a run whose answer was not received to its end.
+func (e *exchange) lossOutcome() attemptOutcome {
+	if e.headersSent {
+		return truncated
 	}
 	return maybeRun
 }
 
-// passOn gives the caller the answer; whole says that all of it was read.
-func (e *exchange) passOn(ctx context.Context, handle *replica.Handle, answer *replica.Answer, patience *silenceTimer) (result verdict, whole bool) {
+// forwardAnswer relays the answer to the caller; consumed reports whether the whole answer was read.
+func (e *exchange) forwardAnswer(ctx context.Context, handle *replica.Handle, answer *replica.Answer, silence *silenceTimer) (result attemptOutcome, consumed bool) {
 	succeeded := answer.Status < http.StatusMultipleChoices
-	if e.headSent && !succeeded {
+	if e.headersSent && !succeeded {
 		handle.Failed(clock.Now())
-		e.event(handle).Int("status", answer.Status).Msg("resume_failed")
-		return brokenOff, false
+		e.logEvent(handle).Int("status", answer.Status).Msg("resume_failed")
+		return truncated, false
 	}
 	if succeeded && e.route.Kind == route.Stream {
-		return e.passStream(ctx, handle, answer, patience)
+		return e.forwardStream(ctx, handle, answer, silence)
 	}
-	return e.passBody(ctx, handle, answer)
+	return e.forwardBody(ctx, handle, answer)
 }
 
-// passBody passes on an answer that is not a stream of events. A short one is read whole first.
-func (e *exchange) passBody(ctx context.Context, handle *replica.Handle, answer *replica.Answer) (result verdict, whole bool) {
-	held, err := io.ReadAll(io.LimitReader(answer.Body, maxHeldAnswer+1))
+// forwardBody relays an answer that is not an event stream. A short one is buffered whole first.
+func (e *exchange) forwardBody(ctx context.Context, handle *replica.Handle, answer *replica.Answer) (result attemptOutcome, consumed bool) {
+	prefix, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswerBytes+1))
 	if err != nil {
-		return e.failed(ctx, handle, err), false
+		return e.handleCallError(ctx, handle, err), false
 	}
-	if len(held) <= maxHeldAnswer {
-		complete := &wholeAnswer{status: answer.Status, header: answer.Header, body: held}
+	if len(prefix) <= maxBufferedAnswerBytes {
+		buffered := &bufferedAnswer{status: answer.Status, header: answer.Header, body: prefix}
 		if answer.Status >= http.StatusInternalServerError {
 			handle.Failed(clock.Now())
-			e.badAnswer = complete
-			return answeredBadly, true
+			e.errorAnswer = buffered
+			return errorAnswered, true
 		}
 		handle.Succeeded()
-		complete.write(e.writer)
+		buffered.write(e.writer)
 		return delivered, true
 	}
-	copyHead(e.writer.Header(), answer.Header)
+	copyHeaders(e.writer.Header(), answer.Header)
 	if answer.Length >= 0 {
 		e.writer.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
 	e.writer.WriteHeader(answer.Status)
-	e.headSent = true
-	if _, err := e.writer.Write(held); err != nil {
+	e.headersSent = true
+	if _, err := e.writer.Write(prefix); err != nil {
 		return callerGone, false
 	}
-	if _, err := io.CopyBuffer(onlyWriter{e.writer}, answer.Body, make([]byte, copyBufferBytes)); err != nil {
+	if _, err := io.CopyBuffer(writerOnly{e.writer}, answer.Body, make([]byte, copyBufferBytes)); err != nil {
 		if e.request.Context().Err() != nil {
 			return callerGone, false
 		}
 		handle.Failed(clock.Now())
 		e.lastError = err
-		return brokenOff, false
+		return truncated, false
 	}
 	handle.Succeeded()
 	return delivered, true
 }
 
-// onlyWriter hides other methods of a writer, so that a copy goes through its own buffer.
-type onlyWriter struct{ io.Writer }
+// writerOnly hides the other methods of a writer (io.ReaderFrom), so that io.CopyBuffer uses the buffer it is given.
+type writerOnly struct{ io.Writer }
 
-// event begins a log line about the request at one replica.
-func (e *exchange) event(handle *replica.Handle) *zerolog.Event {
+// logEvent starts a log line about the request at one replica.
+func (e *exchange) logEvent(handle *replica.Handle) *zerolog.Event {
 	info := handle.Info()
 	return e.handler.logger.Info().Str(logging.FieldRequest, e.id).Str("route", e.route.Name).Str(logging.FieldReplica, info.ID).
 		Stringer("address", info.Address).Dur("after", clock.Since(e.arrived))
 }
 
-// wholeAnswer is a replica's answer that was read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is a replica's answer that was read to its end.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a *wholeAnswer) write(writer http.ResponseWriter) {
-	copyHead(writer.Header(), a.header)
+func (a *bufferedAnswer) write(writer http.ResponseWriter) {
+	copyHeaders(writer.Header(), a.header)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	writer.WriteHeader(a.status)
 	_, _ = writer.Write(a.body)
--- a/internal/forward/authenticate_test.go
+++ b/internal/forward/authenticate_test.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// withTenants puts a table in force that declares tenants; its routes are those before, and a public and a batch route.
+// withTenants offers a configuration with tenants. It keeps the present routes and adds a public route and a batch route.
 func (e *edgeUnderTest) withTenants(priority *int) {
 	before := e.routes.Table()
 	public := &route.Route{Name: "public", Host: "h.example", Prefix: "/public/", Kind: route.NotRepeatable, Attempts: 1, Public: true, Backends: before.Routes[0].Backends}
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestTenantIsNamedOnEachRun: the second replica that gets a request is told the tenant as well.
+// TestTenantIsNamedOnEachRun: the tenant header is also sent to the second replica that gets a request.
 func TestTenantIsNamedOnEachRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{
@@ -79,9 +79,9 @@
 		if len(sent) != 2 {
 			t.Fatalf("%d runs, want 2", len(sent))
 		}
-		for number, each := range sent {
-			if _, leaked := each.Header["X-Key"]; leaked || each.Header.Get("X-Tenant") != "one" {
-				t.Errorf("run %d has %v", number, each.Header)
+		for number, received := range sent {
+			if _, leaked := received.Header["X-Key"]; leaked || received.Header.Get("X-Tenant") != "one" {
+				t.Errorf("run %d has %v", number, received.Header)
 			}
 		}
 	})
@@ -93,7 +93,7 @@
 		holder *tenant.Tenant
 		want   int
 	}{{nil, 1}, {&tenant.Tenant{}, 1}, {&tenant.Tenant{Priority: &own}, 3}} {
-		waiting := &exchange{route: &route.Route{Priority: 1}, terms: Authenticated{Tenant: test.holder}}
+		waiting := &exchange{route: &route.Route{Priority: 1}, auth: Authenticated{Tenant: test.holder}}
 		if got := waiting.priority(); got != test.want {
 			t.Errorf("priority %d, want %d", got, test.want)
 		}
@@ -124,14 +124,14 @@
 				t.Errorf("key %q: status %d", key, status)
 			}
 		}
-		// The route of a job may be gone while its results are still read.
+		// The route of a job may have been removed while its results are still read.
 		if status, caller := call("gone.example", "key-1"); status != 200 || caller.Tenant != "one" {
 			t.Errorf("without a route: %d, %v", status, caller)
 		}
 	})
 }
 
-// fakeQuota admits so many requests.
+// fakeQuota admits left requests and counts refunds.
 type fakeQuota struct {
 	left, givenBack int
 }
@@ -146,7 +146,8 @@
 
 func (q *fakeQuota) GiveBack(*tenant.Tenant) { q.givenBack++ }
 
-// TestRequestsOverTheQuotaAreRefused: they get 429 with the time to come back and reach no replica; one that no replica ran is given back.
+// TestRequestsOverTheQuotaAreRefused: such requests get 429 with Retry-After and reach no replica; an admitted request that no replica ran
+// is refunded.
 func TestRequestsOverTheQuotaAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -11,10 +11,10 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// passesOnly admits requests to cold replicas by their passes.
-type passesOnly struct{ taken int }
+// passLimiter admits requests to cold replicas by their passes alone.
+type passLimiter struct{ taken int }
 
-func (p *passesOnly) Take(handle *replica.Handle) bool {
+func (p *passLimiter) Take(handle *replica.Handle) bool {
 	if !handle.Cold(time.Now()) {
 		return true
 	}
@@ -25,10 +25,10 @@
 	return admitted
 }
 
-func coldEdge(t *testing.T, scripts map[string]replicatest.Script, cold ...string) (*edgeUnderTest, *passesOnly) {
+func coldEdge(t *testing.T, scripts map[string]replicatest.Script, cold ...string) (*edgeUnderTest, *passLimiter) {
 	t.Helper()
 	edge := newEdgeUnderTest(t, route.Repeatable, false, scripts)
-	limiter := &passesOnly{}
+	limiter := &passLimiter{}
 	edge.coldStarts = limiter
 	for _, id := range cold {
 		handle := edge.directory.View().Find(id)
@@ -38,11 +38,11 @@
 	return edge, limiter
 }
 
-var well = replicatest.Answer(http.StatusOK, replicatest.Signed, "body")
+var okAnswer = replicatest.Answer(http.StatusOK, replicatest.Signed, "body")
 
 func TestRequestGoesPastAColdReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		edge, _ := coldEdge(t, map[string]replicatest.Script{"a": well, "b": well}, "a")
+		edge, _ := coldEdge(t, map[string]replicatest.Script{"a": okAnswer, "b": okAnswer}, "a")
 		if recorded, _ := edge.call(nil); recorded.Code != http.StatusOK {
 			t.Errorf("status %d", recorded.Code)
 		}
@@ -52,10 +52,10 @@
 	})
 }
 
-// TestRequestIsRefusedSoonWhereAllReplicasAreCold: the caller can still be served in time by another node.
+// TestRequestIsRefusedSoonWhereAllReplicasAreCold: the caller can then still be served on time by another node.
 func TestRequestIsRefusedSoonWhereAllReplicasAreCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		edge, _ := coldEdge(t, map[string]replicatest.Script{"a": well, "b": well}, "a", "b")
+		edge, _ := coldEdge(t, map[string]replicatest.Script{"a": okAnswer, "b": okAnswer}, "a", "b")
 		began := time.Now()
 		recorded, _ := edge.call(nil)
 		if recorded.Code != http.StatusServiceUnavailable || recorded.Header().Get("Retry-After") == "" {
@@ -72,7 +72,7 @@
 
 func TestRequestsTakeTheirPartOfAColdReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		edge, limiter := coldEdge(t, map[string]replicatest.Script{"a": well, "b": well}, "a", "b")
+		edge, limiter := coldEdge(t, map[string]replicatest.Script{"a": okAnswer, "b": okAnswer}, "a", "b")
 		edge.directory.View().Find("a").SetColdPass(replica.NewColdPass(2, time.Now().Add(time.Second)))
 		served := 0
 		for range 5 {
@@ -86,10 +86,10 @@
 	})
 }
 
-// TestRetryCountsAtAColdReplica: a second attempt of one request takes from the pass as the first one does.
+// TestRetryCountsAtAColdReplica: the second attempt of a request is charged to the pass like the first.
 func TestRetryCountsAtAColdReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		edge, limiter := coldEdge(t, map[string]replicatest.Script{"a": replicatest.Lose(), "b": well}, "a", "b")
+		edge, limiter := coldEdge(t, map[string]replicatest.Script{"a": replicatest.Lose(), "b": okAnswer}, "a", "b")
 		for _, id := range []string{"a", "b"} {
 			edge.directory.View().Find(id).SetColdPass(replica.NewColdPass(1, time.Now().Add(time.Second)))
 		}
--- a/internal/forward/cold_wait.go
+++ b/internal/forward/cold_wait.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// coldWaitStep is the wait between two tries to find a cold replica that may get one more request.
-	coldWaitStep = 20 * time.Millisecond
-	// coldWaitPart is the part of a request's objective for which it waits: a caller that is refused within it can still be served in time
-	// by another node, which may hold passes of the cold replicas.
-	coldWaitPart = 0.2
+	// coldRetryInterval is the wait between two searches for a cold replica that may get one more request.
+	coldRetryInterval = 20 * time.Millisecond
+	// maxColdWaitShare is the share of a request's objective for which it waits: a caller that is refused within it can still be
+	// served on time by another node, which may hold passes for the cold replicas.
+	maxColdWaitShare = 0.2
 )
 
-// waitForCold waits a moment where the replicas that could take the request are cold, and says that it may be tried again.
-func (e *exchange) waitForCold(ctx context.Context) bool {
-	if e.handler.coldStarts == nil || !e.coldReplicas() {
+// waitForColdReplica waits briefly if replicas that could take the request are cold, and reports whether to search again.
+func (e *exchange) waitForColdReplica(ctx context.Context) bool {
+	if e.handler.coldStarts == nil || !e.hasColdReplica() {
 		return false
 	}
-	waited := time.Duration(coldWaitPart * float64(e.route.Objective))
-	if clock.Since(e.arrived) >= waited {
+	maxWait := time.Duration(maxColdWaitShare * float64(e.route.Objective))
+	if clock.Since(e.arrived) >= maxWait {
 		return false
 	}
-	return pause.Sleep(ctx, coldWaitStep)
+	return pause.Sleep(ctx, coldRetryInterval)
 }
 
-// coldReplicas says that replicas of the route's services are cold.
-func (e *exchange) coldReplicas() bool {
+// hasColdReplica reports whether a usable replica of the route's services is cold.
+func (e *exchange) hasColdReplica() bool {
 	now := clock.Now()
 	view := e.handler.directory.View()
 	for _, backend := range e.route.Backends {
--- a/internal/forward/copied_replica_test.go
+++ b/internal/forward/copied_replica_test.go
@@ -11,8 +11,8 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestCopiedReplicaAtAnothersAddress: a replica that only a copy names, at whose address another service answers 421, is asked once: the
-// request names the replica that it is for, goes on to the next one, and later requests go there at once.
+// TestCopiedReplicaAtAnothersAddress covers a replica known only from a copy, at whose address another service answers 421 to requests for
+// that instance. It is asked once: that request goes on to the next replica, and later requests go there directly.
 func TestCopiedReplicaAtAnothersAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
--- a/internal/forward/doc.go
+++ b/internal/forward/doc.go
@@ -1,6 +1,6 @@
-// Package forward serves callers' requests that are passed on unchanged: it finds the route, chooses a replica, sends the
-// request there and gives the answer back as it comes, event by event for streams.
+// Package forward serves online requests: it matches the route, chooses a replica, sends the request there unchanged and relays the
+// answer as it arrives, event by event for streams.
 //
-// A request that may have run is sent again only where its route allows that. An answer of this process's own with
-// status 503 promises that the request has not run and will not; 502 and 504 promise nothing.
+// A request that may have run is sent again only where its route allows that. A 503 that this process itself produces guarantees that
+// the request has not run and will not run; a 502 or 504 guarantees nothing.
 package forward
--- a/internal/forward/ended_replica_test.go
+++ b/internal/forward/ended_replica_test.go
@@ -13,9 +13,10 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestReplicaThatAnswersAgainHasCostAnAttempt: a run whose replica is taken for ended costs a request none of its attempts, since a replica
-// that has ended runs nothing. One that refuses connections for a moment and then answers has run the request as any other: with two
-// attempts allowed, the request ran on three replicas that live, and with up to three such replicas on five.
+// TestReplicaThatAnswersAgainHasCostAnAttempt guards against more runs than the route allows. A run whose replica is taken to have exited
+// costs a request none of its attempts, as an exited replica runs nothing. A replica that refuses connections for a moment and then
+// answers has run the request like any other. Before its run was counted, a request with two allowed attempts ran on three live
+// replicas, and with up to three such replicas on five.
 func TestReplicaThatAnswersAgainHasCostAnAttempt(t *testing.T) {
 	for name, test := range map[string]struct {
 		answersAgain bool
@@ -28,7 +29,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				edge := newEdgeUnderTest(t, route.Repeatable, false, map[string]replicatest.Script{"a": replicatest.Lose()})
 				edge.addThirdReplica(replicatest.Lose())
-				edge.Handler.quarantine = &fakeRegister{ended: true, endedFirst: 1}
+				edge.Handler.quarantine = &fakeRegister{exited: true, exitedFirst: 1}
 				edge.routes.Table().Routes[0].Attempts = 2
 				for address := range edge.replicas.Scripts {
 					if address != edge.directory.View().Find("a").Info().Address {
@@ -45,7 +46,7 @@
 	}
 }
 
-// addThirdReplica adds the replica "c".
+// addThirdReplica adds the replica "c"; it and "b" get the script.
 func (e *edgeUnderTest) addThirdReplica(script replicatest.Script) {
 	address := netip.MustParseAddrPort("127.0.0.1:1002")
 	second := netip.MustParseAddrPort("127.0.0.1:1001")
@@ -53,7 +54,7 @@
 	e.directory.Update([]replica.Info{{ID: "c", Service: "s", Zone: "far", Address: address, Slots: 8}}, nil)
 }
 
-// loseAfterAnswerOf reads a request and closes the connection; where answers is set, another replica has answered meanwhile.
+// loseAfterAnswerOf reads a request and closes the connection; if answers is set, the other replica has answered in the meantime.
 func (e *edgeUnderTest) loseAfterAnswerOf(other string, answers bool) replicatest.Script {
 	return func(net.Conn, *http.Request) bool {
 		time.Sleep(time.Millisecond)
--- a/internal/forward/evacuation.go
+++ b/internal/forward/evacuation.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// reasonEvacuated and reasonNoReplica are the reasons of an answer where no replica may have the request.
+	// reasonEvacuated and reasonNoReplica are the reasons given in an answer when no replica can take the request.
 	reasonEvacuated = "all_zones_evacuated"
 	reasonNoReplica = "no_replica"
-	// retryAfterEvacuated is the Retry-After where all replicas are in evacuated zones. An operator takes a zone back after seconds at the least: a
-	// caller who came back sooner would be rejected again, and one who comes later is late for no reason.
+	// retryAfterEvacuated is the Retry-After when all replicas are in evacuated zones. An operator restores a zone after seconds at
+	// the earliest: a caller that came back sooner would be rejected again, and a longer value would delay it needlessly.
 	retryAfterEvacuated = time.Second
 )
 
-// allEvacuated says that all replicas that could serve the request are in evacuated zones: it can be rejected at once, without waiting for
-// room that nobody gives.
+// allEvacuated reports whether all replicas that could serve the request are in evacuated zones. Such a request is rejected at once
+// instead of waiting for capacity that will not become free.
 func (e *exchange) allEvacuated() bool {
 	view := e.handler.directory.View()
 	evacuated := false
@@ -32,19 +32,19 @@
 	return evacuated
 }
 
-// whyNone is the reason for which no replica was found.
-func (e *exchange) whyNone() string {
+// noReplicaReason returns the reason why no replica was found.
+func (e *exchange) noReplicaReason() string {
 	if e.allEvacuated() {
 		return reasonEvacuated
 	}
-	if !e.servedAtHome(clock.Now()) {
-		e.handler.metrics.outsideHomes(e.route.Name)
+	if !e.servedInHomes(clock.Now()) {
+		e.handler.metrics.countNoReplicaInHomes(e.route.Name)
 		return reasonOutsideHomes
 	}
 	return reasonNoReplica
 }
 
-// retryAfter is the time after which a rejected caller may come back.
+// retryAfter returns the Retry-After for a rejection.
 func retryAfter(reason string) time.Duration {
 	if reason == reasonEvacuated {
 		return retryAfterEvacuated
--- a/internal/forward/evacuation_test.go
+++ b/internal/forward/evacuation_test.go
@@ -15,16 +15,17 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestStreamIsResumedOutsideTheEvacuatedZone: what runs there may end there; what breaks off goes on elsewhere, or nowhere.
+// TestStreamIsResumedOutsideTheEvacuatedZone: a running stream may finish in the evacuated zone; one that is interrupted resumes in another
+// zone, or not at all.
 func TestStreamIsResumedOutsideTheEvacuatedZone(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		zone string
-		// whole says that the first replica makes the whole stream.
-		whole   bool
-		body    string
-		aborted bool
-		runs    int
+		// complete is set if the first replica sends the whole stream.
+		complete bool
+		body     string
+		aborted  bool
+		runs     int
 	}{
 		{"it ends where it runs", "near", true, eventOne + eventTwo, false, 1},
 		{"it breaks off and goes on elsewhere", "near", false, eventOne + eventTwo, false, 2},
@@ -34,13 +35,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				var edge *edgeUnderTest
 				events := []string{eventOne}
-				if test.whole {
+				if test.complete {
 					events = append(events, eventTwo)
 				}
 				edge = newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{
 					"a": func(connection net.Conn, request *http.Request) bool {
 						edge.directory.SetEvacuated(zoneSet(test.zone))
-						return replicatest.Stream("s1", test.whole, false, events...)(connection, request)
+						return replicatest.Stream("s1", test.complete, false, events...)(connection, request)
 					},
 					"b": replicatest.Stream("s2", true, false, eventTwo),
 				})
@@ -54,7 +55,7 @@
 	}
 }
 
-// limiterFunc is a coldstart.Limiter.
+// limiterFunc implements coldstart.Limiter.
 type limiterFunc func(handle *replica.Handle) bool
 
 func (f limiterFunc) Take(handle *replica.Handle) bool { return f(handle) }
@@ -67,8 +68,8 @@
 	return set
 }
 
-// TestRequestOnItsWayGoesElsewhere: the zone is evacuated after the replica was chosen and before anything is sent. The replica is not
-// held for failing.
+// TestRequestOnItsWayGoesElsewhere: the zone is evacuated after the replica was chosen and before anything is sent. The replica does not
+// count as failing.
 func TestRequestOnItsWayGoesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
@@ -89,19 +90,19 @@
 	})
 }
 
-// TestAllZonesEvacuated: the caller is told so at once, also where the request is held back as the last zone is evacuated.
+// TestAllZonesEvacuated: the request is rejected at once, also if it is held at the gate when the last zone is evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
 	both := zoneSet("near", "far")
 	for _, test := range []struct {
-		name    string
-		prepare func(*edgeUnderTest)
-		most    time.Duration
+		name       string
+		prepare    func(*edgeUnderTest)
+		maxElapsed time.Duration
 	}{
 		{"before the request comes", func(edge *edgeUnderTest) { edge.directory.SetEvacuated(both) }, 0},
 		{"while it is held back", func(edge *edgeUnderTest) {
-			edge.gate.Enter(context.Background(), held{service: "s", deadline: time.Now().Add(time.Minute)})
+			edge.gate.Enter(context.Background(), gateRequest{service: "s", deadline: time.Now().Add(time.Minute)})
 			time.AfterFunc(50*time.Millisecond, func() { edge.directory.SetEvacuated(both) })
-		}, 50*time.Millisecond + gateInterval},
+		}, 50*time.Millisecond + gateCheckInterval},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -117,7 +118,7 @@
 				if recorded.Code != http.StatusServiceUnavailable || !strings.Contains(recorded.Body.String(), reasonEvacuated) {
 					t.Errorf("status %d, %q", recorded.Code, recorded.Body)
 				}
-				if recorded.Header().Get("Retry-After") != "1.000" || time.Since(began) > test.most {
+				if recorded.Header().Get("Retry-After") != "1.000" || time.Since(began) > test.maxElapsed {
 					t.Errorf("Retry-After %q after %s", recorded.Header().Get("Retry-After"), time.Since(began))
 				}
 			})
@@ -125,7 +126,7 @@
 	}
 }
 
-// TestRequestsThatEndInAnEvacuatedZoneTakeNoRoomElsewhere: the gate lets as many through as the replicas that are left have slots.
+// TestRequestsThatEndInAnEvacuatedZoneTakeNoRoomElsewhere: the gate admits as many requests as the remaining replicas have slots.
 func TestRequestsThatEndInAnEvacuatedZoneTakeNoRoomElsewhere(t *testing.T) {
 	directory := replica.NewDirectory()
 	directory.Replace([]replica.Info{{ID: "a", Service: "s", Zone: "near", Slots: 8}, {ID: "b", Service: "s", Zone: "far", Slots: 8}})
@@ -144,7 +145,7 @@
 		{"the zone without requests is evacuated", []string{"far"}, 4, false},
 	} {
 		directory.SetEvacuated(zoneSet(test.zones...))
-		allowed := gate.allowed("s", &serviceGate{inUse: test.own}, now)
+		allowed := gate.maxInUse("s", &serviceGate{inUse: test.own}, now)
 		if got := allowed >= test.own; got != test.want {
 			t.Errorf("%s: %d are allowed, the node has %d", test.name, allowed, test.own)
 		}
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -14,186 +14,187 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// verdict is how one attempt at a replica ended.
-type verdict int
+// attemptOutcome is how one attempt at a replica ended.
+type attemptOutcome int
 
 const (
 	// delivered: the caller has the whole answer.
-	delivered verdict = iota
-	// notRun: the replica did not run the request and will not.
+	delivered attemptOutcome = iota
+	// notRun: the replica did not run the request and will not run it.
 	notRun
-	// notSent: the replica was not reached, so that no byte was sent.
+	// notSent: the replica was not reached; no byte was sent.
 	notSent
-	// maybeRun: the request may have run, and the caller has no byte of an answer.
+	// maybeRun: the request may have run, and the caller has received nothing of an answer.
 	maybeRun
-	// answeredBadly: the replica's whole answer is a failure that another replica may do better.
-	answeredBadly
-	// brokenOff: the caller has a part of the answer.
-	brokenOff
-	// callerGone: the caller left.
+	// errorAnswered: the replica answered with a complete server error; another replica may succeed.
+	errorAnswered
+	// truncated: the caller has received a part of the answer.
+	truncated
+	// callerGone: the caller disconnected.
 	callerGone
 )
 
-var verdictNames = map[verdict]string{
-	delivered: "delivered", notRun: "not_run", notSent: "not_sent", maybeRun: "maybe_run", answeredBadly: "answered_badly", brokenOff: "broken_off", callerGone: "caller_gone",
+var outcomeNames = map[attemptOutcome]string{
+	delivered: "delivered", notRun: "not_run", notSent: "not_sent", maybeRun: "maybe_run",
+	errorAnswered: "answered_badly", truncated: "broken_off", callerGone: "caller_gone",
 }
 
-// String returns the verdict's name in the log.
-func (v verdict) String() string { return verdictNames[v] }
+// String returns the name of the outcome in the log.
+func (o attemptOutcome) String() string { return outcomeNames[o] }
 
 const (
-	// maxRefusals bounds the replicas that may refuse one request before its caller gets a final answer.
+	// maxRefusals is the number of replicas that may refuse a request before its caller gets a final answer.
 	maxRefusals = 3
-	// maxNotSent bounds the replicas that are not reached before that. Two show that a zone is cut off (unreached.Zone): with two zones cut
-	// off from this one, four tries pass before all that are left are tried.
-	maxNotSent = 6
-	// leastTimeLeft is the time below which no further attempt is begun.
-	leastTimeLeft = 20 * time.Millisecond
+	// maxUnreached is the number of replicas that may be unreachable before that. It takes two to detect that a zone is cut off
+	// (unreached.Zone): with two zones cut off from this one, four attempts are spent before all that is left is tried.
+	maxUnreached = 6
+	// minTimeLeft is the time before the deadline below which no further attempt is started.
+	minTimeLeft = 20 * time.Millisecond
 )
 
-// exchange is one request of a caller with its answer.
+// exchange is one request of a caller and its answer.
 type exchange struct {
 	handler  *Handler
 	writer   http.ResponseWriter
 	request  *http.Request
-	terms    Authenticated
+	auth     Authenticated
 	route    *route.Route
 	body     []byte
 	id       string
 	arrived  time.Time
 	deadline time.Time
 
-	// service is that of the first attempt.
+	// service is the service of the first attempt.
 	service string
-	// tried holds the replicas that have had the request; runs counts those that may have run it, refusals those that did not.
+	// tried holds the replicas that were chosen; runs counts those that may have run the request, refusals those that did not run it.
 	tried    []*replica.Handle
 	runs     int
 	refusals int
-	// notSent counts the replicas that were not reached.
-	notSent int
-	// promptTokens is the length of the prompt; promptRead is called at the first event of an attempt.
-	promptTokens int
-	promptRead   func()
-	// nextPaid says that the budget has paid for the next attempt already.
-	nextPaid atomic.Bool
-	// attemptBegan is when the latest attempt began.
-	attemptBegan time.Time
-	// foundSilence says that an attempt ended for silence: the next one takes a new connection, since kept ones may have gone silent
-	// together, also those to other replicas.
-	foundSilence bool
-	// headSent says that the caller has the head of the answer; lastEvent is the id of the last event that it has.
-	headSent  bool
-	lastEvent string
-	// eventsDelivered is the number of events that were passed on to the caller.
+	// unreached counts the replicas that were not reached.
+	unreached int
+	// promptTokens is the length of the prompt in tokens; markPromptRead is called at the first event of an attempt.
+	promptTokens   int
+	markPromptRead func()
+	// retryPaid is set when the retry budget has already been charged for the next attempt.
+	retryPaid atomic.Bool
+	// attemptStart is the start of the latest attempt.
+	attemptStart time.Time
+	// silenceDetected is set once an attempt ended for silence. The next attempt then opens a new connection: idle connections,
+	// also those to other replicas, may have gone silent together.
+	silenceDetected bool
+	// headersSent is set once the caller has the answer's header; lastEventID is the ID of the last event that it received.
+	headersSent bool
+	lastEventID string
+	// eventsDelivered is the number of events that were relayed to the caller.
 	eventsDelivered int
-	// badAnswer is the last whole failure that a replica answered with.
-	badAnswer *wholeAnswer
-	// message names what the caller sent, permit is the leave for the present attempt, both nil or zero where nothing is kept from replicas.
-	message quarantine.Key
-	permit  quarantine.Permit
-	// replicaEnded says that the replica of the latest attempt was found to have ended; endedRuns are all such attempts.
-	replicaEnded bool
-	endedRuns    []endedRun
-	// lastStatus and lastError are of the latest attempt: the status of its answer, and what broke it off.
+	// errorAnswer is the latest complete server error that a replica answered with.
+	errorAnswer *bufferedAnswer
+	// messageKey identifies the message in the quarantine; permit covers the current attempt. Zero and nil without a quarantine.
+	messageKey quarantine.Key
+	permit     quarantine.Permit
+	// replicaExited is set if the replica of the latest attempt was found to have exited; uncountedRuns holds all such attempts.
+	replicaExited bool
+	uncountedRuns []uncountedRun
+	// lastStatus and lastError belong to the latest attempt: the status of its answer, and the error that ended it.
 	lastStatus int
 	lastError  error
 }
 
-func (e *exchange) run(ctx context.Context) {
-	if reason := e.rejectedBecause(ctx); reason != "" {
-		e.conclude(ctx, notRun, reason)
+func (e *exchange) serve(ctx context.Context) {
+	if reason := e.rejectionReason(ctx); reason != "" {
+		e.answerUndelivered(ctx, notRun, reason)
 		return
 	}
 	leave := e.waitForRoom(ctx)
 	defer leave()
 	defer e.releasePermit()
 	if ctx.Err() != nil {
-		e.conclude(ctx, notRun, "held_back")
+		e.answerUndelivered(ctx, notRun, "held_back")
 		return
 	}
-	last := notRun
+	outcome := notRun
 	for {
-		if !e.admit(ctx) {
-			e.conclude(ctx, last, quarantine.ReasonRejected)
+		if !e.acquirePermit(ctx) {
+			e.answerUndelivered(ctx, outcome, quarantine.ReasonRejected)
 			return
 		}
-		handle := e.pickReady(ctx)
+		handle := e.pickReplica(ctx)
 		if handle == nil {
-			e.conclude(ctx, last, e.whyNone())
+			e.answerUndelivered(ctx, outcome, e.noReplicaReason())
 			return
 		}
 		e.tried = append(e.tried, handle)
-		last = e.guardedAttempt(ctx, handle)
-		switch last {
+		outcome = e.quarantinedAttempt(ctx, handle)
+		switch outcome {
 		case delivered, callerGone:
-			e.handler.metrics.finished(e.route.Name, last == delivered, clock.Since(e.arrived))
-			if last == callerGone {
-				e.event(handle).Str("last_event", e.lastEvent).Msg("caller_gone")
+			e.handler.metrics.observeFinished(e.route.Name, outcome == delivered, clock.Since(e.arrived))
+			if outcome == callerGone {
+				e.logEvent(handle).Str("last_event", e.lastEventID).Msg("caller_gone")
 			}
-			if last == callerGone && e.headSent {
+			if outcome == callerGone && e.headersSent {
 				panic(http.ErrAbortHandler)
 			}
 			return
 		case notRun:
 			e.refusals++
 		case notSent:
-			e.notSent++
+			e.unreached++
 		default:
 			e.countRun(handle)
 		}
-		if !e.mayTryAgain(ctx, last) {
-			e.conclude(ctx, last, "given_up")
+		if !e.mayRetry(ctx, outcome) {
+			e.answerUndelivered(ctx, outcome, "given_up")
 			return
 		}
 	}
 }
 
-// rejectedBecause returns the reason for which the request is rejected before it waits for room; empty where it is not. On the way it learns
-// what other nodes have at the replicas, and names the request's message.
-func (e *exchange) rejectedBecause(ctx context.Context) string {
+// rejectionReason returns the reason for which the request is rejected before it waits for capacity, or "" if it is not. It also
+// refreshes what other nodes have in flight at the replicas, and computes the key of the request's message.
+func (e *exchange) rejectionReason(ctx context.Context) string {
 	if e.allEvacuated() {
 		return reasonEvacuated
 	}
-	if e.handler.refresh != nil {
-		e.handler.refresh(ctx)
+	if e.handler.refreshLoad != nil {
+		e.handler.refreshLoad(ctx)
 	}
 	switch {
-	case !e.servedAtHome(clock.Now()):
-		return e.whyNone()
-	case !e.knownHarmless():
+	case !e.servedInHomes(clock.Now()):
+		return e.noReplicaReason()
+	case !e.passesQuarantine():
 		return quarantine.ReasonRejected
 	default:
 		return ""
 	}
 }
 
-// waitForRoom returns once the request may be sent to a replica; leave is called after its end.
+// waitForRoom returns once the request may be sent to a replica; leave must be called after the request has ended.
 func (e *exchange) waitForRoom(ctx context.Context) (leave func()) {
 	e.service = e.route.PickService()
 	if e.handler.gate == nil {
 		return func() {}
 	}
-	request := held{service: e.service, priority: e.priority(), deadline: e.deadline, passes: e.passesGate()}
+	request := gateRequest{service: e.service, priority: e.priority(), deadline: e.deadline, mayBypass: e.gateBypass()}
 	if e.route.Objective > 0 {
-		expected := e.handler.expectations.of(e.route)
-		wait := e.deadline.Sub(e.arrived)
-		expected.observeDeadline(wait)
-		request.sendBy = e.arrived.Add(e.route.Objective - expected.waited(wait) - expected.needed())
+		estimate := e.handler.estimates.forRoute(e.route)
+		timeout := e.deadline.Sub(e.arrived)
+		estimate.observeTimeout(timeout)
+		request.sendBy = e.arrived.Add(e.route.Objective - estimate.alreadyWaited(timeout) - estimate.uncontendedLatency())
 	}
 	leave = e.handler.gate.Enter(ctx, request)
-	e.handler.metrics.heldBack(e.route.Name, clock.Since(e.arrived))
+	e.handler.metrics.observeHeld(e.route.Name, clock.Since(e.arrived))
 	return leave
 }
 
-// priority returns the request's rank; a tenant's own takes precedence.
+// priority returns the request's priority; that of its tenant takes precedence over that of its route.
 func (e *exchange) priority() int {
-	if holder := e.terms.Tenant; holder != nil && holder.Priority != nil {
+	if holder := e.auth.Tenant; holder != nil && holder.Priority != nil {
 		return *holder.Priority
 	}
 	return e.route.Priority
 }
 
-// nextService returns the service of the next attempt; the route's share decides.
+// nextService returns the service of the next attempt; after the first attempt it is drawn by the weights of the route's backends.
 func (e *exchange) nextService() string {
 	if len(e.tried) == 0 {
 		return e.service
@@ -201,65 +202,65 @@
 	return e.route.PickService()
 }
 
-// pickReady chooses the next replica among those that may get one more request now.
-func (e *exchange) pickReady(ctx context.Context) *replica.Handle {
-	if handle := e.pickApart(ctx); handle != nil {
+// pickReplica chooses a replica that may get one more request now; nil if there is none.
+func (e *exchange) pickReplica(ctx context.Context) *replica.Handle {
+	if handle := e.pickForSuspect(ctx); handle != nil {
 		return handle
 	}
 	for {
-		handle := e.pickWithin(ctx, slices.Clone(e.tried), 0)
-		if handle != nil || !e.waitForCold(ctx) {
+		handle := e.pickWithColdLimit(ctx, slices.Clone(e.tried), 0)
+		if handle != nil || !e.waitForColdReplica(ctx) {
 			return handle
 		}
 	}
 }
 
-// pick chooses the next replica; maxOccupancy 0 is no bound.
+// pick chooses the next replica; nil if there is none. A maxOccupancy of 0 sets no bound.
 func (e *exchange) pick(excluded []*replica.Handle, maxOccupancy float64) *replica.Handle {
-	wanted := balance.Request{
+	query := balance.Request{
 		Service: e.nextService(), Zone: e.handler.zone, BodyBytes: len(e.body), Objective: e.route.Objective, Excluded: excluded,
 		Homes: e.homes(), MaxOccupancy: maxOccupancy,
 	}
 	if e.route.Affinity {
 		parts := ParsePromptParts(e.request.Header.Get(e.handler.headers.PromptParts))
-		wanted.PartKey, wanted.PartTokens, wanted.Tokens = parts.sharedKey()
-		e.promptTokens = wanted.Tokens
+		query.PartKey, query.PartTokens, query.Tokens = parts.sharedKey()
+		e.promptTokens = query.Tokens
 	}
 	now := clock.Now()
-	if handle := e.handler.picker.Pick(&wanted, now); handle != nil {
+	if handle := e.handler.picker.Pick(&query, now); handle != nil {
 		return handle
 	}
 	for _, backend := range e.route.Backends {
-		wanted.Service = backend.Service
-		if handle := e.handler.picker.Pick(&wanted, now); handle != nil {
+		query.Service = backend.Service
+		if handle := e.handler.picker.Pick(&query, now); handle != nil {
 			return handle
 		}
 	}
 	return nil
 }
 
-// mayTryAgain says whether another replica may have the request after an attempt that ended with last.
-func (e *exchange) mayTryAgain(ctx context.Context, last verdict) bool {
-	if ctx.Err() != nil || clock.Until(e.deadline) < leastTimeLeft {
+// mayRetry reports whether another replica may get the request after an attempt with the given outcome.
+func (e *exchange) mayRetry(ctx context.Context, outcome attemptOutcome) bool {
+	if ctx.Err() != nil || clock.Until(e.deadline) < minTimeLeft {
 		return false
 	}
-	switch last {
+	switch outcome {
 	case notRun:
 		return e.refusals < maxRefusals
 	case notSent:
-		return e.notSent < maxNotSent
+		return e.unreached < maxUnreached
 	}
-	if !e.route.MayRepeat() || last == brokenOff && !e.resumes() {
+	if !e.route.MayRepeat() || outcome == truncated && !e.canResume() {
 		return false
 	}
 	if e.spentAttempts() >= max(1, e.route.Attempts) {
 		return false
 	}
-	if e.replicaEnded {
-		return len(e.endedRuns) <= mostReplicasEnded
+	if e.replicaExited {
+		return len(e.uncountedRuns) <= maxExitedReplicas
 	}
-	return e.nextPaid.Swap(false) || e.handler.budget.take()
+	return e.retryPaid.Swap(false) || e.handler.budget.take()
 }
 
-// resumes says that the stream may go on elsewhere behind the last event.
-func (e *exchange) resumes() bool { return e.route.Kind == route.Stream && e.route.Resumable }
+// canResume reports whether another replica may continue the stream after the last event.
+func (e *exchange) canResume() bool { return e.route.Kind == route.Stream && e.route.Resumable }
--- a/internal/forward/expectation.go
+++ b/internal/forward/expectation.go
@@ -9,89 +9,91 @@
 )
 
 const (
-	// deadlinesKept is the number of callers' deadlines by which the usual one is judged.
-	deadlinesKept = 63
-	// deadlinesAssumed is how often the route's timeout counts as such until callers were seen.
-	deadlinesAssumed = 31
-	// medianEvery is the number of observations after which the median is taken again.
-	medianEvery = 8
-	// quickShare is the part of a route's requests whose first event comes sooner than the time that a request is taken to need.
-	quickShare = 0.25
-	// quickStep is the part of that time by which one observation moves it.
-	quickStep = 0.05
+	// timeoutWindow is the number of callers' timeouts from which the usual one is estimated.
+	timeoutWindow = 63
+	// assumedTimeouts is how often the route's own timeout is entered in place of callers' timeouts before any were observed.
+	assumedTimeouts = 31
+	// medianInterval is the number of observations between two computations of the median.
+	medianInterval = 8
+	// quickQuantile is the quantile of the time to the first event that is taken for the time without queueing.
+	quickQuantile = 0.25
+	// quickStepShare is the share of the estimate by which one observation moves it.
+	quickStepShare = 0.05
 )
 
-// expectation is what a route's requests have shown of themselves. It is safe for concurrent use.
-type expectation struct {
+// routeEstimate holds what was observed of a route's requests. It is safe for concurrent use.
+type routeEstimate struct {
 	mutex sync.Mutex
-	// deadlines are the latest callers' times to wait, a ring; usual is their median.
-	deadlines []time.Duration
-	next      int
-	usual     time.Duration
-	// quick estimates the quantile quickShare of the time from the send to the first event.
-	quick time.Duration
+	// timeouts is a ring of the latest callers' timeouts; medianTimeout is their median.
+	timeouts      []time.Duration
+	next          int
+	medianTimeout time.Duration
+	// quickFirstEvent estimates the quantile quickQuantile of the time from sending to the first event.
+	quickFirstEvent time.Duration
 }
 
-// observeDeadline takes in the time that a caller is ready to wait.
-func (e *expectation) observeDeadline(wait time.Duration) {
+// observeTimeout records how long a caller is ready to wait.
+func (e *routeEstimate) observeTimeout(timeout time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if len(e.deadlines) < deadlinesKept {
-		e.deadlines = append(e.deadlines, wait)
+	if len(e.timeouts) < timeoutWindow {
+		e.timeouts = append(e.timeouts, timeout)
 	} else {
-		e.deadlines[e.next] = wait
+		e.timeouts[e.next] = timeout
 	}
-	e.next = (e.next + 1) % deadlinesKept
-	if e.next%medianEvery == 0 {
-		sorted := slices.Sorted(slices.Values(e.deadlines))
-		e.usual = sorted[len(sorted)/2]
+	e.next = (e.next + 1) % timeoutWindow
+	if e.next%medianInterval == 0 {
+		sorted := slices.Sorted(slices.Values(e.timeouts))
+		e.medianTimeout = sorted[len(sorted)/2]
 	}
 }
 
-// waited estimates for how long a caller has waited already, in earlier attempts, who is ready to wait that much longer: callers
-// count down from the same time.
-func (e *expectation) waited(wait time.Duration) time.Duration {
+// alreadyWaited estimates how long a caller with the given timeout has already waited in earlier attempts. It assumes that all callers
+// start with the usual timeout and send what is left of it with each attempt.
+func (e *routeEstimate) alreadyWaited(timeout time.Duration) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return max(0, e.usual-wait)
+	return max(0, e.medianTimeout-timeout)
 }
 
-// observeFirst takes in the time from a send to the first event.
-func (e *expectation) observeFirst(after time.Duration) {
+// observeFirstEvent records the time from sending a request to its first event.
+func (e *routeEstimate) observeFirstEvent(after time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	switch {
-	case e.quick == 0:
-		e.quick = after
-	case after < e.quick:
-		e.quick -= time.Duration(quickStep * (1 - quickShare) * float64(e.quick))
+	case e.quickFirstEvent == 0:
+		e.quickFirstEvent = after
+	case after < e.quickFirstEvent:
+		e.quickFirstEvent -= time.Duration(quickStepShare * (1 - quickQuantile) * float64(e.quickFirstEvent))
 	default:
-		e.quick += time.Duration(quickStep * quickShare * float64(e.quick))
+		e.quickFirstEvent += time.Duration(quickStepShare * quickQuantile * float64(e.quickFirstEvent))
 	}
 }
 
-// needed is the time from the send to the first event that a request needs where nothing holds it up.
-func (e *expectation) needed() time.Duration {
+// uncontendedLatency returns the time from sending to the first event of a request that does not have to queue; 0 if it is unknown.
+func (e *routeEstimate) uncontendedLatency() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.quick
+	return e.quickFirstEvent
 }
 
-// expectations holds the routes' expectations, by name. It is safe for concurrent use.
-type expectations struct {
+// routeEstimates holds the estimates by route name. It is safe for concurrent use.
+type routeEstimates struct {
 	mutex  sync.Mutex
-	byName map[string]*expectation
+	byName map[string]*routeEstimate
 }
 
-func newExpectations() *expectations { return &expectations{byName: map[string]*expectation{}} }
+func newRouteEstimates() *routeEstimates { return &routeEstimates{byName: map[string]*routeEstimate{}} }
 
-// of returns what is known of a route; at first its timeout is taken for the usual deadline.
-func (e *expectations) of(matched *route.Route) *expectation {
+// forRoute returns the estimate of a route; a new one starts with the route's timeout as the usual timeout.
+func (e *routeEstimates) forRoute(matched *route.Route) *routeEstimate {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	found := e.byName[matched.Name]
 	if found == nil {
-		found = &expectation{deadlines: slices.Repeat([]time.Duration{matched.Timeout}, deadlinesAssumed), next: deadlinesAssumed, usual: matched.Timeout}
+		found = &routeEstimate{
+			timeouts: slices.Repeat([]time.Duration{matched.Timeout}, assumedTimeouts), next: assumedTimeouts, medianTimeout: matched.Timeout,
+		}
 		e.byName[matched.Name] = found
 	}
 	return found
--- a/internal/forward/expectation_test.go
+++ b/internal/forward/expectation_test.go
@@ -8,31 +8,31 @@
 )
 
 func TestWaitedIsJudgedByTheUsualDeadline(t *testing.T) {
-	expected := newExpectations().of(&route.Route{Name: "r", Timeout: 5 * time.Second})
-	if waited := expected.waited(4200 * time.Millisecond); waited != 800*time.Millisecond {
+	expected := newRouteEstimates().forRoute(&route.Route{Name: "r", Timeout: 5 * time.Second})
+	if waited := expected.alreadyWaited(4200 * time.Millisecond); waited != 800*time.Millisecond {
 		t.Errorf("a first caller who waits 0.8 s less than the route's timeout has waited %s", waited)
 	}
-	for range deadlinesKept {
-		expected.observeDeadline(3 * time.Second)
+	for range timeoutWindow {
+		expected.observeTimeout(3 * time.Second)
 	}
-	if waited := expected.waited(2500 * time.Millisecond); waited != 500*time.Millisecond {
+	if waited := expected.alreadyWaited(2500 * time.Millisecond); waited != 500*time.Millisecond {
 		t.Errorf("waited %s, want 0.5 s", waited)
 	}
-	if waited := expected.waited(9 * time.Second); waited != 0 {
+	if waited := expected.alreadyWaited(9 * time.Second); waited != 0 {
 		t.Errorf("a patient caller has waited %s", waited)
 	}
 }
 
 func TestNeededTimeIsThatOfQuickRequests(t *testing.T) {
-	expected := &expectation{}
+	expected := &routeEstimate{}
 	for turn := range 2000 {
 		after := 80 * time.Millisecond
 		if turn%2 == 1 {
 			after = 500 * time.Millisecond
 		}
-		expected.observeFirst(after)
+		expected.observeFirstEvent(after)
 	}
-	if needed := expected.needed(); needed < 60*time.Millisecond || needed > 110*time.Millisecond {
+	if needed := expected.uncontendedLatency(); needed < 60*time.Millisecond || needed > 110*time.Millisecond {
 		t.Errorf("needed is %s where half of the requests take 80 ms", needed)
 	}
 }
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -19,7 +19,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// edgeUnderTest is a handler before two replicas, of which "a" is always preferred; "a" lies in the region north, "b" in south.
+// edgeUnderTest is a handler with two replicas, of which "a" is always preferred; "a" is in the region north, "b" in south.
 type edgeUnderTest struct {
 	*Handler
 	replicas  *replicatest.Network
@@ -53,13 +53,14 @@
 		t.Fatal(err)
 	}
 	handler := NewHandler(Options{
-		Routes: routes, Directory: directory, Picker: balance.NewPicker(directory, region.NewTopology(map[string]string{"near": "north", "far": "south"}), func() float64 { return 0 }), Client: replica.NewClient(silencer, replicatest.Headers),
-		Zone: "near", Logger: zerolog.Nop(), Metrics: metrics,
+		Routes: routes, Directory: directory,
+		Picker: balance.NewPicker(directory, region.NewTopology(map[string]string{"near": "north", "far": "south"}), func() float64 { return 0 }),
+		Client: replica.NewClient(silencer, replicatest.Headers), Zone: "near", Logger: zerolog.Nop(), Metrics: metrics,
 	})
 	return &edgeUnderTest{Handler: handler, replicas: fake, silencer: silencer, directory: directory, routes: routes}
 }
 
-// call sends one request; aborted says that the answer was broken off.
+// call sends one request; aborted reports whether the answer was cut off.
 func (e *edgeUnderTest) call(change func(*http.Request)) (recorded *httptest.ResponseRecorder, aborted bool) {
 	request := httptest.NewRequest(http.MethodPost, "http://h.example/p/x?q=1", strings.NewReader("body"))
 	request.Header.Set("X-Id", "id-1")
--- a/internal/forward/gate.go
+++ b/internal/forward/gate.go
@@ -14,71 +14,71 @@
 )
 
 const (
-	// gateOvercommit is the part of the replicas' slots up to which requests are sent: a little more than all, so that no slot is idle
-	// for the time in which the nodes hear of each other.
+	// gateOvercommit is the factor on the replicas' slots up to which requests are sent: slightly above 1, so that no slot is idle
+	// until the nodes have exchanged their load.
 	gateOvercommit = 1.05
-	// gateInterval is how often waiting requests are looked at, beside each change.
-	gateInterval = 20 * time.Millisecond
-	// longestHold bounds the time that a request is held back; callers of streams take silence for failure after a few seconds.
-	longestHold = 1500 * time.Millisecond
-	// holdShare bounds it as a part of the time that the caller has left.
-	holdShare = 0.4
+	// gateCheckInterval is how often waiting requests are checked, in addition to each change of load.
+	gateCheckInterval = 20 * time.Millisecond
+	// maxHold bounds how long a request is held; callers of streams treat a silence of a few seconds as a failure.
+	maxHold = 1500 * time.Millisecond
+	// maxHoldShare bounds it as a share of the time until the caller's deadline.
+	maxHoldShare = 0.4
 )
 
-// othersDemand says what other nodes' callers want of a service.
-type othersDemand interface {
+// demandSource provides the demand that other nodes' callers have for a service.
+type demandSource interface {
 	OthersDemand(service string, now time.Time) (others loadshare.Demand, known bool)
-	// KeepFresh has it learn that again, in the background.
+	// KeepFresh requests an update of the demand in the background.
 	KeepFresh()
 }
 
-// held is what the gate knows of a request.
-type held struct {
+// gateRequest is what the gate needs to know of a request.
+type gateRequest struct {
 	service  string
 	priority int
-	// sendBy is the latest time at which the request can be sent and be in time; zero is no such time.
+	// sendBy is the latest time at which sending the request still meets its objective; zero if it has no objective.
 	sendBy   time.Time
 	deadline time.Time
-	// passes, where it is set, lets the request through as soon as it says so.
-	passes func(now time.Time) bool
+	// mayBypass, if not nil, lets the request through as soon as it returns true.
+	mayBypass func(now time.Time) bool
 }
 
-// waiter is a request that is held back.
+// waiter is a request that is held.
 type waiter struct {
-	held
-	// releaseAt is the time at which it is sent anyway.
+	gateRequest
+	// releaseAt is the time at which it is sent regardless of load.
 	releaseAt time.Time
 	arrived   time.Time
 	released  chan struct{}
-	passed    bool
+	admitted  bool
 }
 
-// late says that the request can no longer be in time.
+// late reports whether the request can no longer meet its objective.
 func (w *waiter) late(now time.Time) bool { return !w.sendBy.IsZero() && now.After(w.sendBy) }
 
-// Gate holds requests back while callers want more of a service than its replicas have slots, so that those that can still be in
-// time come first, and those that will be late all the same wait for the next lull. Without it they would stand in the replicas'
-// queues, which know no order but that of arrival, and make all behind them late. Each node sends up to its part of the slots,
-// which is its part of what all nodes' callers want. While little is wanted, or the other nodes' demand is not known, nothing is held
-// back. It is safe for concurrent use.
+// Gate holds requests while callers want more of a service than its replicas have slots, so that requests that can still meet their
+// objective go first, and requests that will be late in any case wait until demand drops. Without it they would queue at the replicas,
+// which are first-in, first-out, and would make all requests behind them late. Each node uses the share of the slots that its demand
+// has in the demand of all nodes. Nothing is held while demand fits the slots, or while the other nodes' demand is unknown. It is safe
+// for concurrent use.
 type Gate struct {
 	directory *replica.Directory
-	others    othersDemand
+	others    demandSource
 
 	mutex     sync.Mutex
 	byService map[string]*serviceGate
 }
 
-// serviceGate is the state of one service.
+// serviceGate is the state of the gate for one service.
 type serviceGate struct {
 	inUse   int
 	waiting []*waiter
-	// timer runs while requests wait.
+	// timer is set while requests wait.
 	timer *time.Timer
 }
 
-// NewGate returns a Gate that holds nothing back.
-func NewGate(directory *replica.Directory, others othersDemand) *Gate {
+// NewGate returns a Gate that holds no requests yet.
+func NewGate(directory *replica.Directory, others demandSource) *Gate {
 	return &Gate{directory: directory, others: others, byService: map[string]*serviceGate{}}
 }
 
@@ -87,57 +87,57 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	demands := make(map[string]loadshare.Demand, len(g.byService))
-	for service, each := range g.byService {
-		if each.inUse+len(each.waiting) > 0 {
-			demands[service] = loadshare.Demand{InUse: each.inUse, Waiting: len(each.waiting)}
+	for service, state := range g.byService {
+		if state.inUse+len(state.waiting) > 0 {
+			demands[service] = loadshare.Demand{InUse: state.inUse, Waiting: len(state.waiting)}
 		}
 	}
 	return demands
 }
 
-// Changed looks at the waiting requests after the other nodes' demand has changed.
+// Changed checks the waiting requests after a change of the other nodes' demand.
 func (g *Gate) Changed() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Now()
-	for service, each := range g.byService {
-		g.release(service, each, now)
+	for service, state := range g.byService {
+		g.release(service, state, now)
 	}
 }
 
-// Enter returns once the request may be sent to a replica, or when ctx ends. leave is called after its end in both cases.
-func (g *Gate) Enter(ctx context.Context, request held) (leave func()) {
+// Enter returns once the request may be sent to a replica, or when ctx ends. In both cases leave must be called after the request ended.
+func (g *Gate) Enter(ctx context.Context, request gateRequest) (leave func()) {
 	g.mutex.Lock()
 	now := clock.Now()
 	gate := g.gateOf(request.service)
-	waiting := &waiter{held: request, arrived: now, releaseAt: releaseTime(now, request.deadline), released: make(chan struct{})}
-	gate.waiting = append(gate.waiting, waiting)
+	entry := &waiter{gateRequest: request, arrived: now, releaseAt: releaseTime(now, request.deadline), released: make(chan struct{})}
+	gate.waiting = append(gate.waiting, entry)
 	g.release(request.service, gate, now)
 	g.mutex.Unlock()
 	select {
-	case <-waiting.released:
+	case <-entry.released:
 	case <-ctx.Done():
 	}
-	return func() { g.leave(waiting) }
+	return func() { g.leave(entry) }
 }
 
-// releaseTime bounds the time that a request is held.
+// releaseTime returns the time until which a request may be held.
 func releaseTime(now, deadline time.Time) time.Time {
-	hold := min(longestHold, time.Duration(holdShare*float64(deadline.Sub(now))))
+	hold := min(maxHold, time.Duration(maxHoldShare*float64(deadline.Sub(now))))
 	return now.Add(hold)
 }
 
-func (g *Gate) leave(left *waiter) {
+func (g *Gate) leave(entry *waiter) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	gate := g.gateOf(left.service)
-	if left.passed {
+	gate := g.gateOf(entry.service)
+	if entry.admitted {
 		gate.inUse--
 	} else {
-		gate.drop(left)
+		gate.remove(entry)
 	}
-	g.release(left.service, gate, clock.Now())
-	// The other nodes learn of the demand with the requests at replicas, the last of which ended before.
+	g.release(entry.service, gate, clock.Now())
+	// Signals a change of use: the other nodes get the demand together with the requests in flight, and the last of those ended earlier.
 	g.directory.SignalUse()
 }
 
@@ -151,17 +151,17 @@
 	return gate
 }
 
-// release lets requests through: as many as this node's part allows, and those that were held for long. The mutex is held.
+// release lets requests through: as many as this node's share allows, and those that may not be held any longer. The mutex is held.
 func (g *Gate) release(service string, gate *serviceGate, now time.Time) {
 	if len(gate.waiting) > 0 {
 		gate.releaseOverdue(now)
-		gate.releaseUpTo(g.allowed(service, gate, now), now)
+		gate.releaseUpTo(g.maxInUse(service, gate, now), now)
 	}
-	g.watch(service, gate)
+	g.scheduleRelease(service, gate)
 }
 
-// allowed is the number of requests that this node may have at the replicas of service. The mutex is held.
-func (g *Gate) allowed(service string, gate *serviceGate, now time.Time) int {
+// maxInUse returns how many requests this node may have in flight at the replicas of service. The mutex is held.
+func (g *Gate) maxInUse(service string, gate *serviceGate, now time.Time) int {
 	others, known := g.others.OthersDemand(service, now)
 	if !known {
 		return math.MaxInt
@@ -176,12 +176,12 @@
 	return int(math.Ceil(room * float64(own) / float64(own+others.Online())))
 }
 
-// watch has the waiting requests looked at again soon. The mutex is held.
-func (g *Gate) watch(service string, gate *serviceGate) {
+// scheduleRelease checks the waiting requests again after gateCheckInterval. The mutex is held.
+func (g *Gate) scheduleRelease(service string, gate *serviceGate) {
 	if len(gate.waiting) == 0 || gate.timer != nil {
 		return
 	}
-	gate.timer = time.AfterFunc(gateInterval, func() {
+	gate.timer = time.AfterFunc(gateCheckInterval, func() {
 		g.others.KeepFresh()
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
@@ -190,62 +190,62 @@
 	})
 }
 
-// due says that the request goes on whatever the gate allows.
+// due reports whether the request is let through regardless of the limit.
 func (w *waiter) due(now time.Time) bool {
-	return !now.Before(w.releaseAt) || (w.passes != nil && w.passes(now))
+	return !now.Before(w.releaseAt) || (w.mayBypass != nil && w.mayBypass(now))
 }
 
-// releaseOverdue lets through those that were held as long as they may be, or need not be held.
+// releaseOverdue lets through the requests that reached their maximum hold, or that may bypass the gate.
 func (s *serviceGate) releaseOverdue(now time.Time) {
 	kept := s.waiting[:0]
-	for _, each := range s.waiting {
-		if !each.due(now) {
-			kept = append(kept, each)
+	for _, entry := range s.waiting {
+		if !entry.due(now) {
+			kept = append(kept, entry)
 			continue
 		}
-		s.pass(each)
+		s.admit(entry)
 	}
 	clear(s.waiting[len(kept):])
 	s.waiting = kept
 }
 
-// releaseUpTo lets the most urgent requests through until allowed are in use.
-func (s *serviceGate) releaseUpTo(allowed int, now time.Time) {
-	if len(s.waiting) == 0 || s.inUse >= allowed {
+// releaseUpTo lets the most urgent requests through until maxInUse are in use.
+func (s *serviceGate) releaseUpTo(maxInUse int, now time.Time) {
+	if len(s.waiting) == 0 || s.inUse >= maxInUse {
 		return
 	}
-	slices.SortStableFunc(s.waiting, func(one, other *waiter) int { return compareWaiters(one, other, now) })
-	count := min(len(s.waiting), allowed-s.inUse)
-	for _, each := range s.waiting[:count] {
-		s.pass(each)
+	slices.SortStableFunc(s.waiting, func(a, b *waiter) int { return compareWaiters(a, b, now) })
+	count := min(len(s.waiting), maxInUse-s.inUse)
+	for _, entry := range s.waiting[:count] {
+		s.admit(entry)
 	}
 	s.waiting = slices.Delete(s.waiting, 0, count)
 }
 
-// compareWaiters orders requests: those that can be in time before the others, by rank, then by the time by which they must be
-// sent; the late ones by their arrival.
-func compareWaiters(one, other *waiter, now time.Time) int {
-	if late := one.late(now); late != other.late(now) {
+// compareWaiters sorts requests that can still meet their objective before late ones, then by priority. Of the same priority, those that
+// can be on time are sorted by the time by which they must be sent, the others by arrival.
+func compareWaiters(a, b *waiter, now time.Time) int {
+	if late := a.late(now); late != b.late(now) {
 		if late {
 			return 1
 		}
 		return -1
 	}
-	if order := cmp.Compare(one.priority, other.priority); order != 0 {
+	if order := cmp.Compare(a.priority, b.priority); order != 0 {
 		return order
 	}
-	if !one.late(now) && !one.sendBy.IsZero() && !other.sendBy.IsZero() {
-		return one.sendBy.Compare(other.sendBy)
+	if !a.late(now) && !a.sendBy.IsZero() && !b.sendBy.IsZero() {
+		return a.sendBy.Compare(b.sendBy)
 	}
-	return one.arrived.Compare(other.arrived)
+	return a.arrived.Compare(b.arrived)
 }
 
-func (s *serviceGate) pass(each *waiter) {
-	each.passed = true
+func (s *serviceGate) admit(entry *waiter) {
+	entry.admitted = true
 	s.inUse++
-	close(each.released)
+	close(entry.released)
 }
 
-func (s *serviceGate) drop(left *waiter) {
-	s.waiting = slices.DeleteFunc(s.waiting, func(each *waiter) bool { return each == left })
+func (s *serviceGate) remove(entry *waiter) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(candidate *waiter) bool { return candidate == entry })
 }
--- a/internal/forward/gate_test.go
+++ b/internal/forward/gate_test.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// fakeDemand is what the other nodes' callers want.
+// fakeDemand is a fixed demand of the other nodes' callers.
 type fakeDemand struct {
 	mutex  sync.Mutex
 	others loadshare.Demand
@@ -32,14 +32,14 @@
 	f.others, f.known = others, known
 }
 
-// gateUnderTest is a gate before 10 slots; passed holds the names of requests in the order in which they were let through.
+// gateUnderTest is a gate with 10 slots; admitted holds the names of the requests in the order of their admission.
 type gateUnderTest struct {
 	*Gate
-	demand  *fakeDemand
-	running sync.WaitGroup
-	mutex   sync.Mutex
-	passed  []string
-	leaves  map[string]func()
+	demand   *fakeDemand
+	running  sync.WaitGroup
+	mutex    sync.Mutex
+	admitted []string
+	leaves   map[string]func()
 }
 
 func newGateUnderTest() *gateUnderTest {
@@ -49,14 +49,14 @@
 	return &gateUnderTest{Gate: NewGate(directory, demand), demand: demand, leaves: map[string]func(){}}
 }
 
-// enter has a request come that must be sent within the given time to be in time, and waits until all stand still.
+// enter starts a request that must be sent within the given time to meet its objective, and waits until all goroutines are blocked.
 func (g *gateUnderTest) enter(name string, sendWithin time.Duration) {
-	request := held{service: "s", sendBy: time.Now().Add(sendWithin), deadline: time.Now().Add(4 * time.Second)}
+	request := gateRequest{service: "s", sendBy: time.Now().Add(sendWithin), deadline: time.Now().Add(4 * time.Second)}
 	g.running.Go(func() {
 		leave := g.Enter(context.Background(), request)
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
-		g.passed = append(g.passed, name)
+		g.admitted = append(g.admitted, name)
 		g.leaves[name] = leave
 	})
 	synctest.Wait()
@@ -70,19 +70,19 @@
 	synctest.Wait()
 }
 
-func (g *gateUnderTest) last() string {
+func (g *gateUnderTest) lastAdmitted() string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if len(g.passed) == 0 {
+	if len(g.admitted) == 0 {
 		return ""
 	}
-	return g.passed[len(g.passed)-1]
+	return g.admitted[len(g.admitted)-1]
 }
 
-func (g *gateUnderTest) count() int {
+func (g *gateUnderTest) admittedCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return len(g.passed)
+	return len(g.admitted)
 }
 
 const inTime, tight, late = 300 * time.Millisecond, 30 * time.Millisecond, -time.Millisecond
@@ -94,14 +94,14 @@
 		for _, within := range []time.Duration{inTime, tight, late} {
 			gate.enter("r", within)
 		}
-		if gate.count() != 3 {
-			t.Errorf("%d of 3 requests sent to 10 slots with 2 in use", gate.count())
+		if gate.admittedCount() != 3 {
+			t.Errorf("%d of 3 requests sent to 10 slots with 2 in use", gate.admittedCount())
 		}
 		gate.running.Wait()
 	})
 }
 
-// TestOrderWhenFull: of what waits, first what can be in time, in the order in which it must be sent; last what will be late.
+// TestOrderWhenFull: requests that can be on time are admitted first, by the time by which they must be sent; late ones last.
 func TestOrderWhenFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGateUnderTest()
@@ -111,13 +111,13 @@
 		gate.enter("later", inTime+time.Millisecond)
 		gate.enter("sooner", inTime)
 		gate.enter("soonest", tight)
-		if gate.count() != 1 {
-			t.Fatalf("%d requests sent where this node's part is 1 slot", gate.count())
+		if gate.admittedCount() != 1 {
+			t.Fatalf("%d requests sent where this node's part is 1 slot", gate.admittedCount())
 		}
 		for _, want := range []string{"soonest", "sooner", "later", "late"} {
-			gate.leave(gate.last())
-			if gate.last() != want {
-				t.Errorf("%s was sent, want %s", gate.last(), want)
+			gate.leave(gate.lastAdmitted())
+			if gate.lastAdmitted() != want {
+				t.Errorf("%s was sent, want %s", gate.lastAdmitted(), want)
 			}
 		}
 		gate.running.Wait()
@@ -132,8 +132,8 @@
 		began := time.Now()
 		gate.enter("second", inTime)
 		gate.running.Wait()
-		if held := time.Since(began); held < longestHold || held > longestHold+gateInterval {
-			t.Errorf("held for %s, want %s", held, longestHold)
+		if held := time.Since(began); held < maxHold || held > maxHold+gateCheckInterval {
+			t.Errorf("held for %s, want %s", held, maxHold)
 		}
 	})
 }
@@ -146,7 +146,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		left := make(chan func())
 		go func() {
-			left <- gate.Enter(ctx, held{service: "s", sendBy: time.Now().Add(inTime), deadline: time.Now().Add(4 * time.Second)})
+			left <- gate.Enter(ctx, gateRequest{service: "s", sendBy: time.Now().Add(inTime), deadline: time.Now().Add(4 * time.Second)})
 		}()
 		synctest.Wait()
 		cancel()
@@ -161,7 +161,7 @@
 	})
 }
 
-// TestUnknownDemandHoldsNothingBack: a node that does not hear of the others serves its callers as they come.
+// TestUnknownDemandHoldsNothingBack: a node that does not hear from the others admits its requests as they arrive.
 func TestUnknownDemandHoldsNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGateUnderTest()
@@ -169,8 +169,8 @@
 		for range 20 {
 			gate.enter("r", inTime)
 		}
-		if gate.count() != 20 {
-			t.Errorf("%d of 20 requests sent", gate.count())
+		if gate.admittedCount() != 20 {
+			t.Errorf("%d of 20 requests sent", gate.admittedCount())
 		}
 		gate.running.Wait()
 	})
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -24,25 +24,25 @@
 )
 
 const (
-	// retryAfterNoRoom is told where all replicas are full, retryAfterStarting where this process knows no
-	// configuration yet, retryAfterLeaving where it stops.
+	// The Retry-After values of 503 answers: retryAfterNoRoom when all replicas are full, retryAfterStarting when this process has no
+	// configuration yet, retryAfterLeaving when it shuts down.
 	retryAfterNoRoom   = 150 * time.Millisecond
 	retryAfterStarting = 300 * time.Millisecond
 	retryAfterLeaving  = 20 * time.Millisecond
-	// defaultMaxBodyBytes holds where the configuration sets no bound.
+	// defaultMaxBodyBytes applies if the configuration sets no limit.
 	defaultMaxBodyBytes = 8 << 20
 )
 
-// Authenticated is a request that may be served, with the terms that hold for it.
+// Authenticated is an authenticated request with the configuration, route and tenant under which it is served.
 type Authenticated struct {
-	// Table is the configuration by which it is served.
+	// Table is the configuration under which it is served.
 	Table *route.Table
 	Route *route.Route
-	// Tenant is whose request it is; nil where no tenants are declared, or no tenant holds the key of a request of a public route.
+	// Tenant is the tenant that owns the request; nil if no tenants are declared, or if a request on a public route has no tenant's key.
 	Tenant *tenant.Tenant
 }
 
-// TenantName returns the tenant's name; empty where there is none.
+// TenantName returns the tenant's name, or "" if there is none.
 func (a Authenticated) TenantName() string {
 	if a.Tenant == nil {
 		return ""
@@ -50,19 +50,19 @@
 	return a.Tenant.Name
 }
 
-// BatchSubmitter takes submissions on batch routes.
+// BatchSubmitter handles submissions on batch routes.
 type BatchSubmitter interface {
-	Submit(writer http.ResponseWriter, request *http.Request, terms Authenticated, body []byte)
+	Submit(writer http.ResponseWriter, request *http.Request, auth Authenticated, body []byte)
 }
 
-// Quota says whether a tenant's requests are within its limit over all nodes. It is safe for concurrent use.
+// Quota enforces the tenants' request limits across all nodes. It is safe for concurrent use.
 type Quota interface {
 	Admit(ctx context.Context, holder *tenant.Tenant, version int64) quota.Verdict
-	// GiveBack returns an admitted request that no replica has run.
+	// GiveBack refunds an admitted request that no replica has run.
 	GiveBack(holder *tenant.Tenant)
 }
 
-// Handler is the front door of one process. It is safe for concurrent use.
+// Handler is the HTTP entry point of one process for callers' requests. It is safe for concurrent use.
 type Handler struct {
 	routes *route.Holder
 	// directory holds the replicas that picker chooses from.
@@ -74,22 +74,23 @@
 	batch     BatchSubmitter
 	budget    *retryBudget
 	gate      *Gate
-	// quota is nil where no limits are kept.
-	quota   Quota
-	refresh func(ctx context.Context)
-	// coldStarts and quarantine are nil where replicas are not protected by them.
+	// quota is nil if no limits are enforced.
+	quota Quota
+	// refreshLoad, if not nil, updates the load that other nodes have at the replicas.
+	refreshLoad func(ctx context.Context)
+	// coldStarts and quarantine are nil if cold replicas are not limited, or if no message is quarantined.
 	coldStarts coldstart.Limiter
 	quarantine quarantine.Register
-	// expectations hold what the routes' requests have shown of themselves.
-	expectations *expectations
-	logger       zerolog.Logger
-	metrics      *Metrics
-	leaving      atomic.Bool
+	// estimates holds the observed timeouts and latencies of the routes.
+	estimates *routeEstimates
+	logger    zerolog.Logger
+	metrics   *Metrics
+	draining  atomic.Bool
 }
 
-// Options of a Handler. Batch may be nil, Quota where no limits are kept, Gate where no request is held back, ColdStarts where cold replicas
-// may get as much as warm ones, and Quarantine where no message is kept from replicas.
-// Refresh, where it is set, is called before a replica is chosen, to learn what other nodes have there.
+// Options configure a Handler. These may be nil: Batch; Quota, if no limits are enforced; Gate, if no requests are held; ColdStarts, if
+// cold replicas may get as many requests as warm ones; Quarantine, if no message is quarantined; and Refresh, which is called before a
+// replica is chosen to update the load that other nodes have at the replicas.
 type Options struct {
 	Routes     *route.Holder
 	Directory  *replica.Directory
@@ -110,29 +111,29 @@
 func NewHandler(options Options) *Handler {
 	return &Handler{
 		routes: options.Routes, directory: options.Directory, picker: options.Picker, client: options.Client, headers: options.Client.Headers(),
-		zone: options.Zone, batch: options.Batch, budget: newRetryBudget(), gate: options.Gate, quota: options.Quota, refresh: options.Refresh, expectations: newExpectations(),
-		coldStarts: options.ColdStarts, quarantine: options.Quarantine,
+		zone: options.Zone, batch: options.Batch, budget: newRetryBudget(), gate: options.Gate, quota: options.Quota,
+		refreshLoad: options.Refresh, estimates: newRouteEstimates(), coldStarts: options.ColdStarts, quarantine: options.Quarantine,
 		logger: options.Logger.With().Str(logging.FieldSlice, "forward").Logger(), metrics: options.Metrics,
 	}
 }
 
-// Leave makes every later answer close its connection.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+// Leave makes every later answer close its connection, so that callers reconnect to another process.
+func (h *Handler) Leave() { h.draining.Store(true) }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request of a caller.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := clock.Now()
-	if h.leaving.Load() {
+	if h.draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	table := h.tableWhenKnown(request.Context())
+	table := h.waitForTable(request.Context())
 	if table == nil {
 		h.refuse(writer, request, "no_configuration", retryAfterStarting)
 		return
 	}
 	matched := table.Match(request.Host, request.URL.Path)
 	if matched == nil {
-		h.metrics.outcome("", "no_route")
+		h.metrics.countOutcome("", "no_route")
 		h.logger.Info().Str(logging.FieldRequest, request.Header.Get(h.headers.RequestID)).Int64("version", table.Version).
 			Str("host", request.Host).Str("path", request.URL.Path).Msg("no_route")
 		http.Error(writer, "no route", http.StatusNotFound)
@@ -147,29 +148,29 @@
 		h.refuse(writer, request, "no_batch", retryAfterStarting)
 		return
 	}
-	terms := Authenticated{Table: table, Route: matched, Tenant: holder}
+	auth := Authenticated{Table: table, Route: matched, Tenant: holder}
 	deadline := callerDeadline(request, h.headers.Deadline, matched, arrived)
-	body, whole := h.takeBody(writer, request, terms, deadline)
+	body, whole := h.receiveBody(writer, request, auth, deadline)
 	switch {
 	case !whole:
 	case matched.Kind == route.Batch:
-		h.batch.Submit(writer, request, terms, body)
+		h.batch.Submit(writer, request, auth, body)
 	default:
-		h.serveOnline(writer, request, terms, body, arrived, deadline)
+		h.serveOnline(writer, request, auth, body, arrived, deadline)
 	}
 }
 
-// takeBody reads the whole body until deadline, and answers a request whose body cannot be taken.
-func (h *Handler) takeBody(writer http.ResponseWriter, request *http.Request, terms Authenticated, deadline time.Time) (body []byte, whole bool) {
-	// A body that does not come in time is not waited for: its sender would hold the connection for ever. A connection that takes no
-	// deadline has ended, which reading shows.
+// receiveBody reads the whole body until deadline. It answers a request whose body cannot be read; whole is false then.
+func (h *Handler) receiveBody(writer http.ResponseWriter, request *http.Request, auth Authenticated, deadline time.Time) (body []byte, whole bool) {
+	// The deadline keeps a sender that stalls from holding the connection for ever. An error of SetReadDeadline is ignored: the
+	// connection has ended then, and the read reports it.
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(time.Now().Add(clock.Until(deadline)))
-	body, status := readBody(writer, request, terms.Table.Limits.MaxBodyBytes)
+	body, status := readBody(writer, request, auth.Table.Limits.MaxBodyBytes)
 	if status != 0 {
-		// What is left of the body is not waited for either.
+		// The connection is closed instead of waiting for the rest of the body.
 		writer.Header().Set("Connection", "close")
-		h.metrics.outcome(terms.Route.Name, "bad_body")
+		h.metrics.countOutcome(auth.Route.Name, "bad_body")
 		http.Error(writer, http.StatusText(status), status)
 		return nil, false
 	}
@@ -177,38 +178,38 @@
 	return body, true
 }
 
-func (h *Handler) serveOnline(writer http.ResponseWriter, request *http.Request, terms Authenticated, body []byte, arrived, deadline time.Time) {
+func (h *Handler) serveOnline(writer http.ResponseWriter, request *http.Request, auth Authenticated, body []byte, arrived, deadline time.Time) {
 	ctx, cancel := context.WithTimeout(request.Context(), clock.Until(deadline))
 	defer cancel()
 	current := &exchange{
-		handler: h, writer: writer, request: request, terms: terms, route: terms.Route, body: body, arrived: arrived, deadline: deadline,
-		id: request.Header.Get(h.headers.RequestID), lastEvent: request.Header.Get(h.headers.LastEventID),
+		handler: h, writer: writer, request: request, auth: auth, route: auth.Route, body: body, arrived: arrived, deadline: deadline,
+		id: request.Header.Get(h.headers.RequestID), lastEventID: request.Header.Get(h.headers.LastEventID),
 	}
 	if h.withinQuota(ctx, current) {
-		current.run(ctx)
+		current.serve(ctx)
 	}
 }
 
-// withinQuota answers a request that is over its tenant's limit.
+// withinQuota reports whether the request is within its tenant's limit; if not, it answers 429.
 func (h *Handler) withinQuota(ctx context.Context, current *exchange) bool {
-	holder := current.terms.Tenant
+	holder := current.auth.Tenant
 	if h.quota == nil || holder == nil {
 		return true
 	}
-	verdict := h.quota.Admit(ctx, holder, current.terms.Table.Version)
+	verdict := h.quota.Admit(ctx, holder, current.auth.Table.Version)
 	if verdict.Admitted {
 		return true
 	}
-	h.metrics.outcome(current.route.Name, "over_quota")
+	h.metrics.countOutcome(current.route.Name, "over_quota")
 	SetRetryAfter(current.writer.Header(), verdict.RetryAfter)
 	http.Error(current.writer, "over quota", http.StatusTooManyRequests)
 	return false
 }
 
-// callerDeadline is the earlier of what the caller and what the route allow.
+// callerDeadline returns the earlier of the deadlines set by the caller and by the route, at most one hour after the arrival.
 func callerDeadline(request *http.Request, header string, matched *route.Route, arrived time.Time) time.Time {
-	const longest = time.Hour
-	allowed := longest
+	const maxTimeout = time.Hour
+	allowed := maxTimeout
 	if matched.Timeout > 0 {
 		allowed = min(allowed, matched.Timeout)
 	}
@@ -218,7 +219,7 @@
 	return arrived.Add(allowed)
 }
 
-// readBody reads the whole body; status is not 0 where it cannot be taken.
+// readBody reads the whole body, at most limit bytes; status is the HTTP status of the failure, or 0.
 func readBody(writer http.ResponseWriter, request *http.Request, limit int64) (body []byte, status int) {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -250,15 +251,15 @@
 	}
 }
 
-// refuse answers 503, which promises that the request has not run and will not, and tells when to come back.
+// refuse answers 503, which guarantees that the request has not run and will not run, with a Retry-After.
 func (h *Handler) refuse(writer http.ResponseWriter, request *http.Request, reason string, after time.Duration) {
-	h.metrics.outcome("", reason)
+	h.metrics.countOutcome("", reason)
 	h.logger.Info().Str(logging.FieldRequest, request.Header.Get(h.headers.RequestID)).Str(logging.FieldReason, reason).Msg("refused")
 	SetRetryAfter(writer.Header(), after)
 	http.Error(writer, reason, http.StatusServiceUnavailable)
 }
 
-// SetRetryAfter tells when to come back, in seconds with a fraction.
+// SetRetryAfter sets the Retry-After header in seconds with three decimals.
 func SetRetryAfter(header http.Header, after time.Duration) {
 	header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 }
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -151,10 +151,10 @@
 
 func TestSilentReplicaIsLeftForAnother(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		script replicatest.Script
-		body   string
-		most   time.Duration
+		name       string
+		script     replicatest.Script
+		body       string
+		maxElapsed time.Duration
 	}{
 		{"before the first event", replicatest.Hang(), eventTwo, time.Second},
 		{"between events", replicatest.Stream("s1", false, true, eventOne), eventOne + eventTwo, time.Second},
@@ -165,7 +165,7 @@
 				began := time.Now()
 				recorded, aborted := edge.call(nil)
 				edge.replicas.CloseAll()
-				if recorded.Body.String() != test.body || aborted || time.Since(began) > test.most {
+				if recorded.Body.String() != test.body || aborted || time.Since(began) > test.maxElapsed {
 					t.Errorf("body %q, aborted %t after %s", recorded.Body, aborted, time.Since(began))
 				}
 			})
@@ -230,7 +230,7 @@
 		if connections := edge.replicas.Connections(); connections != 1 {
 			t.Errorf("%d connections for two requests, want 1", connections)
 		}
-		// Behind the time that the replica names the connection is not used any more.
+		// The connection is not used beyond the idle timeout that the replica announced.
 		time.Sleep(10 * time.Second)
 		edge.call(nil)
 		if connections := edge.replicas.Connections(); connections != 2 {
@@ -240,7 +240,8 @@
 	})
 }
 
-// TestCallerThatLeavesStopsTheReplica: the connection to the replica is closed at once, before the head and within a stream.
+// TestCallerThatLeavesStopsTheReplica: the connection to the replica is closed as soon as the caller disconnects, before the header and
+// within a stream.
 func TestCallerThatLeavesStopsTheReplica(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// connectionHeaders concern one connection only and are not passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// passedOn returns a copy of header without what concerns one connection only.
-func passedOn(header http.Header) http.Header {
+// endToEndHeaders returns a copy of header without the hop-by-hop headers, which include those named in Connection.
+func endToEndHeaders(header http.Header) http.Header {
 	kept := make(http.Header, len(header)+2)
 	for name, values := range header {
 		kept[name] = values
@@ -24,22 +24,22 @@
 			}
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(kept, name)
 	}
 	return kept
 }
 
-// copyHead puts a replica's headers into the answer.
-func copyHead(to, from http.Header) {
-	for name, values := range passedOn(from) {
-		to[name] = values
+// copyHeaders copies a replica's end-to-end headers to the answer.
+func copyHeaders(dst, src http.Header) {
+	for name, values := range endToEndHeaders(src) {
+		dst[name] = values
 	}
-	if _, typed := from["Content-Type"]; !typed {
-		// Without this the server would guess a type.
-		to["Content-Type"] = nil
+	if _, hasContentType := src["Content-Type"]; !hasContentType {
+		// A nil entry keeps net/http from guessing a content type.
+		dst["Content-Type"] = nil
 	}
-	if _, dated := from["Date"]; !dated {
-		to["Date"] = nil
+	if _, hasDate := src["Date"]; !hasDate {
+		dst["Date"] = nil
 	}
 }
--- a/internal/forward/homes.go
+++ b/internal/forward/homes.go
@@ -7,29 +7,29 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// reasonOutsideHomes is the reason of an answer where no replica in the request's homes can take it.
+// reasonOutsideHomes is the reason given in an answer when no replica in the request's home regions can take it.
 const reasonOutsideHomes = "no_replica_in_homes"
 
-// Homes returns the regions in which the request may be served and stored.
+// Homes returns the request's home regions: those in which it may be served and stored.
 func (a Authenticated) Homes() region.Set { return route.Homes(a.Route, a.Tenant) }
 
-// homes returns the regions in which the next attempt may be made: those of the request, and of these, after a change of the configuration,
-// the ones that are still allowed.
+// homes returns the regions in which the next attempt may be made: the request's homes at its arrival, without those that a newer
+// configuration no longer allows.
 func (e *exchange) homes() region.Set {
-	homes := e.terms.Homes()
+	homes := e.auth.Homes()
 	newest := e.handler.routes.Table()
-	if newest == nil || newest.Version == e.terms.Table.Version {
+	if newest == nil || newest.Version == e.auth.Table.Version {
 		return homes
 	}
 	if matched := newest.Match(e.request.Host, e.request.URL.Path); matched != nil {
-		homes = homes.Intersect(newest.HomesOf(matched, e.terms.TenantName()))
+		homes = homes.Intersect(newest.HomesOf(matched, e.auth.TenantName()))
 	}
 	return homes
 }
 
-// servedAtHome says that a replica in the request's homes takes requests. A request that is confined to no regions counts as served: what
-// becomes of it shows where a replica is chosen.
-func (e *exchange) servedAtHome(now time.Time) bool {
+// servedInHomes reports whether a replica in the request's homes takes requests. It is true for a request without home regions: whether
+// a replica can take that one is determined when a replica is chosen.
+func (e *exchange) servedInHomes(now time.Time) bool {
 	homes := e.homes()
 	if !homes.Limited() {
 		return true
@@ -42,9 +42,9 @@
 	return false
 }
 
-// passesGate returns what lets a request that is confined to regions through the gate beside the others: its homes have a slot free, or
-// nobody there can take it. It is nil for all other requests. The gate knows the whole service alone.
-func (e *exchange) passesGate() func(now time.Time) bool {
+// gateBypass returns the bypass condition of a request that is limited to home regions: its homes have a free slot, or no replica there
+// can take it. The gate itself counts slots of the whole service only. It returns nil for requests without home regions.
+func (e *exchange) gateBypass() func(now time.Time) bool {
 	homes := e.homes()
 	if !homes.Limited() {
 		return nil
--- a/internal/forward/homes_test.go
+++ b/internal/forward/homes_test.go
@@ -15,13 +15,13 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// confine puts a configuration in force by which the route and the tenant of the key are confined to regions. "a" lies in north, "b" in south.
-func (e *edgeUnderTest) confine(ofRoute, ofTenant region.Set) {
+// confine offers a configuration that limits the route, and the tenant of key-1, to regions. "a" is in north, "b" in south.
+func (e *edgeUnderTest) confine(routeRegions, tenantRegions region.Set) {
 	before := e.routes.Table()
 	confined := *before.Routes[0]
-	confined.Regions = ofRoute
+	confined.Regions = routeRegions
 	table := route.NewTable(before.Version+1, []*route.Route{&confined}, nil, before.Limits)
-	table.Tenants = tenant.NewDirectory([]tenant.Declaration{{Tenant: tenant.Tenant{Name: "one", Regions: ofTenant}, APIKeys: []string{"key-1"}}})
+	table.Tenants = tenant.NewDirectory([]tenant.Declaration{{Tenant: tenant.Tenant{Name: "one", Regions: tenantRegions}, APIKeys: []string{"key-1"}}})
 	e.routes.Offer(table)
 }
 
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestResumedStreamKeepsToItsHomes: a stream that breaks off at home ends there, also where the configuration has narrowed its homes since.
+// TestResumedStreamKeepsToItsHomes: a stream that is interrupted in its home region is not resumed elsewhere, also if the configuration
+// has narrowed its homes since its start.
 func TestResumedStreamKeepsToItsHomes(t *testing.T) {
 	for _, narrowed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// TestConfinedRequestIsNotHeldInVain: with no replica in its homes it is rejected at once, however full the others are.
+// TestConfinedRequestIsNotHeldInVain: a request without a replica in its homes is rejected at once, however loaded the others are.
 func TestConfinedRequestIsNotHeldInVain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, nil)
@@ -114,7 +115,7 @@
 	})
 }
 
-// TestGateLetsThroughWhatNeedNotWait: a request whose homes get room passes before the others that wait for the whole service.
+// TestGateLetsThroughWhatNeedNotWait: a request whose homes have a free slot bypasses those that wait for the whole service.
 func TestGateLetsThroughWhatNeedNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGateUnderTest()
@@ -122,9 +123,9 @@
 		gate.enter("first", inTime)
 		began := time.Now()
 		passesAfter := 100 * time.Millisecond
-		request := held{service: "s", deadline: began.Add(4 * time.Second), passes: func(now time.Time) bool { return now.Sub(began) >= passesAfter }}
+		request := gateRequest{service: "s", deadline: began.Add(4 * time.Second), mayBypass: func(now time.Time) bool { return now.Sub(began) >= passesAfter }}
 		leave := gate.Enter(context.Background(), request)
-		if waited := time.Since(began); waited < passesAfter || waited > passesAfter+gateInterval {
+		if waited := time.Since(began); waited < passesAfter || waited > passesAfter+gateCheckInterval {
 			t.Errorf("held for %s, want %s", waited, passesAfter)
 		}
 		leave()
--- a/internal/forward/prompt_parts.go
+++ b/internal/forward/prompt_parts.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// PromptPart is one part of a prompt, shared with other requests unless it is the last.
+// PromptPart is one part of a prompt; all parts but the last are shared with other requests.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// PromptParts are the parts of one prompt in order.
+// PromptParts lists the parts of a prompt in order.
 type PromptParts []PromptPart
 
-// maxPromptTokens bounds the tokens of one prompt, far above any engine's memory; a part beyond it ends the list.
+// maxPromptTokens bounds the tokens of one prompt, far above the memory of any engine; the list ends before a part that exceeds it.
 const maxPromptTokens = 1 << 30
 
-// ParsePromptParts reads "ID:TOKENS" split by commas; what is not of that form ends the list.
+// ParsePromptParts parses a comma-separated list of "ID:TOKENS"; the list ends before the first malformed entry.
 func ParsePromptParts(text string) PromptParts {
 	var parts PromptParts
 	total := 0
@@ -33,7 +33,7 @@
 	return parts
 }
 
-// sharedKey returns the ID of the deepest part that other requests share, the tokens up to its end, and those of the whole.
+// sharedKey returns the ID of the last part that is shared with other requests, the tokens up to its end, and the tokens of the prompt.
 func (p PromptParts) sharedKey() (key string, sharedTokens, tokens int) {
 	for index, part := range p {
 		tokens += part.Tokens
--- a/internal/forward/prompt_parts_fuzz_test.go
+++ b/internal/forward/prompt_parts_fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzPromptParts: what a caller writes into the header never makes a negative number of tokens.
+// FuzzPromptParts: no header value from a caller results in a negative number of tokens.
 func FuzzPromptParts(f *testing.F) {
 	for _, seed := range []string{"", "a:1", "5c1e07a2:800,91bd3f06:410,e4402b7d:250", ",,", "a:", ":1", "a:-5,b:3", "a:99999999999999999999", "a:9223372036854775807,b:9223372036854775807"} {
 		f.Add(seed)
--- a/internal/forward/quarantined.go
+++ b/internal/forward/quarantined.go
@@ -11,33 +11,34 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// mostReplicasEnded is the number of ended replicas after which a request is given up, whichever message ended them: a caller who
+// maxExitedReplicas is the number of exited replicas after which a request is given up, whichever message made them exit: a caller that
 // waited for that many has hardly any time left.
-const mostReplicasEnded = 3
+const maxExitedReplicas = 3
 
-// knownHarmless names the request's message, and says that it is not rejected already, before the request waits for room.
-func (e *exchange) knownHarmless() bool {
+// passesQuarantine computes the key of the request's message, and reports whether the message is not rejected. It is called before the
+// request waits for capacity, so that a known message is rejected at once.
+func (e *exchange) passesQuarantine() bool {
 	if e.handler.quarantine == nil {
 		return true
 	}
-	e.message = quarantine.Message{
+	e.messageKey = quarantine.Message{
 		Method: e.request.Method, Host: e.request.Host, Target: targetOf(e.request), Body: e.body,
 		PromptParts: e.request.Header.Get(e.handler.headers.PromptParts),
 	}.Key()
-	return e.handler.quarantine.Check(e.message) != quarantine.Rejected
+	return e.handler.quarantine.Check(e.messageKey) != quarantine.Rejected
 }
 
-// admit takes the permit of the next attempt; false where the message is kept from replicas.
-func (e *exchange) admit(ctx context.Context) bool {
+// acquirePermit obtains the permit of the next attempt; it returns false if the message is rejected.
+func (e *exchange) acquirePermit(ctx context.Context) bool {
 	if e.handler.quarantine == nil {
 		return true
 	}
 	e.releasePermit()
-	e.permit = e.handler.quarantine.Admit(ctx, e.message)
+	e.permit = e.handler.quarantine.Admit(ctx, e.messageKey)
 	return e.permit.Verdict() != quarantine.Rejected
 }
 
-// releasePermit gives back the permit of an attempt that has ended, or was not made.
+// releasePermit releases the permit of an attempt that has ended, or was not made.
 func (e *exchange) releasePermit() {
 	if e.permit != nil {
 		e.permit.Release()
@@ -45,22 +46,24 @@
 	}
 }
 
-// pickApart chooses the replica of a suspected message; nil where it is not suspected, or no replica has few requests and no other suspect.
-func (e *exchange) pickApart(ctx context.Context) *replica.Handle {
+// pickForSuspect chooses a replica for a suspected message: one with few requests and no other suspect. It returns nil if the message is
+// not suspected, or if there is no such replica.
+func (e *exchange) pickForSuspect(ctx context.Context) *replica.Handle {
 	if e.permit == nil || e.permit.Verdict() != quarantine.Apart {
 		return nil
 	}
 	all := e.handler.directory.View().Of(e.service)
 	occupied := slices.Concat(e.tried, e.permit.Occupied(), quarantine.Failing(all, clock.Now()))
-	others := quarantine.NotPreferred(e.message, all)
-	if handle := e.pickWithin(ctx, append(slices.Clone(occupied), others...), quarantine.ApartOccupancy); handle != nil {
+	others := quarantine.NotPreferred(e.messageKey, all)
+	if handle := e.pickWithColdLimit(ctx, append(slices.Clone(occupied), others...), quarantine.ApartOccupancy); handle != nil {
 		return handle
 	}
-	return e.pickWithin(ctx, occupied, quarantine.ApartOccupancy)
+	return e.pickWithColdLimit(ctx, occupied, quarantine.ApartOccupancy)
 }
 
-// pickWithin chooses among the replicas that are not excluded, of whose slots no larger share than maxOccupancy is in use; 0 is no bound.
-func (e *exchange) pickWithin(ctx context.Context, excluded []*replica.Handle, maxOccupancy float64) *replica.Handle {
+// pickWithColdLimit chooses among the replicas that are not excluded, have at most the share maxOccupancy of their slots in use (0 sets no
+// bound), and may get one more request by the limit on cold replicas.
+func (e *exchange) pickWithColdLimit(ctx context.Context, excluded []*replica.Handle, maxOccupancy float64) *replica.Handle {
 	for {
 		handle := e.pick(excluded, maxOccupancy)
 		if handle == nil || e.handler.coldStarts == nil || e.handler.coldStarts.Take(handle) {
@@ -70,70 +73,70 @@
 	}
 }
 
-// guardedAttempt sends the request to one replica and notes how that ended for the message.
-func (e *exchange) guardedAttempt(ctx context.Context, handle *replica.Handle) verdict {
-	e.replicaEnded = false
+// quarantinedAttempt sends the request to one replica and reports the outcome to the quarantine.
+func (e *exchange) quarantinedAttempt(ctx context.Context, handle *replica.Handle) attemptOutcome {
+	e.replicaExited = false
 	if e.permit == nil {
-		return e.attempt(ctx, handle)
+		return e.sendToReplica(ctx, handle)
 	}
-	bounded, cancel := context.WithCancelCause(ctx)
+	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var cut func()
+	var cancelRun func()
 	if e.route.MayRepeat() {
-		cut = func() { cancel(quarantine.ErrSuspected) }
+		cancelRun = func() { cancel(quarantine.ErrSuspected) }
 	}
-	startedBehind := e.lastEvent
-	run := e.permit.Begin(handle, cut)
+	resumedAfter := e.lastEventID
+	run := e.permit.Begin(handle, cancelRun)
 	e.lastStatus, e.lastError = 0, nil
-	deliveredBefore := e.eventsDelivered
-	last := e.attempt(bounded, handle)
-	if e.resumes() {
-		run.Progress(deliveredBefore, e.eventsDelivered)
+	eventsBefore := e.eventsDelivered
+	outcome := e.sendToReplica(runCtx, handle)
+	if e.canResume() {
+		run.Progress(eventsBefore, e.eventsDelivered)
 	}
-	e.replicaEnded = run.End(ctx, e.ending(bounded, last, startedBehind))
-	return last
+	e.replicaExited = run.End(ctx, e.quarantineEnding(runCtx, outcome, resumedAfter))
+	return outcome
 }
 
-// ending is what the attempt says of the message. Only a run from the beginning shows that the message is harmless.
-func (e *exchange) ending(ctx context.Context, last verdict, startedBehind string) quarantine.Ending {
+// quarantineEnding returns what the attempt shows about the message. Only a run from the beginning can show that it is harmless.
+func (e *exchange) quarantineEnding(ctx context.Context, outcome attemptOutcome, resumedAfter string) quarantine.Ending {
 	switch {
-	case last == delivered && startedBehind == "" && e.lastStatus < http.StatusMultipleChoices:
+	case outcome == delivered && resumedAfter == "" && e.lastStatus < http.StatusMultipleChoices:
 		return quarantine.Whole
-	case last == callerGone, ctx.Err() != nil && last != delivered && last != notRun && last != notSent:
+	case outcome == callerGone, ctx.Err() != nil && outcome != delivered && outcome != notRun && outcome != notSent:
 		return quarantine.Left
-	case last != maybeRun && last != brokenOff, e.lastError == nil:
+	case outcome != maybeRun && outcome != truncated, e.lastError == nil:
 		return quarantine.Other
-	case e.silent():
+	case e.endedBySilence():
 		return quarantine.Left
-	case e.resumes() && e.lastEvent != startedBehind:
+	case e.canResume() && e.lastEventID != resumedAfter:
 		return quarantine.Interrupted
 	default:
 		return quarantine.Lost
 	}
 }
 
-// countRun counts an attempt that may have run. One whose replica ended costs the request none of its attempts.
+// countRun counts an attempt that may have run, except one whose replica exited: that does not count against the route's attempts.
 func (e *exchange) countRun(handle *replica.Handle) {
-	if e.replicaEnded {
-		e.endedRuns = append(e.endedRuns, endedRun{handle: handle, foundAt: clock.Now()})
-		e.event(handle).Int("runs", e.runs).Int("replicas_ended", len(e.endedRuns)).Msg("run_not_counted")
+	if e.replicaExited {
+		e.uncountedRuns = append(e.uncountedRuns, uncountedRun{handle: handle, concludedAt: clock.Now()})
+		e.logEvent(handle).Int("runs", e.runs).Int("replicas_ended", len(e.uncountedRuns)).Msg("run_not_counted")
 		return
 	}
 	e.runs++
 }
 
-// endedRun is an attempt whose replica was found to have ended.
-type endedRun struct {
-	handle  *replica.Handle
-	foundAt time.Time
+// uncountedRun is an attempt whose replica was found to have exited.
+type uncountedRun struct {
+	handle      *replica.Handle
+	concludedAt time.Time
 }
 
-// spentAttempts counts the runs that cost the request an attempt. That a replica ended is concluded from a connection that it refused: one
-// that has answered since lives, and has run the request.
+// spentAttempts returns the number of runs that count against the route's attempts. A refused connection is taken as evidence that the
+// replica exited: one that has answered since is alive, and its run counts after all.
 func (e *exchange) spentAttempts() int {
 	spent := e.runs
-	for _, each := range e.endedRuns {
-		if each.handle.AnsweredSince(each.foundAt) {
+	for _, run := range e.uncountedRuns {
+		if run.handle.AnsweredSince(run.concludedAt) {
 			spent++
 		}
 	}
--- a/internal/forward/quarantined_test.go
+++ b/internal/forward/quarantined_test.go
@@ -20,19 +20,19 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// fakeRegister answers as a test says and notes what it is told.
+// fakeRegister returns the verdicts set by a test and records the endings reported to it.
 type fakeRegister struct {
-	// check is what is known at first; admit are the verdicts on the attempts, Allowed behind them.
+	// check is the verdict of Check; admit holds the verdicts of the next attempts, after which all are Allowed.
 	check quarantine.Verdict
 	admit []quarantine.Verdict
-	// ended says that the replica of a lost run has ended; cut has each first run cut off at once.
-	ended bool
-	cut   bool
-	// cutAtOnce has the first run cut off before it is sent.
-	cutAtOnce bool
-	// endedFirst, where it is not 0, has only that many of the first lost runs end with their replica; lost counts them.
-	endedFirst int
-	lost       int
+	// exited reports the replicas of lost runs as exited; cancelFirst cancels the first run after 10 ms.
+	exited      bool
+	cancelFirst bool
+	// cancelBeforeSend cancels the first run before it is sent.
+	cancelBeforeSend bool
+	// exitedFirst, if not 0, limits exited to that many of the first lost runs; lost counts the lost runs.
+	exitedFirst int
+	lost        int
 
 	mutex    sync.Mutex
 	keys     []quarantine.Key
@@ -71,15 +71,15 @@
 	p.register.released++
 }
 
-func (p *fakePermit) Begin(_ *replica.Handle, cut func()) quarantine.Run {
+func (p *fakePermit) Begin(_ *replica.Handle, cancel func()) quarantine.Run {
 	p.register.mutex.Lock()
 	defer p.register.mutex.Unlock()
 	p.register.begun++
-	if p.register.cut && p.register.begun == 1 && cut != nil {
-		time.AfterFunc(10*time.Millisecond, cut)
+	if p.register.cancelFirst && p.register.begun == 1 && cancel != nil {
+		time.AfterFunc(10*time.Millisecond, cancel)
 	}
-	if p.register.cutAtOnce && p.register.begun == 1 && cut != nil {
-		cut()
+	if p.register.cancelBeforeSend && p.register.begun == 1 && cancel != nil {
+		cancel()
 	}
 	return p
 }
@@ -90,11 +90,11 @@
 	p.register.mutex.Lock()
 	defer p.register.mutex.Unlock()
 	p.register.endings = append(p.register.endings, ending)
-	if ending != quarantine.Lost && ending != quarantine.Interrupted || !p.register.ended {
+	if ending != quarantine.Lost && ending != quarantine.Interrupted || !p.register.exited {
 		return false
 	}
 	p.register.lost++
-	return p.register.endedFirst == 0 || p.register.lost <= p.register.endedFirst
+	return p.register.exitedFirst == 0 || p.register.lost <= p.register.exitedFirst
 }
 
 func TestRejectedMessageIsAnsweredAtOnce(t *testing.T) {
@@ -102,13 +102,13 @@
 	for name, register := range map[string]*fakeRegister{
 		"known before":           {check: quarantine.Rejected},
 		"known when it waited":   {admit: []quarantine.Verdict{quarantine.Rejected}},
-		"after an ended attempt": {ended: true, admit: []quarantine.Verdict{quarantine.Allowed, quarantine.Rejected}},
+		"after an ended attempt": {exited: true, admit: []quarantine.Verdict{quarantine.Allowed, quarantine.Rejected}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				scripts := map[string]replicatest.Script{"a": answer, "b": answer}
 				sent := 0
-				if register.ended {
+				if register.exited {
 					scripts["a"], sent = replicatest.Lose(), 1
 				}
 				edge := newEdgeUnderTest(t, route.Repeatable, false, scripts)
@@ -135,7 +135,7 @@
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{
 			"a": replicatest.Stream("s1", false, false, "id: 1\ndata: x\n\n"), "b": replicatest.Stream("s2", true, false, "id: 2\ndata: y\n\n"),
 		})
-		register := &fakeRegister{ended: true}
+		register := &fakeRegister{exited: true}
 		edge.Handler.quarantine = register
 		for edge.Handler.budget.take() {
 		}
@@ -164,7 +164,7 @@
 		edge.replicas.Scripts[third] = replicatest.Answer(200, replicatest.Signed, "x")
 		added := replica.Info{ID: "c", Service: "s", Zone: "far", Address: third, Slots: 1}
 		edge.directory.Update([]replica.Info{added}, nil)
-		edge.Handler.quarantine = &fakeRegister{ended: true, endedFirst: 1}
+		edge.Handler.quarantine = &fakeRegister{exited: true, exitedFirst: 1}
 		if recorded, _ := edge.call(nil); recorded.Code != http.StatusOK || len(edge.replicas.Requests()) != 3 {
 			t.Errorf("status %d after %d attempts, want 200 after the third: one ended with its replica, and two are allowed", recorded.Code, len(edge.replicas.Requests()))
 		}
@@ -182,10 +182,10 @@
 			infos = append(infos, replica.Info{ID: string(rune('c' + number)), Service: "s", Zone: "near", Address: address, Slots: 8})
 		}
 		edge.directory.Replace(infos)
-		edge.Handler.quarantine = &fakeRegister{ended: true}
+		edge.Handler.quarantine = &fakeRegister{exited: true}
 		recorded, _ := edge.call(nil)
-		if requests := len(edge.replicas.Requests()); requests != mostReplicasEnded+1 || recorded.Code != http.StatusBadGateway {
-			t.Errorf("%d attempts, want %d; status %d", requests, mostReplicasEnded+1, recorded.Code)
+		if requests := len(edge.replicas.Requests()); requests != maxExitedReplicas+1 || recorded.Code != http.StatusBadGateway {
+			t.Errorf("%d attempts, want %d; status %d", requests, maxExitedReplicas+1, recorded.Code)
 		}
 		edge.replicas.CloseAll()
 	})
@@ -223,7 +223,7 @@
 	}
 }
 
-// TestUnsignedAnswerIsALostRun: the replica may have ended within the head of its answer.
+// TestUnsignedAnswerIsALostRun: the replica may have exited while it sent the header.
 func TestUnsignedAnswerIsALostRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unsigned := func(connection net.Conn, request *http.Request) bool {
@@ -245,7 +245,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		hang := func(connection net.Conn, request *http.Request) bool { return replicatest.Hang()(connection, request) }
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{"a": hang, "b": replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n")})
-		register := &fakeRegister{cut: true}
+		register := &fakeRegister{cancelFirst: true}
 		edge.Handler.quarantine = register
 		recorded, _ := edge.call(nil)
 		if recorded.Code != http.StatusOK {
@@ -262,13 +262,13 @@
 	})
 }
 
-// TestRunThatIsCutOffBeforeItIsSentCostsNoAttempt: no replica had it.
+// TestRunThatIsCutOffBeforeItIsSentCostsNoAttempt: no replica has received that run.
 func TestRunThatIsCutOffBeforeItIsSentCostsNoAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		whole := replicatest.Answer(200, replicatest.Signed, "x")
 		edge := newEdgeUnderTest(t, route.Repeatable, false, map[string]replicatest.Script{"a": whole, "b": whole})
 		edge.routes.Table().Routes[0].Attempts = 1
-		register := &fakeRegister{cutAtOnce: true}
+		register := &fakeRegister{cancelBeforeSend: true}
 		edge.Handler.quarantine = register
 		if recorded, _ := edge.call(nil); recorded.Code != http.StatusOK || len(edge.replicas.Requests()) != 1 {
 			t.Errorf("status %d after %d attempts, want 200 after one", recorded.Code, len(edge.replicas.Requests()))
--- a/internal/forward/replaced_test.go
+++ b/internal/forward/replaced_test.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestReplicaThatAnotherOneAnswersForIsDown: one request finds it out, later ones lose no time there.
+// TestReplicaThatAnotherOneAnswersForIsDown: one request finds out, and later ones do not try the replica.
 func TestReplicaThatAnotherOneAnswersForIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -7,60 +7,63 @@
 )
 
 const (
-	// headPatience and gapPatience are how many objectives a replica may be silent before another one is tried.
-	headPatience = 1.5
-	gapPatience  = 2.0
-	// leastPatience bounds both from below.
-	leastPatience = 250 * time.Millisecond
+	// A replica may be silent for this multiple of the route's objective before its first event, and of its gap objective between two
+	// events, before another replica is tried.
+	firstEventTimeoutFactor = 1.5
+	gapTimeoutFactor        = 2.0
+	// minSilenceTimeout is the lower bound of both timeouts.
+	minSilenceTimeout = 250 * time.Millisecond
 )
 
-// silenceTimer ends an attempt at a replica that sends nothing. Its zero value never does.
+// silenceTimer cancels an attempt at a replica that sends nothing. The zero value never fires.
 type silenceTimer struct {
 	mutex sync.Mutex
 	timer *time.Timer
-	gap   time.Duration
-	// waited is the time after which the timer fires next.
-	waited time.Duration
+	// gapTimeout applies between two events.
+	gapTimeout time.Duration
+	// timeout is the duration with which the timer was last set.
+	timeout time.Duration
 }
 
-// watchSilence starts a timer where another replica could do better. The attempt is ended only once the budget has paid for the next:
-// while it is spent, a late answer is better than none.
+// watchSilence starts the timer of an attempt if another replica may take over. The attempt is cancelled only once the retry budget was
+// charged for the next one: with an exhausted budget, a late answer is better than none.
 func (e *exchange) watchSilence(cancel context.CancelCauseFunc) *silenceTimer {
-	if !e.resumes() || e.runs+1 >= max(1, e.route.Attempts) || e.route.Objective <= 0 {
+	if !e.canResume() || e.runs+1 >= max(1, e.route.Attempts) || e.route.Objective <= 0 {
 		return &silenceTimer{}
 	}
-	watching := &silenceTimer{
-		gap:    max(leastPatience, time.Duration(gapPatience*float64(e.route.GapObjective))),
-		waited: max(leastPatience, time.Duration(headPatience*float64(e.route.Objective))),
+	silence := &silenceTimer{
+		gapTimeout: max(minSilenceTimeout, time.Duration(gapTimeoutFactor*float64(e.route.GapObjective))),
+		timeout:    max(minSilenceTimeout, time.Duration(firstEventTimeoutFactor*float64(e.route.Objective))),
 	}
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	watching.timer = time.AfterFunc(watching.waited, func() {
+	silence.mutex.Lock()
+	defer silence.mutex.Unlock()
+	silence.timer = time.AfterFunc(silence.timeout, func() {
 		if !e.handler.budget.take() {
-			watching.again()
+			silence.rearm()
 			return
 		}
-		e.nextPaid.Store(true)
-		cancel(errSilent)
+		e.retryPaid.Store(true)
+		cancel(errSilenceTimeout)
 	})
-	return watching
+	return silence
 }
 
-func (s *silenceTimer) heard() {
+// eventReceived restarts the timer with the timeout between events.
+func (s *silenceTimer) eventReceived() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.timer != nil {
-		s.waited = s.gap
-		s.timer.Reset(s.gap)
+		s.timeout = s.gapTimeout
+		s.timer.Reset(s.gapTimeout)
 	}
 }
 
-// again waits once more for as long.
-func (s *silenceTimer) again() {
+// rearm restarts the timer with the same timeout.
+func (s *silenceTimer) rearm() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.timer != nil {
-		s.timer.Reset(s.waited)
+		s.timer.Reset(s.timeout)
 	}
 }
 
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -12,19 +12,19 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// after plays a script once a time has passed.
-func after(wait time.Duration, script replicatest.Script) replicatest.Script {
+// delayed runs a script after a wait.
+func delayed(wait time.Duration, script replicatest.Script) replicatest.Script {
 	return func(connection net.Conn, request *http.Request) bool {
 		time.Sleep(wait)
 		return script(connection, request)
 	}
 }
 
-// TestSilentAttemptIsKeptWhileNoOtherMayFollow: where the budget for further attempts is spent, a late answer is better than none.
+// TestSilentAttemptIsKeptWhileNoOtherMayFollow: with an exhausted retry budget, a late answer is better than none.
 func TestSilentAttemptIsKeptWhileNoOtherMayFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{
-			"a": after(600*time.Millisecond, replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n")), "b": replicatest.Hang(),
+			"a": delayed(600*time.Millisecond, replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n")), "b": replicatest.Hang(),
 		})
 		for edge.Handler.budget.take() {
 		}
@@ -41,11 +41,11 @@
 	})
 }
 
-// TestSilentConnectionsToAReplicaAreGivenUpTogether: all kept connections to a replica go silent without a reset, while new ones work. The
-// first request on one shows it, and no later request is put on another.
+// TestSilentConnectionsToAReplicaAreGivenUpTogether covers idle connections to a replica that all go silent without a reset, while new
+// ones work. The first request on one of them detects it, and no later request is sent on another.
 func TestSilentConnectionsToAReplicaAreGivenUpTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stream := after(10*time.Millisecond, replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n"))
+		stream := delayed(10*time.Millisecond, replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n"))
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{"a": stream, "b": stream})
 		const kept = 6
 		var calls sync.WaitGroup
@@ -58,7 +58,7 @@
 		}
 		late := 0
 		for range 2 * kept {
-			// Streams of other requests show that the zone is reached, so that kept connections are used.
+			// Answers to other requests show that the zone is reachable, so that idle connections are used.
 			edge.directory.View().Find("a").NoteAnswer()
 			began := time.Now()
 			recorded, aborted := edge.call(nil)
--- a/internal/forward/startup.go
+++ b/internal/forward/startup.go
@@ -8,13 +8,13 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// startWait bounds the time that a request waits at a process that has just started for the configuration and the replicas. It has
-// them within some 30 ms from the key-value service, and within 100 to 250 ms from other nodes while the service is away, when all of them
-// start. A caller who is refused comes back no sooner, and streams are to begin within 300 ms.
-const startWait = 250 * time.Millisecond
+// maxStartupWait bounds how long a request waits at a process that has just started for the configuration and the replicas. They take
+// about 30 ms from the key-value service, and 100 to 250 ms from other nodes if the service is unavailable and all nodes are starting.
+// A refused caller would not come back sooner, and streams should begin within 300 ms.
+const maxStartupWait = 250 * time.Millisecond
 
-// tableWhenKnown returns the routing table once it and the replicas are known; nil where the table is not after startWait.
-func (h *Handler) tableWhenKnown(ctx context.Context) *route.Table {
+// waitForTable returns the routing table once it and the replicas are known; nil if there is no table after maxStartupWait.
+func (h *Handler) waitForTable(ctx context.Context) *route.Table {
 	if h.Known() {
 		return h.routes.Table()
 	}
@@ -27,7 +27,7 @@
 	}
 	defer h.routes.Subscribe(func(*route.Table) { notify() })()
 	defer h.directory.Subscribe(func(*replica.View) { notify() })()
-	timer := time.NewTimer(startWait)
+	timer := time.NewTimer(maxStartupWait)
 	defer timer.Stop()
 	for !h.Known() {
 		select {
@@ -41,5 +41,5 @@
 	return h.routes.Table()
 }
 
-// Known says that the configuration and the replicas have been read once.
+// Known reports whether the configuration and the replicas have been loaded.
 func (h *Handler) Known() bool { return h.routes.Table() != nil && h.directory.Loaded() }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,47 +11,47 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// passStream passes on events as they come, whole ones only, so that another replica can go on behind the last.
-func (e *exchange) passStream(ctx context.Context, handle *replica.Handle, answer *replica.Answer, patience *silenceTimer) (result verdict, whole bool) {
+// forwardStream relays events as they arrive, complete events only, so that another replica can resume after the last one.
+func (e *exchange) forwardStream(ctx context.Context, handle *replica.Handle, answer *replica.Answer, silence *silenceTimer) (result attemptOutcome, consumed bool) {
 	flusher := http.NewResponseController(e.writer)
 	reader := eventstream.NewReader(answer.Body)
 	for {
 		events, err := reader.Next()
 		if len(events.Bytes) > 0 {
-			patience.heard()
+			silence.eventReceived()
 			handle.NoteAnswer()
-			e.promptRead()
-			e.sendHead(answer)
-			if _, failure := e.writer.Write(events.Bytes); failure != nil {
+			e.markPromptRead()
+			e.sendHeaders(answer)
+			if _, writeErr := e.writer.Write(events.Bytes); writeErr != nil {
 				return callerGone, false
 			}
-			if failure := flusher.Flush(); failure != nil {
+			if flushErr := flusher.Flush(); flushErr != nil {
 				return callerGone, false
 			}
 			e.eventsDelivered += events.Count
 			if events.LastID != "" {
-				e.lastEvent = events.LastID
+				e.lastEventID = events.LastID
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			e.sendHead(answer)
+			e.sendHeaders(answer)
 			handle.Succeeded()
 			return delivered, true
 		}
 		if err != nil {
-			return e.failed(ctx, handle, err), false
+			return e.handleCallError(ctx, handle, err), false
 		}
 	}
 }
 
-// sendHead sends the head of the first replica's answer, once.
-func (e *exchange) sendHead(answer *replica.Answer) {
-	if e.headSent {
+// sendHeaders sends the caller the header of the first replica's answer, once.
+func (e *exchange) sendHeaders(answer *replica.Answer) {
+	if e.headersSent {
 		return
 	}
-	e.headSent = true
-	e.handler.metrics.firstEvent(e.route.Name, clock.Since(e.arrived))
-	e.handler.expectations.of(e.route).observeFirst(clock.Since(e.attemptBegan))
-	copyHead(e.writer.Header(), answer.Header)
+	e.headersSent = true
+	e.handler.metrics.observeFirstEvent(e.route.Name, clock.Since(e.arrived))
+	e.handler.estimates.forRoute(e.route).observeFirstEvent(clock.Since(e.attemptStart))
+	copyHeaders(e.writer.Header(), answer.Header)
 	e.writer.WriteHeader(answer.Status)
 }
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestDeadlineOfARepeatCountsSuspension: the caller's time went on while this machine was suspended.
+// TestDeadlineOfARepeatCountsSuspension: the caller's deadline keeps running while this machine is suspended.
 func TestDeadlineOfARepeatCountsSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loseAfterSuspension := func(connection net.Conn, request *http.Request) bool {
--- a/internal/forward/zone_cut_test.go
+++ b/internal/forward/zone_cut_test.go
@@ -12,9 +12,9 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// farReplicas puts so many replicas into two other zones, which all answer, and takes most of the room of the near one, so that the far ones
-// are preferred. It returns their addresses.
-func (e *edgeUnderTest) farReplicas(script replicatest.Script, count int) (addresses []netip.AddrPort) {
+// addFarReplicas adds count replicas, all answering, in two other zones, and fills most slots of the near one, so that the far ones are
+// preferred. It returns their addresses.
+func (e *edgeUnderTest) addFarReplicas(script replicatest.Script, count int) (addresses []netip.AddrPort) {
 	infos := []replica.Info{*e.directory.View().Find("a").Info()}
 	for index := range count {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(2000+index))
@@ -29,8 +29,8 @@
 	return addresses
 }
 
-// slowCalls sends so many requests, one after the other; it returns how many took longer than longest, and the longest time.
-func (e *edgeUnderTest) slowCalls(t *testing.T, count int, longest time.Duration) (slow int, worst time.Duration) {
+// countSlowCalls sends count requests one after the other; it returns how many took longer than longest, and the longest time.
+func (e *edgeUnderTest) countSlowCalls(t *testing.T, count int, longest time.Duration) (slow int, worst time.Duration) {
 	t.Helper()
 	for range count {
 		began := time.Now()
@@ -48,8 +48,9 @@
 	return slow, worst
 }
 
-// TestZoneThatIsCutOffCostsFewRequests: its replicas look empty, but the first connections that are not made show that none is reached. A
-// request that may run once only is not put on a connection that was kept from before, and none waits longer for a connection than it can.
+// TestZoneThatIsCutOffCostsFewRequests: the replicas of such a zone look idle, but the first failed connections show that none is reachable.
+// A request that may run only once is not sent on an idle connection from before, and none waits longer for a connection than its
+// connect timeout.
 func TestZoneThatIsCutOffCostsFewRequests(t *testing.T) {
 	t.Run("silent", func(t *testing.T) { testZoneCut(t, false) })
 	t.Run("refused", func(t *testing.T) { testZoneCut(t, true) })
@@ -58,10 +59,10 @@
 func testZoneCut(t *testing.T, refused bool) {
 	const longest = 90 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		stream := after(10*time.Millisecond, replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n"))
+		stream := delayed(10*time.Millisecond, replicatest.Stream("s", true, false, "id: 1\ndata: x\n\n"))
 		edge := newEdgeUnderTest(t, route.Stream, false, map[string]replicatest.Script{"a": stream})
-		far := edge.farReplicas(stream, 8)
-		if slow, _ := edge.slowCalls(t, 10, longest); slow > 0 || edge.replicas.Connections() == 0 {
+		far := edge.addFarReplicas(stream, 8)
+		if slow, _ := edge.countSlowCalls(t, 10, longest); slow > 0 || edge.replicas.Connections() == 0 {
 			t.Fatalf("%d slow requests while all is well", slow)
 		}
 		time.Sleep(2 * time.Second)
@@ -70,13 +71,13 @@
 			edge.silencer.Refuse()
 		}
 		edge.silencer.CutOff(far...)
-		slow, worst := edge.slowCalls(t, 30, longest)
-		if slow > 2 || worst > 4*leastConnectTime+longest {
+		slow, worst := edge.countSlowCalls(t, 30, longest)
+		if slow > 2 || worst > 4*minConnectTimeout+longest {
 			t.Errorf("%d of 30 requests were held up by a zone that is cut off, one for %s", slow, worst)
 		}
 		edge.silencer.CutOff()
 		time.Sleep(time.Second)
-		edge.slowCalls(t, 3, longest)
+		edge.countSlowCalls(t, 3, longest)
 		if handle := edge.directory.View().Find("far-a"); handle.ZoneCutOff() {
 			t.Error("a zone that is reached again is not used")
 		}
