--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -7,26 +7,26 @@
 	"github.com/sloelift/sloelift/internal/fleet"
 )
 
-// decide returns what the orderer does next, given what it sees.
+// decide returns the next actions of the orderer for its view of the service.
 func (s *serviceState) decide(now time.Time, options *Options) []action {
 	if !s.view.orderer {
 		s.fence = 0
 		return nil
 	}
-	s.forget()
+	s.removeUnlisted()
 	if s.settled() {
 		return nil
 	}
 	if s.fence == 0 || s.fenceRevision < s.view.desired.revision {
-		return s.acquire(now)
+		return s.acquireFence(now)
 	}
-	if claims, done := s.claim(now); !done {
+	if claims, done := s.claimReplicas(now); !done {
 		return claims
 	}
-	return s.roll(now, options)
+	return s.rollOut(now, options)
 }
 
-// settled says that every replica that reports its load is as desired.
+// settled reports whether every replica that reports its load is in the desired state.
 func (s *serviceState) settled() bool {
 	for index := range s.view.replicas {
 		replica := &s.view.replicas[index].replica
@@ -41,11 +41,11 @@
 	return true
 }
 
-func (s *serviceState) acquire(now time.Time) []action {
-	if s.taking || now.Before(s.retryAt) {
+func (s *serviceState) acquireFence(now time.Time) []action {
+	if s.acquiring || now.Before(s.retryAt) {
 		return nil
 	}
-	s.taking = true
+	s.acquiring = true
 	var highest uint64
 	for index := range s.view.replicas {
 		highest = max(highest, s.view.replicas[index].replica.Load.FenceToken)
@@ -53,18 +53,18 @@
 	return []action{takeFence{service: s.name, atLeast: highest, revision: s.view.desired.revision}}
 }
 
-// claim gives each replica its present role again under the own fence, so that an earlier
-// orderer is refused from then on. done is true once all that report have taken it.
-func (s *serviceState) claim(now time.Time) (claims []action, done bool) {
+// claimReplicas sends each replica its current role again under the new fencing token, so that orders of earlier orderers are refused
+// from then on. done is true once all replicas that report their load have accepted the claim.
+func (s *serviceState) claimReplicas(now time.Time) (claims []action, done bool) {
 	done = true
 	for index := range s.view.replicas {
 		replica := &s.view.replicas[index].replica
-		memory := s.memory(replica.ID)
-		if replica.Leaving || !replica.HasLoad || memory.claimed >= s.fence {
+		tracked := s.stateOf(replica.ID)
+		if replica.Leaving || !replica.HasLoad || tracked.claimed >= s.fence {
 			continue
 		}
 		done = false
-		if !memory.pending && !now.Before(memory.retryAt) {
+		if !tracked.pending && !now.Before(tracked.retryAt) {
 			claims = append(claims, s.order(replica, engine.Order{Kind: engine.OrderSetRole, Role: replica.Load.Role}))
 		}
 	}
@@ -72,53 +72,53 @@
 }
 
 func (s *serviceState) order(replica *fleet.Replica, order engine.Order) action {
-	s.memory(replica.ID).pending = true
+	s.stateOf(replica.ID).pending = true
 	order.Fence = s.fence
 	return sendOrder{service: s.name, to: replica.Endpoint, order: order}
 }
 
-// roll moves each replica one step on. Only reports measured after a replica's last order
-// count, and no more than the allowed share is out of service at a time.
-func (s *serviceState) roll(now time.Time, options *Options) []action {
+// rollOut returns the next step of each replica. Only reports measured after the answer to a replica's last order count, and no more than
+// the allowed share of replicas is out of service at a time.
+func (s *serviceState) rollOut(now time.Time, options *Options) []action {
 	var actions []action
-	room := s.room(options)
+	budget := s.drainBudget(options)
 	for index := range s.view.replicas {
 		seen := &s.view.replicas[index]
-		memory := s.memory(seen.replica.ID)
-		if seen.replica.Leaving || !seen.replica.HasLoad || memory.pending || memory.reserving || now.Before(memory.retryAt) ||
-			!seen.measuredAt.After(memory.orderedAt) {
+		tracked := s.stateOf(seen.replica.ID)
+		if seen.replica.Leaving || !seen.replica.HasLoad || tracked.pending || tracked.reserving || now.Before(tracked.retryAt) ||
+			!seen.measuredAt.After(tracked.answeredAt) {
 			continue
 		}
-		next, drains := s.next(seen, memory, room > 0, options)
+		next, drains := s.nextStep(seen, tracked, budget > 0, options)
 		if next == nil {
 			continue
 		}
 		if drains {
-			room--
+			budget--
 		}
 		actions = append(actions, next)
 	}
 	return actions
 }
 
-// room is how many more replicas may go out of service now.
-func (s *serviceState) room(options *Options) int {
-	total, out := 0, 0
+// drainBudget returns how many more replicas may be taken out of service now.
+func (s *serviceState) drainBudget(options *Options) int {
+	total, unavailable := 0, 0
 	for index := range s.view.replicas {
 		seen := &s.view.replicas[index]
 		if seen.replica.Leaving {
 			continue
 		}
 		total++
-		memory := s.memory(seen.replica.ID)
-		if !s.inService(seen) || memory.pending || !seen.measuredAt.After(memory.orderedAt) {
-			out++
+		tracked := s.stateOf(seen.replica.ID)
+		if !s.inService(seen) || tracked.pending || !seen.measuredAt.After(tracked.answeredAt) {
+			unavailable++
 		}
 	}
-	return max(1, total*options.SharePercent/100) - out
+	return max(1, total*options.SharePercent/100) - unavailable
 }
 
-// inService says that a replica serves every desired model, in whatever version.
+// inService reports whether a replica serves every desired model, in any version.
 func (s *serviceState) inService(seen *observation) bool {
 	replica := &seen.replica
 	if replica.Leaving || replica.Failed || !replica.HasLoad || replica.Draining() {
@@ -132,47 +132,47 @@
 	return true
 }
 
-// next returns the one step that brings a replica nearer to the desired state, or nil
-// where it has to wait; drains says that the step takes it out of service.
-func (s *serviceState) next(seen *observation, memory *replicaState, room bool, options *Options) (step action, drains bool) {
+// nextStep returns the one step that brings a replica closer to the desired state, or nil if it has to wait; drains reports whether the
+// step takes the replica out of service.
+func (s *serviceState) nextStep(seen *observation, tracked *replicaState, mayDrain bool, options *Options) (step action, drains bool) {
 	replica := &seen.replica
 	difference := gapOf(&s.view.desired, &replica.Load)
 	blocked := len(difference.stale) > 0
-	if blocked && !replica.Draining() && !room && s.othersServe(replica.ID) {
+	if blocked && !replica.Draining() && !mayDrain && s.otherInService(replica.ID) {
 		return nil, false
 	}
-	for _, one := range difference.fetches() {
-		if !memory.reserved[one] {
-			memory.reserving = true
-			return reserveFetch{service: s.name, replica: replica.ID, fetch: one}, false
+	for _, weights := range difference.fetches() {
+		if !tracked.reserved[weights] {
+			tracked.reserving = true
+			return reserveFetch{service: s.name, replica: replica.ID, fetch: weights}, false
 		}
 	}
 	switch {
 	case difference.loading:
 		return nil, false
-	case blocked && !s.othersServe(replica.ID):
-		return s.changeAlone(replica, &difference), false
+	case blocked && !s.otherInService(replica.ID):
+		return s.updateSoleReplica(replica, &difference), false
 	case blocked && !replica.Draining():
 		return s.order(replica, engine.Order{Kind: engine.OrderSetRole, Role: fleet.RoleDraining}), true
 	case blocked:
-		if !drained(seen, memory, options) {
+		if !drained(seen, tracked, options) {
 			return nil, false
 		}
 		return s.order(replica, difference.stale[0]), false
 	case len(difference.missing) > 0 || difference.missingAdapter != nil:
-		return s.order(replica, difference.load()), false
+		return s.order(replica, difference.loadOrder()), false
 	case replica.Draining():
 		return s.order(replica, engine.Order{Kind: engine.OrderSetRole}), false
 	}
 	return nil, false
 }
 
-// changeAlone changes the only replica that serves: the new version is loaded beside the
-// old one, which goes once nothing runs.
-func (s *serviceState) changeAlone(replica *fleet.Replica, difference *gap) action {
+// updateSoleReplica updates the only replica in service: the new version is loaded next to the old one, which is unloaded once no
+// requests run.
+func (s *serviceState) updateSoleReplica(replica *fleet.Replica, difference *gap) action {
 	switch {
 	case len(difference.missing) > 0 || difference.missingAdapter != nil:
-		return s.order(replica, difference.load())
+		return s.order(replica, difference.loadOrder())
 	case replica.Draining():
 		return s.order(replica, engine.Order{Kind: engine.OrderSetRole})
 	case replica.Load.Running+replica.Load.Waiting == 0:
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// othersServe says whether another replica than id is in service.
-func (s *serviceState) othersServe(id string) bool {
+// otherInService reports whether a replica other than id is in service.
+func (s *serviceState) otherInService(id string) bool {
 	for index := range s.view.replicas {
 		if seen := &s.view.replicas[index]; seen.replica.ID != id && s.inService(seen) {
 			return true
@@ -191,14 +191,14 @@
 	return false
 }
 
-// drained says that nothing runs and, because no gateway can have missed the order any more,
-// nothing will come.
-func drained(seen *observation, memory *replicaState, options *Options) bool {
-	return seen.measuredAt.Sub(memory.drainedAt) >= options.SettleTime &&
+// drained reports whether no requests run or wait, and none can arrive: SettleTime has passed since the order to drain, so that every
+// gateway knows of it.
+func drained(seen *observation, tracked *replicaState, options *Options) bool {
+	return seen.measuredAt.Sub(tracked.drainedAt) >= options.SettleTime &&
 		seen.replica.Load.Running+seen.replica.Load.Waiting == 0
 }
 
-// fetches lists the weights that are still to be fetched.
+// fetches lists the weights that have to be fetched.
 func (g *gap) fetches() []fetch {
 	var needed []fetch
 	for _, model := range g.missing {
@@ -210,8 +210,8 @@
 	return needed
 }
 
-// load is the order for the first thing that is missing.
-func (g *gap) load() engine.Order {
+// loadOrder returns the order that loads the first missing model, or else the missing adapter.
+func (g *gap) loadOrder() engine.Order {
 	if len(g.missing) > 0 {
 		return engine.Order{Kind: engine.OrderLoadModel, Model: g.missing[0].name, Version: g.missing[0].version}
 	}
--- a/internal/placement/desired.go
+++ b/internal/placement/desired.go
@@ -20,13 +20,13 @@
 	adapters []string
 }
 
-// desiredState is what the replicas of a service should hold, by one revision of the configuration.
+// desiredState is what the replicas of a service should hold according to one revision of the configuration.
 type desiredState struct {
 	revision int64
 	models   []desiredModel
 }
 
-// desiredOf reads the declaration of a service.
+// desiredOf returns the desired state that the configuration declares for a service.
 func desiredOf(snapshot *config.Snapshot, service *config.Service) desiredState {
 	desired := desiredState{revision: snapshot.Revision}
 	for _, name := range service.Models {
@@ -37,15 +37,14 @@
 	return desired
 }
 
-// gap is what keeps a replica from the desired state.
+// gap is the difference between a replica's state and the desired state.
 type gap struct {
-	// missing are models without the desired version; missingAdapters names one adapter
-	// that a ready model lacks.
+	// missing holds the models whose desired version is not loaded; missingAdapter loads the first adapter that a loaded model lacks.
 	missing        []desiredModel
 	missingAdapter *engine.Order
-	// stale are loaded versions and adapters that are not desired.
+	// stale holds the orders that unload versions and adapters that are not desired.
 	stale []engine.Order
-	// loading: something is on its way.
+	// loading is set while a desired version is being loaded.
 	loading bool
 }
 
@@ -64,7 +63,7 @@
 		}
 	}
 	for _, loaded := range report.Models {
-		if !desired.wants(loaded.Model, loaded.Version) {
+		if !desired.includes(loaded.Model, loaded.Version) {
 			found.stale = append(found.stale, engine.Order{Kind: engine.OrderUnloadModel, Model: loaded.Model, Version: loaded.Version})
 		}
 	}
@@ -88,7 +87,7 @@
 	return len(g.missing) == 0 && g.missingAdapter == nil && len(g.stale) == 0 && !g.loading
 }
 
-func (d *desiredState) wants(name, version string) bool {
+func (d *desiredState) includes(name, version string) bool {
 	return slices.ContainsFunc(d.models, func(model desiredModel) bool { return model.name == name && model.version == version })
 }
 
@@ -101,7 +100,7 @@
 	return nil
 }
 
-// holdsAny says whether any ready version of a model is loaded.
+// holdsAny reports whether any ready version of a model is loaded.
 func holdsAny(report *engine.LoadReport, name string) bool {
 	return slices.ContainsFunc(report.Models, func(loaded engine.Loaded) bool {
 		return loaded.Model == name && loaded.State == stateReady
--- a/internal/placement/events.go
+++ b/internal/placement/events.go
@@ -13,16 +13,16 @@
 // action is an output of state.step.
 type action interface{ isAction() }
 
-// observation is what is known of one replica.
+// observation is the observed state of one replica.
 type observation struct {
 	replica fleet.Replica
-	// measuredAt is when its report was measured, on this node's clock.
+	// measuredAt is the time at which its load report was measured, by this node's clock.
 	measuredAt time.Time
 }
 
-// serviceView is what is known of one service.
+// serviceView is the observed state of one service.
 type serviceView struct {
-	// orderer says that this node orders for the service.
+	// orderer is set if this node is the orderer of the service.
 	orderer  bool
 	desired  desiredState
 	replicas []observation
@@ -30,9 +30,9 @@
 
 // Events.
 type (
-	// observed is the present state of all declared services.
+	// observed is the current state of all declared services.
 	observed struct{ services map[string]serviceView }
-	// fenceTaken is the result of a takeFence; token is 0 where it failed.
+	// fenceTaken is the result of a takeFence; token is 0 if it failed.
 	fenceTaken struct {
 		service  string
 		token    uint64
@@ -54,7 +54,7 @@
 	}
 )
 
-// fetch names weights that a replica is to fetch.
+// fetch identifies weights that a replica has to fetch.
 type fetch struct{ name, version string }
 
 // orderResult is how an engine answered an order.
@@ -62,27 +62,27 @@
 
 const (
 	orderAccepted orderResult = iota
-	// orderFenced: the engine has heard a later orderer.
+	// orderFenced: the engine has accepted a higher fencing token.
 	orderFenced
-	// orderFailed: it may or may not have been carried out.
+	// orderFailed: the order may or may not have been executed.
 	orderFailed
 )
 
 // Actions.
 type (
-	// takeFence raises the service's fence token above atLeast.
+	// takeFence takes a fencing token above atLeast for the service.
 	takeFence struct {
 		service  string
 		atLeast  uint64
 		revision int64
 	}
-	// sendOrder gives an order to an engine.
+	// sendOrder sends an order to an engine.
 	sendOrder struct {
 		service string
 		to      engine.Endpoint
 		order   engine.Order
 	}
-	// reserveFetch asks the weight store for leave to fetch.
+	// reserveFetch reserves a fetch at the weight store.
 	reserveFetch struct {
 		service string
 		replica string
--- a/internal/placement/fence.go
+++ b/internal/placement/fence.go
@@ -9,38 +9,38 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// fencePrefix is where the fence tokens of services are kept.
+// fencePrefix is the key prefix of the services' fence records in the key-value service.
 const fencePrefix = "/sloelift/placement/fence/"
 
 // fenceRecord is the value of a service's fence key.
 type fenceRecord struct {
 	Token   uint64 `json:"token"`
 	Orderer string `json:"orderer"`
-	// Revision is the highest configuration revision that was ordered by; an orderer that
-	// has not heard of it yet gets no token, so that a rollout never goes back.
+	// Revision is the highest configuration revision for which a token was taken. An orderer that only knows an older one gets no
+	// token, so that a rollout never goes back.
 	Revision int64 `json:"revision"`
-	// WriteID settles a lost answer.
+	// WriteID identifies the write, so that its outcome can be determined if the answer is lost.
 	WriteID string `json:"write_id"`
 }
 
-// raiseFence takes a token above atLeast and above any that was ever given out.
-func raiseFence(ctx context.Context, store platform.KeyValue, orderer string, wanted takeFence) (uint64, error) {
-	key := fencePrefix + wanted.service
+// raiseFence takes a fencing token above atLeast and above all tokens taken before.
+func raiseFence(ctx context.Context, store platform.KeyValue, orderer string, request takeFence) (uint64, error) {
+	key := fencePrefix + request.service
 	entry, err := store.Get(ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	var present fenceRecord
+	var current fenceRecord
 	if entry.ModRevision != 0 {
-		if err := json.Unmarshal(entry.Value, &present); err != nil {
-			return 0, platform.KindRefused.Wrap(err, "fence record of %s", wanted.service)
+		if err := json.Unmarshal(entry.Value, &current); err != nil {
+			return 0, platform.KindRefused.Wrap(err, "decode fence record of service %s", request.service)
 		}
 	}
-	if present.Revision > wanted.revision {
-		return 0, platform.KindRefused.New("revision %d was ordered by, %d is known here", present.Revision, wanted.revision)
+	if current.Revision > request.revision {
+		return 0, platform.KindRefused.New("orders of configuration revision %d were already sent, this node knows only revision %d", current.Revision, request.revision)
 	}
 	next := fenceRecord{
-		Token: max(present.Token, wanted.atLeast) + 1, Orderer: orderer, Revision: wanted.revision, WriteID: ulid.Make().String(),
+		Token: max(current.Token, request.atLeast) + 1, Orderer: orderer, Revision: request.revision, WriteID: ulid.Make().String(),
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -54,7 +54,7 @@
 		return 0, err
 	}
 	if !result.Committed {
-		return 0, platform.KindRefused.New("another orderer took the fence of %s", wanted.service)
+		return 0, platform.KindRefused.New("another orderer took the fencing token of service %s", request.service)
 	}
 	return next.Token, nil
 }
--- a/internal/placement/fence_test.go
+++ b/internal/placement/fence_test.go
@@ -9,13 +9,13 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// fenceStore is a key-value service of one key that loses answers when told to.
+// fenceStore is a key-value service with a single key that loses requests or answers on demand.
 type fenceStore struct {
 	platform.KeyValue // only the calls below are used
-	// lock guards all below.
+	// lock guards the fields below.
 	lock  sync.Mutex
 	entry platform.Entry
-	// loseAnswers is how many of the next commits take effect without an answer; loseRequests how many don't.
+	// loseAnswers is the number of next commits that take effect without an answer, loseRequests of those that fail without effect.
 	loseAnswers  int
 	loseRequests int
 }
@@ -60,7 +60,7 @@
 		}
 		take("a", 0, 1)
 		take("b", 0, 1)
-		take("a", 40, 1) // an engine has heard of 40
+		take("a", 40, 1) // an engine has accepted 40
 		store.loseAnswers = 1
 		take("b", 0, 2)
 		store.loseRequests = 1
--- a/internal/placement/fx.go
+++ b/internal/placement/fx.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// Module runs placement. Options may be supplied.
+// Module runs placement. Options are optional and default to DefaultOptions.
 var Module = fx.Module("placement", fx.Provide(provide), fx.Invoke(func(*Service) {}))
 
 type parameters struct {
--- a/internal/placement/rollout_test.go
+++ b/internal/placement/rollout_test.go
@@ -11,8 +11,8 @@
 	"github.com/sloelift/sloelift/internal/fleet"
 )
 
-// rolloutWorld is five engines, seen through lagging reports, and two orderers that may
-// both take themselves for the one, on a network that delays, reorders and loses.
+// rolloutWorld simulates five engines, observed through lagging reports, and two orderers that may both be active, on a network that
+// delays, reorders and loses messages.
 type rolloutWorld struct {
 	t        *rapid.T
 	now      time.Time
@@ -27,7 +27,7 @@
 type rolloutEngine struct {
 	id     string
 	report engine.LoadReport
-	// history holds what the engine was at past times, oldest first.
+	// history holds the past load reports of the engine, oldest first.
 	history []engine.LoadReport
 	loading map[string]time.Time
 }
@@ -44,7 +44,7 @@
 	rolloutLag     = 150 * time.Millisecond
 	rolloutTick    = 50 * time.Millisecond
 	rolloutLoad    = 300 * time.Millisecond
-	// gatewayLag is the age of what gateways know when they send requests.
+	// gatewayLag is the age of the reports by which gateways send requests.
 	gatewayLag    = time.Second
 	historyLength = int(gatewayLag / rolloutTick)
 )
@@ -55,20 +55,20 @@
 		w.orderers = append(w.orderers, newState(DefaultOptions()))
 	}
 	for index := range rolloutEngines {
-		one := &rolloutEngine{id: fmt.Sprint("r", index), loading: make(map[string]time.Time)}
-		one.report.Models = []engine.Loaded{{Model: "m", Version: "1", State: stateReady}}
-		w.engines = append(w.engines, one)
+		added := &rolloutEngine{id: fmt.Sprint("r", index), loading: make(map[string]time.Time)}
+		added.report.Models = []engine.Loaded{{Model: "m", Version: "1", State: stateReady}}
+		w.engines = append(w.engines, added)
 	}
 	w.desired = desiredState{revision: 2, models: []desiredModel{{name: "m", version: "2"}}}
 	return w
 }
 
-// view is what an orderer sees: reports of rolloutLag ago.
+// view returns what an orderer sees: reports that are rolloutLag old.
 func (w *rolloutWorld) view(orderer int) observed {
 	view := serviceView{orderer: w.ordering[orderer], desired: w.desired}
-	for _, one := range w.engines {
-		seen := observation{replica: fleet.Replica{ID: one.id, Endpoint: engine.Endpoint{Replica: one.id}}}
-		for _, past := range one.history {
+	for _, simulated := range w.engines {
+		seen := observation{replica: fleet.Replica{ID: simulated.id, Endpoint: engine.Endpoint{Replica: simulated.id}}}
+		for _, past := range simulated.history {
 			if w.now.Sub(past.MeasuredAt) >= rolloutLag {
 				seen.replica.Load, seen.replica.HasLoad, seen.measuredAt = past, true, past.MeasuredAt
 			}
@@ -94,13 +94,13 @@
 	}
 }
 
-// deliver hands over a message. A lost order may have been carried out all the same.
+// deliver delivers a message. An order whose answer is lost was still executed.
 func (w *rolloutWorld) deliver(message rolloutMessage, lost bool) {
 	if message.order == nil {
 		w.step(message.orderer, message.answer)
 		return
 	}
-	result := w.obey(message.order)
+	result := w.execute(message.order)
 	if lost {
 		result = orderFailed
 	}
@@ -109,11 +109,11 @@
 	}})
 }
 
-func (w *rolloutWorld) obey(sent *sendOrder) orderResult {
+func (w *rolloutWorld) execute(sent *sendOrder) orderResult {
 	var target *rolloutEngine
-	for _, one := range w.engines {
-		if one.id == sent.to.Replica {
-			target = one
+	for _, candidate := range w.engines {
+		if candidate.id == sent.to.Replica {
+			target = candidate
 		}
 	}
 	order := sent.order
@@ -143,29 +143,29 @@
 	return orderAccepted
 }
 
-// advance lets time pass; traffic goes to engines that gateways don't know to be draining.
+// advance advances the clock by one tick. Traffic goes to engines that gateways do not know to be draining.
 func (w *rolloutWorld) advance(traffic bool) {
 	w.now = w.now.Add(rolloutTick)
-	for _, one := range w.engines {
-		for version, at := range one.loading {
+	for _, simulated := range w.engines {
+		for version, at := range simulated.loading {
 			if !w.now.Before(at) {
-				delete(one.loading, version)
-				one.report.Models = append([]engine.Loaded{}, one.report.Models...)
-				for model := range one.report.Models {
-					if one.report.Models[model].Version == version {
-						one.report.Models[model].State = stateReady
+				delete(simulated.loading, version)
+				simulated.report.Models = append([]engine.Loaded{}, simulated.report.Models...)
+				for model := range simulated.report.Models {
+					if simulated.report.Models[model].Version == version {
+						simulated.report.Models[model].State = stateReady
 					}
 				}
 			}
 		}
-		one.report.Running = 0
-		if traffic && (len(one.history) == 0 || one.history[0].Role != fleet.RoleDraining) && holdsAny(&one.report, "m") {
-			one.report.Running = 1
+		simulated.report.Running = 0
+		if traffic && (len(simulated.history) == 0 || simulated.history[0].Role != fleet.RoleDraining) && holdsAny(&simulated.report, "m") {
+			simulated.report.Running = 1
 		}
-		one.report.MeasuredAt = w.now
-		one.history = append(one.history, one.report)
-		if len(one.history) > historyLength {
-			one.history = one.history[1:]
+		simulated.report.MeasuredAt = w.now
+		simulated.history = append(simulated.history, simulated.report)
+		if len(simulated.history) > historyLength {
+			simulated.history = simulated.history[1:]
 		}
 	}
 	for orderer := range w.orderers {
@@ -174,11 +174,11 @@
 	w.check()
 }
 
-// check: at most one engine, a fifth of five, is out of service.
+// check fails if more than one of the five engines, the allowed 20 %, is out of service.
 func (w *rolloutWorld) check() {
 	out := 0
-	for _, one := range w.engines {
-		if one.report.Role == fleet.RoleDraining || !holdsAny(&one.report, "m") {
+	for _, simulated := range w.engines {
+		if simulated.report.Role == fleet.RoleDraining || !holdsAny(&simulated.report, "m") {
 			out++
 		}
 	}
@@ -188,9 +188,9 @@
 }
 
 func (w *rolloutWorld) done() bool {
-	for _, one := range w.engines {
-		difference := gapOf(&w.desired, &one.report)
-		if !difference.empty() || one.report.Role == fleet.RoleDraining {
+	for _, simulated := range w.engines {
+		difference := gapOf(&w.desired, &simulated.report)
+		if !difference.empty() || simulated.report.Role == fleet.RoleDraining {
 			return false
 		}
 	}
@@ -217,7 +217,7 @@
 				w.advance(rapid.Bool().Draw(t, "traffic"))
 			}
 		}
-		// With one orderer and a good network it ends.
+		// With a single orderer and a reliable network the rollout ends.
 		w.ordering = []bool{true, false}
 		for round := 0; round < 1500 && !w.done(); round++ {
 			for len(w.network) > 0 {
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -18,9 +18,9 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-const eventQueue = 256
+const eventQueueLength = 256
 
-// Log fields of this slice.
+// Log fields of this package.
 const (
 	fieldService = "service"
 	fieldOrder   = "order"
@@ -30,7 +30,7 @@
 	fieldAdapter = "adapter"
 )
 
-// Dependencies are the ports that a Service uses.
+// Dependencies are the interfaces that a Service uses.
 type Dependencies struct {
 	Node    string
 	Fleet   fleet.Source
@@ -42,7 +42,7 @@
 	Logger  zerolog.Logger
 }
 
-// Service orders for the services that this node is the orderer of.
+// Service sends the orders for the services whose orderer this node is.
 type Service struct {
 	Dependencies
 	options Options
@@ -56,7 +56,7 @@
 func NewService(options Options, dependencies Dependencies, registerer prometheus.Registerer) *Service {
 	dependencies.Logger = dependencies.Logger.With().Str(logging.FieldSlice, "placement").Logger()
 	service := &Service{
-		Dependencies: dependencies, options: options, events: make(chan event, eventQueue),
+		Dependencies: dependencies, options: options, events: make(chan event, eventQueueLength),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sloelift_placement_orders_total", Help: "Orders given to engines, by kind and result.",
 		}, []string{"kind", "result"}),
@@ -72,7 +72,7 @@
 	s.running.Go(func() { s.control(ctx) })
 }
 
-// Stop ends the goroutines and waits for them. Orders that were sent stand.
+// Stop ends the goroutines and waits for them. Orders already sent stay in effect.
 func (s *Service) Stop() {
 	if s.cancel != nil {
 		s.cancel()
@@ -99,7 +99,7 @@
 	}
 }
 
-// observe gathers the present state of all declared services.
+// observe returns the current state of all declared services.
 func (s *Service) observe() observed {
 	snapshot := s.Config.Current()
 	directory := s.Fleet.Directory()
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -18,18 +18,18 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// smallFleet is four engines and the ports of the nodes before them. Each node has a view of
-// its own, so that two can take themselves for the orderer.
+// smallFleet simulates four engines and the dependencies of the nodes. Each node has a membership view of its own, so that two nodes can
+// both act as the orderer.
 type smallFleet struct {
 	engine.Client // only Order is used
 	fenceStore
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	reports  map[string]*engine.LoadReport
 	fenced   int
 	orders   int
 	snapshot *config.Snapshot
-	// fetches is how many fetches the weight store still grants.
+	// fetches is the number of fetches that the weight store still grants.
 	fetches int
 }
 
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Order carries an order out at once.
+// Order executes an order immediately.
 func (f *smallFleet) Order(_ context.Context, to engine.Endpoint, order engine.Order) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -110,7 +110,7 @@
 	return f.orders, f.fenced
 }
 
-// directory is a fleet.Source with the engines as they are.
+// directory is a fleet.Source that lists the current state of the engines.
 type directory struct{ fleet *smallFleet }
 
 func (d directory) Subscribe(func(*fleet.Directory)) (unsubscribe func()) { return func() {} }
@@ -129,25 +129,25 @@
 	return fleet.NewDirectory(1, replicas)
 }
 
-// loneView is a view in which a node is alone.
-type loneView struct{ node string }
+// singleNodeView is the view of a node that knows no other members.
+type singleNodeView struct{ node string }
 
-func (v loneView) View() *membership.View {
+func (v singleNodeView) View() *membership.View {
 	id := membership.NodeID(v.node)
 	return &membership.View{Self: id, Members: []membership.Member{{ID: id}}}
 }
 
-func (v loneView) Subscribe(func(*membership.View)) (unsubscribe func()) { return func() {} }
+func (v singleNodeView) Subscribe(func(*membership.View)) (unsubscribe func()) { return func() {} }
 
 func (f *smallFleet) startNode(node string) *Service {
 	service := NewService(DefaultOptions(), Dependencies{
-		Node: node, Fleet: directory{f}, Viewer: loneView{node}, Config: f, Engines: f, Store: f, Weights: f, Logger: zerolog.Nop(),
+		Node: node, Fleet: directory{f}, Viewer: singleNodeView{node}, Config: f, Engines: f, Store: f, Weights: f, Logger: zerolog.Nop(),
 	}, prometheus.NewRegistry())
 	service.Start()
 	return service
 }
 
-// expect checks what all engines hold.
+// expect checks the loaded version and the adapters of all engines.
 func (f *smallFleet) expect(t *testing.T, version string, adapters int) {
 	t.Helper()
 	f.mutex.Lock()
@@ -170,7 +170,7 @@
 		f.declare(2, "2")
 		f.grantFetches(0)
 		time.Sleep(20 * time.Second)
-		f.expect(t, "1", 0) // without leave to fetch nothing is taken out of service
+		f.expect(t, "1", 0) // without a granted fetch no replica is taken out of service
 		f.grantFetches(100)
 		time.Sleep(60 * time.Second)
 		f.expect(t, "2", 0)
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -8,36 +8,36 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// state is the control state of placement; it belongs to one goroutine.
+// state is the control state of placement. It is not safe for concurrent use.
 type state struct {
 	options  Options
 	services map[string]*serviceState
 }
 
-// serviceState is one service as its orderer sees it. Invariant: no order but a claim is
-// sent before every replica that reports its load has taken the claim of the present fence.
+// serviceState is the state of one service at its orderer. Invariant: until every replica that reports its load has accepted the claim of
+// the current fencing token, only claims are sent.
 type serviceState struct {
 	name string
 	view serviceView
-	// fence is the token that this node holds; 0 is none.
+	// fence is the fencing token that this node holds; 0 if it holds none.
 	fence uint64
-	// fenceRevision is the configuration revision that the token was taken for.
+	// fenceRevision is the configuration revision for which the token was taken.
 	fenceRevision int64
-	taking        bool
+	acquiring     bool
 	retryAt       time.Time
 	replicas      map[string]*replicaState
 }
 
-// replicaState is what the orderer remembers of one replica.
+// replicaState is the state that the orderer keeps of one replica.
 type replicaState struct {
-	// claimed is the fence that the engine has taken a claim of.
+	// claimed is the highest fencing token of an order that the engine has accepted.
 	claimed uint64
-	// pending: an order is under way; reserving: a reservation is.
+	// pending is set while an order is in flight, reserving while a reservation is.
 	pending   bool
 	reserving bool
-	// orderedAt is when the last order was answered; only reports measured later count.
-	orderedAt time.Time
-	// drainedAt is when the order to drain, or the claim of a draining replica, was taken.
+	// answeredAt is when the last order was answered; only reports measured later count.
+	answeredAt time.Time
+	// drainedAt is when the last role was accepted: the order to drain, or the claim of a draining replica.
 	drainedAt time.Time
 	retryAt   time.Time
 	reserved  map[fetch]bool
@@ -47,7 +47,7 @@
 	return &state{options: options, services: make(map[string]*serviceState)}
 }
 
-// step takes one event at the given time.
+// step handles one event at the given time and returns the actions that follow.
 func (s *state) step(now time.Time, input event) []action {
 	switch typed := input.(type) {
 	case observed:
@@ -88,7 +88,7 @@
 }
 
 func (s *serviceState) onFence(now time.Time, taken fenceTaken, options *Options) {
-	s.taking = false
+	s.acquiring = false
 	s.fence, s.fenceRevision = taken.token, taken.revision
 	if taken.token == 0 {
 		s.retryAt = now.Add(options.RetryInterval)
@@ -96,9 +96,9 @@
 }
 
 func (s *serviceState) onAnswer(now time.Time, answer orderAnswered, options *Options) {
-	replica := s.memory(answer.replica)
+	replica := s.stateOf(answer.replica)
 	replica.pending = false
-	replica.orderedAt = now
+	replica.answeredAt = now
 	switch answer.result {
 	case orderFenced:
 		if answer.order.Fence == s.fence {
@@ -121,7 +121,7 @@
 }
 
 func (s *serviceState) onReserved(now time.Time, reserved fetchReserved, options *Options) {
-	replica := s.memory(reserved.replica)
+	replica := s.stateOf(reserved.replica)
 	replica.reserving = false
 	if reserved.granted {
 		replica.reserved[reserved.fetch] = true
@@ -130,7 +130,7 @@
 	}
 }
 
-func (s *serviceState) memory(id string) *replicaState {
+func (s *serviceState) stateOf(id string) *replicaState {
 	known := s.replicas[id]
 	if known == nil {
 		known = &replicaState{reserved: make(map[fetch]bool)}
@@ -139,11 +139,11 @@
 	return known
 }
 
-// forget drops replicas that are no longer listed.
-func (s *serviceState) forget() {
+// removeUnlisted removes the state of replicas that are no longer listed.
+func (s *serviceState) removeUnlisted() {
 	listed := make(map[string]bool, len(s.view.replicas))
-	for _, one := range s.view.replicas {
-		listed[one.replica.ID] = true
+	for _, present := range s.view.replicas {
+		listed[present.replica.ID] = true
 	}
 	for id := range s.replicas {
 		if !listed[id] {
