--- a/internal/coldstart/candidates_test.go
+++ b/internal/coldstart/candidates_test.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// testMembers are edges, a third of them in each of three zones, and as many storage nodes.
+// testMembers returns edges spread evenly over three zones, and as many storage nodes.
 func testMembers(edges int) []membership.Member {
 	var members []membership.Member
 	for number := range edges {
@@ -23,20 +23,20 @@
 	t.Parallel()
 	members := testMembers(30)
 	holders := map[int]membership.NodeID{}
-	for _, each := range members {
-		if each.Store {
+	for _, member := range members {
+		if member.Store {
 			continue
 		}
-		number, held := placeOf(&membership.View{Self: each.ID, Members: members}, "r", "z1", 9)
+		number, held := passNumber(&membership.View{Self: member.ID, Members: members}, "r", "z1", 9)
 		if !held {
 			continue
 		}
 		if other, taken := holders[number]; taken {
-			t.Errorf("pass %d is for %s and %s", number, other, each.ID)
+			t.Errorf("pass %d is for %s and %s", number, other, member.ID)
 		}
-		holders[number] = each.ID
-		if each.Zone != "z1" {
-			t.Errorf("%s of %s holds a pass though the replica's zone has edges enough", each.ID, each.Zone)
+		holders[number] = member.ID
+		if member.Zone != "z1" {
+			t.Errorf("%s of %s holds a pass although the replica's zone has enough edges", member.ID, member.Zone)
 		}
 	}
 	if len(holders) != 9 {
@@ -53,7 +53,7 @@
 				members[index].State = state
 			}
 		}
-		number, held := placeOf(&membership.View{Self: "edge-03", Members: members}, "r", "z1", 1)
+		number, held := passNumber(&membership.View{Self: "edge-03", Members: members}, "r", "z1", 1)
 		if number != 0 || !held {
 			t.Errorf("state %d: the only live edge has place %d, held %t", state, number, held)
 		}
--- a/internal/coldstart/claims_test.go
+++ b/internal/coldstart/claims_test.go
@@ -10,8 +10,8 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// calm is a store's way without faults.
-func calm(store *memoryStore) *faultyStore {
+// faultless returns a connection to the store without faults.
+func faultless(store *memoryStore) *faultyStore {
 	return &faultyStore{store: store, resume: func() {}, random: rand.New(rand.NewPCG(1, 2))}
 }
 
@@ -23,8 +23,8 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		first := &claimer{store: calm(store), node: "one"}
-		second := &claimer{store: calm(store), node: "two"}
+		first := &claimer{store: faultless(store), node: "one"}
+		second := &claimer{store: faultless(store), node: "two"}
 		held, err := first.claimAll(context.Background(), []claim{claimOf("r", 0)})
 		if err != nil || len(held) != 1 {
 			t.Fatalf("held %d, error %v", len(held), err)
@@ -50,22 +50,22 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		way := calm(store)
-		holder := &claimer{store: way, node: "one"}
+		link := faultless(store)
+		holder := &claimer{store: link, node: "one"}
 		wanted := claimOf("r", 0)
 		held, err := holder.claimAll(context.Background(), []claim{wanted})
 		if err != nil || len(held) != 1 {
 			t.Fatalf("held %d, error %v", len(held), err)
 		}
 		until := held[0].until
-		// The pass is claimed again as soon as that may be, for the shortest time, and its answer is missing.
-		time.Sleep(time.Until(until) - claimAgain + time.Millisecond)
+		// The pass is renewed as early as possible and for the shortest time, and the answer is lost.
+		time.Sleep(time.Until(until) - claimRetryInterval + time.Millisecond)
 		wanted.revision, wanted.coldFor = held[0].revision, 0
-		way.set(func() { way.answers = 1 })
+		link.set(func() { link.answeredCalls = 1 })
 		if _, err := holder.claimAll(context.Background(), []claim{wanted}); err == nil {
 			t.Fatal("the claim was answered")
 		}
-		second := &claimer{store: calm(store), node: "two"}
+		second := &claimer{store: faultless(store), node: "two"}
 		for {
 			next, err := second.claimAll(context.Background(), []claim{claimOf("r", 0)})
 			if err != nil {
@@ -86,11 +86,11 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		other := &claimer{store: calm(store), node: "other"}
+		other := &claimer{store: faultless(store), node: "other"}
 		if _, err := other.claimAll(context.Background(), []claim{claimOf("r", 1)}); err != nil {
 			t.Fatal(err)
 		}
-		own := &claimer{store: calm(store), node: "own"}
+		own := &claimer{store: faultless(store), node: "own"}
 		held, err := own.claimAll(context.Background(), []claim{claimOf("q", 0), claimOf("r", 1), claimOf("r", 2)})
 		if err != nil {
 			t.Fatal(err)
@@ -106,8 +106,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
 		for _, want := range []int{1, 0} {
-			life := &claimer{store: calm(store), node: "same"}
-			held, err := life.claimAll(context.Background(), []claim{claimOf("r", 0)})
+			restarted := &claimer{store: faultless(store), node: "same"}
+			held, err := restarted.claimAll(context.Background(), []claim{claimOf("r", 0)})
 			if err != nil || len(held) != want {
 				t.Errorf("held %d, want %d, error %v", len(held), want, err)
 			}
--- a/internal/coldstart/fake_test.go
+++ b/internal/coldstart/fake_test.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// memoryStore is a key-value service with leases. It is linearizable.
+// memoryStore is a linearizable key-value service with leases.
 type memoryStore struct {
 	mutex    sync.Mutex
 	revision int64
@@ -22,7 +22,7 @@
 	return &memoryStore{revision: 7, entries: map[string]platform.Entry{}, leases: map[platform.LeaseID]time.Time{}}
 }
 
-// expire drops the keys whose leases are over. The mutex is held.
+// expire removes the keys whose leases have expired. The mutex is held.
 func (m *memoryStore) expire(now time.Time) {
 	for key, entry := range m.entries {
 		if until, leased := m.leases[entry.LeaseID]; leased && !now.Before(until) {
@@ -68,22 +68,22 @@
 	return platform.CommitResult{Committed: true, Revision: m.revision}, nil
 }
 
-// faultyStore is one node's way to the store. Its fields are set before calls are made, but for the guarded ones.
+// faultyStore is one node's connection to the store. Unguarded fields are set before the first call.
 type faultyStore struct {
 	platform.KeyValue
 	store *memoryStore
-	// resume returns once the node's process runs.
+	// resume returns once the node's process is not paused.
 	resume func()
 
 	mutex  sync.Mutex
 	random *rand.Rand
-	// lost is the part of the calls without an answer, half of which are done, some of them seconds later.
-	lost float64
-	// cut says that no call comes through.
+	// unansweredShare is the share of calls without an answer. Half of them take effect, some of these up to 6 s late.
+	unansweredShare float64
+	// cut fails all calls without effect.
 	cut bool
-	// answers, where it is above 0, is the number of calls that are answered still; the later ones are done without an answer.
-	answers int
-	spent   int
+	// answeredCalls, if above 0, is the number of calls that are answered; later ones take effect without an answer.
+	answeredCalls int
+	calls         int
 }
 
 func (f *faultyStore) set(change func()) {
@@ -92,30 +92,30 @@
 	change()
 }
 
-// fate draws what becomes of a call.
-func (f *faultyStore) fate() (delay time.Duration, done, answered bool, late time.Duration) {
+// drawOutcome draws the latency of a call, whether it takes effect and is answered, and by how much its effect is late.
+func (f *faultyStore) drawOutcome() (delay time.Duration, done, answered bool, lateBy time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	delay = time.Duration(2+f.random.IntN(30)) * time.Millisecond
 	if f.cut {
 		return delay, false, false, 0
 	}
-	if f.answers > 0 {
-		f.spent++
-		return delay, true, f.spent <= f.answers, 0
+	if f.answeredCalls > 0 {
+		f.calls++
+		return delay, true, f.calls <= f.answeredCalls, 0
 	}
-	if f.random.Float64() >= f.lost {
+	if f.random.Float64() >= f.unansweredShare {
 		return delay, true, true, 0
 	}
 	if f.random.IntN(2) == 0 {
-		late = time.Duration(f.random.IntN(6000)) * time.Millisecond
+		lateBy = time.Duration(f.random.IntN(6000)) * time.Millisecond
 	}
-	return delay, f.random.IntN(2) == 0, false, late
+	return delay, f.random.IntN(2) == 0, false, lateBy
 }
 
-// call makes one call by do, which may be done late or without an answer.
+// call runs do as one call to the store, possibly late or without an answer.
 func (f *faultyStore) call(ctx context.Context, do func()) error {
-	delay, done, answered, late := f.fate()
+	delay, done, answered, lateBy := f.drawOutcome()
 	time.Sleep(delay)
 	switch {
 	case answered:
@@ -123,8 +123,8 @@
 		time.Sleep(delay)
 		f.resume()
 		return nil
-	case done && late > 0:
-		time.AfterFunc(late, do)
+	case done && lateBy > 0:
+		time.AfterFunc(lateBy, do)
 	case done:
 		do()
 	}
--- a/internal/coldstart/fleet_events_test.go
+++ b/internal/coldstart/fleet_events_test.go
@@ -6,35 +6,35 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// events returns what happens in a play: each node learns after a while of its own that the replicas are there, leave and return.
-func (f *testFleet) events(members []membership.Member, replicas int, struck trouble) []event {
+// events returns the events of a scenario: each node learns, after its own delay, that the replicas appear, are evacuated and return.
+func (f *testFleet) events(members []membership.Member, replicas int, injected faults) []event {
 	var events []event
 	add := func(at time.Duration, do func()) { events = append(events, event{at, do}) }
-	learns := func() time.Duration { return time.Duration(f.drawn(400)) * time.Millisecond }
+	propagationDelay := func() time.Duration { return time.Duration(f.randomBelow(400)) * time.Millisecond }
 	for _, node := range f.nodes {
-		add(turnsCold+learns(), func() { node.directory.Update(f.replicas(replicas, staysCold), nil) })
-		add(leaves+learns(), func() { node.directory.SetEvacuated(map[string]bool{coldZone: true}) })
-		add(returns+learns(), func() { node.directory.SetEvacuated(nil) })
+		add(coldAt+propagationDelay(), func() { node.directory.Update(f.replicas(replicas, coldDuration), nil) })
+		add(evacuatedAt+propagationDelay(), func() { node.directory.SetEvacuated(map[string]bool{coldZone: true}) })
+		add(restoredAt+propagationDelay(), func() { node.directory.SetEvacuated(nil) })
 	}
-	for _, cold := range []time.Duration{turnsCold, returns} {
-		for range struck.pauses {
-			node := f.nodes[f.drawn(len(f.nodes))]
-			length := time.Duration(100+f.drawn(3000)) * time.Millisecond
-			add(cold+f.within(), func() { node.pause(length) })
+	for _, cold := range []time.Duration{coldAt, restoredAt} {
+		for range injected.pauses {
+			node := f.nodes[f.randomBelow(len(f.nodes))]
+			length := time.Duration(100+f.randomBelow(3000)) * time.Millisecond
+			add(cold+f.randomColdTime(), func() { node.pause(length) })
 		}
-		for range struck.cuts {
-			node, at := f.nodes[f.drawn(len(f.nodes))], cold+f.within()
+		for range injected.cuts {
+			node, at := f.nodes[f.randomBelow(len(f.nodes))], cold+f.randomColdTime()
 			add(at, func() { node.setCut(true) })
-			add(at+f.within(), func() { node.setCut(false) })
+			add(at+f.randomColdTime(), func() { node.setCut(false) })
 		}
-		for range struck.restarts {
-			node := f.nodes[f.drawn(len(f.nodes))]
-			add(cold+f.within(), func() { f.startAgain(node, members, replicas, struck) })
+		for range injected.restarts {
+			node := f.nodes[f.randomBelow(len(f.nodes))]
+			add(cold+f.randomColdTime(), func() { f.restartNode(node, members, replicas, injected) })
 		}
-		if struck.herd {
-			add(cold+f.within(), func() {
+		if injected.herd {
+			add(cold+f.randomColdTime(), func() {
 				for _, node := range f.nodes {
-					f.startAgain(node, members, replicas, struck)
+					f.restartNode(node, members, replicas, injected)
 				}
 			})
 		}
@@ -42,14 +42,14 @@
 	return events
 }
 
-// within draws a moment of a cold time in which all nodes know of the replicas.
-func (f *testFleet) within() time.Duration {
-	return 500*time.Millisecond + time.Duration(f.drawn(int(staysCold-time.Second)))
+// randomColdTime draws a time, relative to the start of a cold period, at which all nodes know of the replicas.
+func (f *testFleet) randomColdTime() time.Duration {
+	return 500*time.Millisecond + time.Duration(f.randomBelow(int(coldDuration-time.Second)))
 }
 
-// startAgain starts a node that lists the replicas by their entries.
-func (f *testFleet) startAgain(node *testNode, members []membership.Member, replicas int, struck trouble) {
-	node.restart(f.viewOf(node, members, struck), f.replicas(replicas, staysCold))
+// restartNode restarts a node, which then lists the replicas from their entries.
+func (f *testFleet) restartNode(node *testNode, members []membership.Member, replicas int, injected faults) {
+	node.restart(f.viewOf(node, members, injected), f.replicas(replicas, coldDuration))
 }
 
 func (n *testNode) pause(length time.Duration) {
@@ -60,25 +60,25 @@
 
 func (n *testNode) setCut(cut bool) { n.store.set(func() { n.store.cut = cut }) }
 
-// limited admits what the Service does.
-func limited(limiter Limiter) Limiter { return limiter }
+// unchanged returns the limiter as it is.
+func unchanged(limiter Limiter) Limiter { return limiter }
 
-// viewOf returns what a node knows of the members.
-func (f *testFleet) viewOf(node *testNode, members []membership.Member, struck trouble) []membership.Member {
-	if !struck.wrongViews {
+// viewOf returns the members that a node knows.
+func (f *testFleet) viewOf(node *testNode, members []membership.Member, injected faults) []membership.Member {
+	if !injected.wrongViews {
 		return members
 	}
-	part := 1 + f.drawn(len(members))
+	part := 1 + f.randomBelow(len(members))
 	var known []membership.Member
-	for _, each := range members {
-		if each.ID == node.id || f.drawn(len(members)) < part {
-			known = append(known, each)
+	for _, member := range members {
+		if member.ID == node.id || f.randomBelow(len(members)) < part {
+			known = append(known, member)
 		}
 	}
 	return known
 }
 
-// event is something that happens in a play.
+// event is an action at a time of the scenario.
 type event struct {
 	at time.Duration
 	do func()
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -23,18 +23,18 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// Times of a play: the replicas turn cold at turnsCold, are taken out of service at leaves and come back cold at returns.
+// Times of a scenario: the replicas turn cold at coldAt, are evacuated at evacuatedAt and return cold at restoredAt.
 const (
-	turnsCold = 2 * time.Second
-	staysCold = 6 * time.Second
-	leaves    = 11 * time.Second
-	returns   = 13 * time.Second
-	playTime  = 21 * time.Second
-	wantEvery = 60 * time.Millisecond
-	coldZone  = "z1"
+	coldAt           = 2 * time.Second
+	coldDuration     = 6 * time.Second
+	evacuatedAt      = 11 * time.Second
+	restoredAt       = 13 * time.Second
+	scenarioDuration = 21 * time.Second
+	requestInterval  = 60 * time.Millisecond
+	coldZone         = "z1"
 )
 
-// testFleet plays nodes that all want to send more to cold replicas than these bear.
+// testFleet simulates nodes that together have more requests for cold replicas than these can take.
 type testFleet struct {
 	rate  float64
 	store *memoryStore
@@ -42,12 +42,12 @@
 	began time.Time
 
 	mutex sync.Mutex
-	// random and arrivals are guarded by mutex; arrivals holds when requests arrived at each replica.
+	// random and arrivals are guarded by mutex; arrivals holds the arrival times of the requests at each replica.
 	random   *rand.Rand
 	arrivals map[netip.AddrPort][]time.Duration
 }
 
-// testNode is one process. Each start has a Service, a Directory and a view of its own.
+// testNode is one process. Each start creates its own Service, Directory and membership view.
 type testNode struct {
 	fleet     *testFleet
 	id        membership.NodeID
@@ -64,7 +64,7 @@
 	running     sync.WaitGroup
 }
 
-func (f *testFleet) drawn(below int) int {
+func (f *testFleet) randomBelow(below int) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.IntN(below)
@@ -72,7 +72,7 @@
 
 func (f *testFleet) elapsed() time.Duration { return time.Since(f.began) }
 
-// address is that of the replica with a number.
+// address returns the address of a replica by number.
 func address(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), uint16(8000+number))
 }
@@ -87,16 +87,16 @@
 	return infos
 }
 
-// Listen fails: nothing is served here.
+// Listen always fails: the test fleet accepts no connections.
 func (f *testFleet) Listen(context.Context, netip.AddrPort) (net.Listener, error) {
 	return nil, errors.New("nothing listens here")
 }
 
-// Dial connects to a replica, sometimes after long.
+// Dial connects to a replica; 1 in 20 connections takes up to 1.2 s.
 func (f *testFleet) Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-	delay := time.Duration(1+f.drawn(5)) * time.Millisecond
-	if f.drawn(20) == 0 {
-		delay = time.Duration(f.drawn(1200)) * time.Millisecond
+	delay := time.Duration(1+f.randomBelow(5)) * time.Millisecond
+	if f.randomBelow(20) == 0 {
+		delay = time.Duration(f.randomBelow(1200)) * time.Millisecond
 	}
 	select {
 	case <-time.After(delay):
@@ -108,7 +108,7 @@
 	return near, nil
 }
 
-// serve notes one request and answers it.
+// serve records one request and answers it.
 func (f *testFleet) serve(connection net.Conn, at netip.AddrPort) {
 	defer func() { _ = connection.Close() }()
 	request, err := http.ReadRequest(bufio.NewReader(connection))
@@ -121,7 +121,7 @@
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", request.Header.Get("Id"))
 }
 
-// resume returns once the node's process runs.
+// resume returns once the node's process is not paused.
 func (n *testNode) resume() {
 	for {
 		n.fleet.mutex.Lock()
@@ -134,10 +134,10 @@
 	}
 }
 
-// start starts the node's process with what it is given to know.
+// start starts the node's process with the given membership view and listed replicas.
 func (n *testNode) start(view []membership.Member, listed []replica.Info) {
 	routes := route.NewHolder()
-	routes.Offer(route.NewTable(1, nil, []route.Service{{Name: "s", ColdStart: staysCold, ColdRequestsPerSecond: n.fleet.rate}}, route.Limits{}))
+	routes.Offer(route.NewTable(1, nil, []route.Service{{Name: "s", ColdStart: coldDuration, ColdRequestsPerSecond: n.fleet.rate}}, route.Limits{}))
 	n.directory = replica.NewDirectory()
 	n.members = membershiptest.NewViewer(&membership.View{Self: n.id, Members: view})
 	n.service = New(Options{
@@ -151,7 +151,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	service, directory, limiter := n.service, n.directory, n.limiter
-	n.running.Go(func() { n.want(ctx, directory, limiter) })
+	n.running.Go(func() { n.sendRequests(ctx, directory, limiter) })
 	n.running.Go(func() {
 		<-ctx.Done()
 		service.Stop()
@@ -164,18 +164,18 @@
 	n.start(view, listed)
 }
 
-// want keeps sending to cold replicas.
-func (n *testNode) want(ctx context.Context, directory *replica.Directory, limiter Limiter) {
+// sendRequests sends requests to cold replicas until ctx ends.
+func (n *testNode) sendRequests(ctx context.Context, directory *replica.Directory, limiter Limiter) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for request := 0; ctx.Err() == nil; request++ {
-		time.Sleep(wantEvery/2 + time.Duration(n.fleet.drawn(int(wantEvery))))
+		time.Sleep(requestInterval/2 + time.Duration(n.fleet.randomBelow(int(requestInterval))))
 		n.resume()
 		handles := directory.View().Of("s")
 		if len(handles) == 0 {
 			continue
 		}
-		handle := handles[n.fleet.drawn(len(handles))]
+		handle := handles[n.fleet.randomBelow(len(handles))]
 		handle.WantCold(time.Now())
 		if !handle.Usable() || !limiter.Take(handle) {
 			continue
@@ -194,28 +194,28 @@
 	}
 }
 
-// most returns the largest number of requests that arrived at one replica within a second of one of its cold times.
-func (f *testFleet) most() int {
+// maxPerSecond returns the largest number of requests that arrived at one replica within one second of a cold period.
+func (f *testFleet) maxPerSecond() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	most := 0
 	for _, times := range f.arrivals {
 		slices.Sort(times)
-		for _, cold := range []time.Duration{turnsCold, returns} {
+		for _, cold := range []time.Duration{coldAt, restoredAt} {
 			var within []time.Duration
 			for _, at := range times {
-				if at >= cold && at < cold+staysCold {
+				if at >= cold && at < cold+coldDuration {
 					within = append(within, at)
 				}
 			}
-			most = max(most, densest(within))
+			most = max(most, maxWithinSecond(within))
 		}
 	}
 	return most
 }
 
-// densest returns the largest number of sorted times within one second.
-func densest(times []time.Duration) int {
+// maxWithinSecond returns the largest number of sorted times within one second.
+func maxWithinSecond(times []time.Duration) int {
 	most, first := 0, 0
 	for last := range times {
 		for times[last]-times[first] > time.Second {
@@ -226,34 +226,34 @@
 	return most
 }
 
-// used returns the mean number of requests a second and replica in the first cold time, but for its first second.
-func (f *testFleet) used() float64 {
+// meanRate returns the mean requests per second and replica in the first cold period without its first second.
+func (f *testFleet) meanRate() float64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	count := 0
 	for _, times := range f.arrivals {
 		for _, at := range times {
-			if at >= turnsCold+time.Second && at < turnsCold+staysCold {
+			if at >= coldAt+time.Second && at < coldAt+coldDuration {
 				count++
 			}
 		}
 	}
-	return float64(count) / float64(len(f.arrivals)) / (staysCold - time.Second).Seconds()
+	return float64(count) / float64(len(f.arrivals)) / (coldDuration - time.Second).Seconds()
 }
 
-// trouble is what strikes in a play.
-type trouble struct {
+// faults are the faults that a scenario injects.
+type faults struct {
 	name string
-	// lost is the part of the store's calls without an answer, wrongViews has nodes know some of the members only.
-	lost       float64
-	wrongViews bool
-	// pauses, restarts and cuts are the numbers of nodes that are struck, herd says that all are started again together in each cold time.
+	// unansweredShare is that of faultyStore; wrongViews gives each node an incomplete view of the members.
+	unansweredShare float64
+	wrongViews      bool
+	// pauses, restarts and cuts are the numbers of affected nodes in each cold period; herd restarts all nodes at once.
 	pauses, restarts, cuts int
 	herd                   bool
 }
 
-// play runs a fleet through two cold times of its replicas.
-func play(t *testing.T, seed uint64, nodes, replicas int, rate float64, struck trouble, limit func(Limiter) Limiter) *testFleet {
+// runScenario runs a fleet through two cold periods of its replicas.
+func runScenario(t *testing.T, seed uint64, nodes, replicas int, rate float64, injected faults, limit func(Limiter) Limiter) *testFleet {
 	t.Helper()
 	fleet := &testFleet{
 		rate: rate, store: newMemoryStore(), began: time.Now(), random: rand.New(rand.NewPCG(seed, 1)), arrivals: map[netip.AddrPort][]time.Duration{},
@@ -261,24 +261,26 @@
 	members := testMembers(nodes)
 	for number := range nodes {
 		node := &testNode{fleet: fleet, id: members[2*number].ID, limit: limit}
-		node.store = &faultyStore{store: fleet.store, resume: node.resume, random: rand.New(rand.NewPCG(seed, uint64(number))), lost: struck.lost}
+		node.store = &faultyStore{
+			store: fleet.store, resume: node.resume, random: rand.New(rand.NewPCG(seed, uint64(number))), unansweredShare: injected.unansweredShare,
+		}
 		fleet.nodes = append(fleet.nodes, node)
-		node.start(fleet.viewOf(node, members, struck), nil)
+		node.start(fleet.viewOf(node, members, injected), nil)
 	}
-	events := fleet.events(members, replicas, struck)
-	slices.SortStableFunc(events, func(one, other event) int { return int(one.at - other.at) })
-	for _, each := range events {
-		time.Sleep(each.at - fleet.elapsed())
-		each.do()
+	events := fleet.events(members, replicas, injected)
+	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
+	for _, scheduled := range events {
+		time.Sleep(scheduled.at - fleet.elapsed())
+		scheduled.do()
 	}
-	time.Sleep(playTime - fleet.elapsed())
+	time.Sleep(scenarioDuration - fleet.elapsed())
 	for _, node := range fleet.nodes {
 		node.stop()
 	}
 	for _, node := range fleet.nodes {
 		node.running.Wait()
 	}
-	// Calls that are done late.
+	// Waits for calls that take effect late.
 	time.Sleep(10 * time.Second)
 	return fleet
 }
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -2,10 +2,9 @@
 
 import "github.com/sloelift/sloelift/internal/replica"
 
-// Limiter decides on each request, retry, resumed stream and batch item that is about to be sent to a replica. It is safe for concurrent
-// use.
+// Limiter is asked before each request, retry, resumed stream and batch item is sent to a replica. It is safe for concurrent use.
 type Limiter interface {
-	// Take returns whether this process may send one request to the replica now, and counts it where it may. For a replica that is warm it
-	// answers at once. Where it returns false another replica is to be chosen; nothing was counted.
+	// Take reports whether this process may send one request to the replica now, and counts the request if so. It is always true for
+	// a warm replica. If it returns false nothing was counted, and the caller chooses another replica.
 	Take(handle *replica.Handle) bool
 }
--- a/internal/coldstart/metrics.go
+++ b/internal/coldstart/metrics.go
@@ -13,7 +13,7 @@
 	verdictRefused  = "refused"
 )
 
-// metrics show what is done about cold replicas.
+// metrics count requests to cold replicas and claims of passes.
 type metrics struct {
 	requests *prometheus.CounterVec
 	claims   *prometheus.CounterVec
@@ -21,7 +21,7 @@
 }
 
 func newMetrics(registerer prometheus.Registerer) metrics {
-	made := metrics{
+	created := metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sloelift_cold_requests_total", Help: "Requests that were about to go to cold replicas, by verdict.",
 		}, []string{"verdict"}),
@@ -32,8 +32,8 @@
 			Name: "sloelift_cold_replicas", Help: "Replicas that count as cold at this node.",
 		}),
 	}
-	registerer.MustRegister(made.requests, made.claims, made.cold)
-	return made
+	registerer.MustRegister(created.requests, created.claims, created.cold)
+	return created
 }
 
 // refusals counts refused requests between two log lines. It is safe for concurrent use.
@@ -49,7 +49,7 @@
 	r.count++
 }
 
-// due returns the refusals since the last log line, where one is due.
+// due returns the refusals since the last log line, or 0 until logInterval has passed.
 func (r *refusals) due(now time.Time) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,6 +63,6 @@
 
 func (s *Service) logRefusals(now time.Time) {
 	if count := s.refused.due(now); count > 0 {
-		s.logger.Info().Int("refused", count).Int("cold_replicas", len(s.held)).Msg("cold_requests_refused")
+		s.logger.Info().Int("refused", count).Int("cold_replicas", len(s.coldReplicas)).Msg("cold_requests_refused")
 	}
 }
--- a/internal/coldstart/service_test.go
+++ b/internal/coldstart/service_test.go
@@ -14,11 +14,12 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// loneNode is a node that knows no other.
-func loneNode(store *memoryStore) (*Service, *replica.Directory, *route.Holder) {
+// newSingleNode returns a node that knows no other nodes.
+func newSingleNode(store *memoryStore) (*Service, *replica.Directory, *route.Holder) {
 	directory, routes := replica.NewDirectory(), route.NewHolder()
 	service := New(Options{
-		Bounds: Bounds{Burst: 1.5, Slack: 5}, Routes: routes, Directory: directory, Store: calm(store), Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
+		Bounds: Bounds{Burst: 1.5, Slack: 5}, Routes: routes, Directory: directory, Store: faultless(store),
+		Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
 		Viewer: membershiptest.NewViewer(&membership.View{Self: "edge-00", Members: testMembers(1)}),
 	})
 	return service, directory, routes
@@ -29,7 +30,7 @@
 	return route.NewTable(version, nil, services, route.Limits{})
 }
 
-// TestServicesThatDeclareNothingAreNotBounded: whether the configuration comes before or after the replicas and the start.
+// TestServicesThatDeclareNothingAreNotBounded covers a configuration that is loaded before and after the replicas and the start.
 func TestServicesThatDeclareNothingAreNotBounded(t *testing.T) {
 	t.Parallel()
 	for name, configuredFirst := range map[string]bool{"configuration before the start": true, "configuration after the start": false} {
@@ -37,7 +38,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				store := newMemoryStore()
-				service, directory, routes := loneNode(store)
+				service, directory, routes := newSingleNode(store)
 				directory.Replace(nil)
 				directory.Update([]replica.Info{{ID: "r", Service: "s", ColdFor: 3 * time.Second}}, nil)
 				if configuredFirst {
@@ -63,12 +64,12 @@
 	}
 }
 
-// TestNothingIsClaimedThatNobodyWants: a replica that turns cold while there are no callers costs no call.
+// TestNothingIsClaimedThatNobodyWants: a replica that turns cold without demand causes no call to the key-value service.
 func TestNothingIsClaimedThatNobodyWants(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		store := newMemoryStore()
-		service, directory, routes := loneNode(store)
+		service, directory, routes := newSingleNode(store)
 		routes.Offer(tableOf(1, 4))
 		directory.Replace(nil)
 		service.Start()
@@ -93,11 +94,11 @@
 	})
 }
 
-// TestNodeWithoutAStoreSendsNothingToColdReplicas as storage nodes do.
+// TestNodeWithoutAStoreSendsNothingToColdReplicas covers storage nodes, which run without a store.
 func TestNodeWithoutAStoreSendsNothingToColdReplicas(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		service, directory, routes := loneNode(newMemoryStore())
+		service, directory, routes := newSingleNode(newMemoryStore())
 		service.options.Store = nil
 		routes.Offer(tableOf(1, 23))
 		directory.Replace(nil)
