--- a/internal/forward/copied_replica_test.go
+++ b/internal/forward/copied_replica_test.go
@@ -11,8 +11,9 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestCopiedReplicaAtAnothersAddress covers a replica known only from a copy, at whose address another service answers 421 to requests for
-// that instance. It is asked once: that request goes on to the next replica, and later requests go there directly.
+// TestCopiedReplicaAtAnothersAddress covers a replica known only from a copy, at whose address there is another service now. Requests name
+// the replica that they are for, so that service answers 421. It is asked once: that request goes on to the next replica, and later
+// requests go there directly.
 func TestCopiedReplicaAtAnothersAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
