--- a/internal/coldstart/claims.go
+++ b/internal/coldstart/claims.go
@@ -117,12 +117,12 @@
 }
 
 func (c *claimer) transaction(wanted []claim) platform.Transaction {
-	var transaction platform.Transaction
+	var result platform.Transaction
 	for _, request := range wanted {
-		transaction.Conditions = append(transaction.Conditions, platform.Condition{Key: request.key, ModRevision: request.revision})
-		transaction.Changes = append(transaction.Changes, platform.Change{Key: request.key, Value: []byte(c.node), LeaseID: c.lease})
+		result.Conditions = append(result.Conditions, platform.Condition{Key: request.key, ModRevision: request.revision})
+		result.Changes = append(result.Changes, platform.Change{Key: request.key, Value: []byte(c.node), LeaseID: c.lease})
 	}
-	return transaction
+	return result
 }
 
 // unheldClaims returns the claims whose keys have the expected revision.
--- a/internal/coldstart/service_test.go
+++ b/internal/coldstart/service_test.go
@@ -83,12 +83,12 @@
 		handle.WantCold(time.Now())
 		time.Sleep(time.Second / 2)
 		if !service.Take(handle) {
-			t.Error("no pass was claimed though callers want the replica")
+			t.Error("no pass was claimed for a replica with demand")
 		}
 		time.Sleep(3 * time.Second)
 		for range 50 {
 			if !service.Take(handle) {
-				t.Fatal("refused at a replica that is warm by now")
+				t.Fatal("a request to a warm replica was refused")
 			}
 		}
 	})
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -62,7 +62,7 @@
 			t.Errorf("status %d, Retry-After %q", recorded.Code, recorded.Header().Get("Retry-After"))
 		}
 		if after := time.Since(began); after > 200*time.Millisecond/4 {
-			t.Errorf("refused after %s, a quarter of the objective of 200 ms is over", after)
+			t.Errorf("refused after %s, want at most a quarter of the objective of 200 ms", after)
 		}
 		if sent := edge.replicas.Requests(); len(sent) != 0 {
 			t.Errorf("%d requests reached cold replicas", len(sent))
--- a/internal/forward/copied_replica_test.go
+++ b/internal/forward/copied_replica_test.go
@@ -35,7 +35,7 @@
 			asked[request.Header.Get("X-Instance")]++
 		}
 		if asked["a"] != 1 || asked["b"] != 3 {
-			t.Errorf("asked %v, want the replica that is gone once", asked)
+			t.Errorf("asked %v, want the misdirected replica once", asked)
 		}
 	})
 }
--- a/internal/forward/evacuation_test.go
+++ b/internal/forward/evacuation_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("answered by %q after %d requests", recorded.Body, len(edge.replicas.Requests()))
 		}
 		if handle := edge.directory.View().Find("a"); handle.Avoided(time.Now()) || handle.FailureRate() != 0 {
-			t.Error("a replica that was not asked is held for failing")
+			t.Error("a replica that got no request counts as failing")
 		}
 	})
 }
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -89,7 +89,7 @@
 				}
 				ownFailure := recorded.Code >= 500 && recorded.Header().Get("X-Signature") == ""
 				if ownFailure && recorded.Code == 503 && recorded.Header().Get("Retry-After") == "" {
-					t.Error("a refusal does not tell when to come back")
+					t.Error("a 503 has no Retry-After")
 				}
 			})
 		})
@@ -266,7 +266,7 @@
 				edge.call(func(request *http.Request) { *request = *request.WithContext(ctx) })
 				synctest.Wait()
 				if !stopped.Equal(left) {
-					t.Errorf("the replica's connection ended %s after the caller left", stopped.Sub(left))
+					t.Errorf("the replica's connection ended %s after the caller disconnected", stopped.Sub(left))
 				}
 				if runs := len(edge.replicas.Requests()); runs != 1 {
 					t.Errorf("%d requests reached replicas", runs)
--- a/internal/forward/homes_test.go
+++ b/internal/forward/homes_test.go
@@ -60,7 +60,7 @@
 					t.Errorf("served in %s, want %s", recorded.Body, test.body)
 				}
 				if test.status == http.StatusServiceUnavailable && recorded.Header().Get("Retry-After") == "" {
-					t.Error("a refusal does not say when to come back")
+					t.Error("a 503 has no Retry-After")
 				}
 				if runs := len(edge.replicas.Requests()); runs != test.runs {
 					t.Errorf("%d requests reached replicas, want %d", runs, test.runs)
--- a/internal/forward/quarantined_test.go
+++ b/internal/forward/quarantined_test.go
@@ -116,7 +116,7 @@
 				began := time.Now()
 				recorded, _ := edge.call(nil)
 				if recorded.Code != http.StatusBadGateway || recorded.Header().Get("Retry-After") != "" {
-					t.Errorf("status %d, Retry-After %q: the message may have run, and is not asked for again", recorded.Code, recorded.Header().Get("Retry-After"))
+					t.Errorf("status %d, Retry-After %q: the message may have run, so no 503 and no Retry-After", recorded.Code, recorded.Header().Get("Retry-After"))
 				}
 				if requests := len(edge.replicas.Requests()); requests != sent {
 					t.Errorf("%d attempts, want %d", requests, sent)
@@ -143,13 +143,13 @@
 		edge.routes.Table().Routes[0].Attempts = 1
 		recorded, aborted := edge.call(nil)
 		if recorded.Code != http.StatusOK || aborted {
-			t.Errorf("status %d, aborted %v: the request was given up with its replica", recorded.Code, aborted)
+			t.Errorf("status %d, aborted %v: the request failed with its replica", recorded.Code, aborted)
 		}
 		if want := []quarantine.Ending{quarantine.Interrupted, quarantine.Other}; !slices.Equal(register.endings, want) {
-			t.Errorf("endings %v, want %v: a resumed run shows nothing of the message", register.endings, want)
+			t.Errorf("endings %v, want %v: a resumed run is no evidence about the message", register.endings, want)
 		}
 		if register.released != 2 {
-			t.Errorf("%d of 2 permits were given back", register.released)
+			t.Errorf("%d of 2 permits were released", register.released)
 		}
 		edge.replicas.CloseAll()
 	})
@@ -255,7 +255,7 @@
 			t.Errorf("endings %v, want %v", register.endings, want)
 		}
 		if edge.directory.View().Find("a").Avoided(time.Now()) {
-			t.Error("the replica is avoided for what this node cut off")
+			t.Error("the replica is avoided after a run that this node cancelled")
 		}
 		edge.replicas.CloseAll()
 		time.Sleep(time.Second)
--- a/internal/forward/replaced_test.go
+++ b/internal/forward/replaced_test.go
@@ -23,7 +23,7 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		if sent := len(edge.replicas.Requests()); sent != 6 {
-			t.Errorf("%d requests were sent, want one to the replica that is gone and 5 to the other", sent)
+			t.Errorf("%d requests were sent, want one to the replaced replica and 5 to the other", sent)
 		}
 	})
 }
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -31,7 +31,7 @@
 		edge.Handler.budget.limiter.SetLimit(0)
 		recorded, aborted := edge.call(nil)
 		if recorded.Code != http.StatusOK || aborted {
-			t.Errorf("status %d, aborted %v: the attempt was given up though no other could follow", recorded.Code, aborted)
+			t.Errorf("status %d, aborted %v: the attempt was cancelled although the budget allows no other", recorded.Code, aborted)
 		}
 		if requests := len(edge.replicas.Requests()); requests != 1 {
 			t.Errorf("%d attempts, want 1", requests)
@@ -71,7 +71,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		if late > 1 {
-			t.Errorf("%d requests were put on connections that had gone silent", late)
+			t.Errorf("%d requests were sent on silent connections", late)
 		}
 		edge.replicas.CloseAll()
 		time.Sleep(time.Second)
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("%d attempts", len(sent))
 		}
 		if left, err := strconv.Atoi(sent[1].Header.Get("X-Deadline")); err != nil || left > 1000 {
-			t.Errorf("the repeat allows %q ms, 1000 are left", sent[1].Header.Get("X-Deadline"))
+			t.Errorf("the retry allows %q ms, want at most 1000", sent[1].Header.Get("X-Deadline"))
 		}
 	})
 }
--- a/internal/forward/zone_cut_test.go
+++ b/internal/forward/zone_cut_test.go
@@ -73,13 +73,13 @@
 		edge.silencer.CutOff(far...)
 		slow, worst := edge.countSlowCalls(t, 30, longest)
 		if slow > 2 || worst > 4*minConnectTimeout+longest {
-			t.Errorf("%d of 30 requests were held up by a zone that is cut off, one for %s", slow, worst)
+			t.Errorf("%d of 30 requests were delayed by a zone that is cut off, the slowest took %s", slow, worst)
 		}
 		edge.silencer.CutOff()
 		time.Sleep(time.Second)
 		edge.countSlowCalls(t, 3, longest)
 		if handle := edge.directory.View().Find("far-a"); handle.ZoneCutOff() {
-			t.Error("a zone that is reached again is not used")
+			t.Error("a zone that is reachable again still counts as cut off")
 		}
 		edge.replicas.CloseAll()
 		time.Sleep(time.Second)
