--- a/internal/placement/fence_test.go
+++ b/internal/placement/fence_test.go
@@ -66,7 +66,7 @@
 		store.loseRequests = 1
 		take("a", 0, 2)
 		if _, err := raiseFence(t.Context(), store, "b", takeFence{service: "chat", revision: 1}); err == nil {
-			t.Fatal("an orderer with an older configuration got a token")
+			t.Fatal("an orderer with an older configuration revision got a token")
 		}
 	})
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -189,7 +189,7 @@
 		time.Sleep(3 * time.Minute)
 		f.expect(t, "2", 0)
 		if _, fenced := f.counts(); fenced == 0 {
-			t.Error("no orderer was ever refused")
+			t.Error("no order was fenced off")
 		}
 		first.Stop()
 		second.Stop()
