--- a/internal/forward/evacuation.go
+++ b/internal/forward/evacuation.go
@@ -32,7 +32,7 @@
 	return evacuated
 }
 
-// noReplicaReason returns the reason why no replica was found.
+// noReplicaReason returns the reason why no replica was found, and counts a request that its home regions cannot serve.
 func (e *exchange) noReplicaReason() string {
 	if e.allEvacuated() {
 		return reasonEvacuated
