--- a/internal/forward/copied_replica_test.go
+++ b/internal/forward/copied_replica_test.go
@@ -11,8 +11,9 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestCopiedReplicaAtAnothersAddress: a replica that only a copy names, at whose address another service answers 421, is asked once: the
-// request names the replica that it is for, goes on to the next one, and later requests go there at once.
+// TestCopiedReplicaAtAnothersAddress covers a replica known only from a copy, at whose address there is another service now. Requests name
+// the replica that they are for, so that service answers 421. It is asked once: that request goes on to the next replica, and later
+// requests go there directly.
 func TestCopiedReplicaAtAnothersAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
@@ -34,7 +35,7 @@
 			asked[request.Header.Get("X-Instance")]++
 		}
 		if asked["a"] != 1 || asked["b"] != 3 {
-			t.Errorf("asked %v, want the replica that is gone once", asked)
+			t.Errorf("asked %v, want the misdirected replica once", asked)
 		}
 	})
 }
--- a/internal/forward/replaced_test.go
+++ b/internal/forward/replaced_test.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestReplicaThatAnotherOneAnswersForIsDown: one request finds it out, later ones lose no time there.
+// TestReplicaThatAnotherOneAnswersForIsDown: one request finds out, and later ones do not try the replica.
 func TestReplicaThatAnotherOneAnswersForIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
@@ -23,7 +23,7 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		if sent := len(edge.replicas.Requests()); sent != 6 {
-			t.Errorf("%d requests were sent, want one to the replica that is gone and 5 to the other", sent)
+			t.Errorf("%d requests were sent, want one to the replaced replica and 5 to the other", sent)
 		}
 	})
 }
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestDeadlineOfARepeatCountsSuspension: the caller's time went on while this machine was suspended.
+// TestDeadlineOfARepeatCountsSuspension: the caller's deadline keeps running while this machine is suspended.
 func TestDeadlineOfARepeatCountsSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loseAfterSuspension := func(connection net.Conn, request *http.Request) bool {
@@ -28,7 +28,7 @@
 			t.Fatalf("%d attempts", len(sent))
 		}
 		if left, err := strconv.Atoi(sent[1].Header.Get("X-Deadline")); err != nil || left > 1000 {
-			t.Errorf("the repeat allows %q ms, 1000 are left", sent[1].Header.Get("X-Deadline"))
+			t.Errorf("the retry allows %q ms, want at most 1000", sent[1].Header.Get("X-Deadline"))
 		}
 	})
 }
