--- a/internal/replica/client.go
+++ b/internal/replica/client.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// Headers names the headers that callers, this system and replicas use with each other.
+// Headers holds the names of the HTTP headers used between callers, this system and replicas.
 type Headers struct {
 	RequestID      string
 	Deadline       string
@@ -25,27 +25,28 @@
 	LastEventID    string
 	PromptParts    string
 	Wait           string
-	// APIKey is what a caller proves itself with; replicas never get it. Tenant names the tenant that holds it, to replicas.
+	// APIKey carries a caller's credential and is never forwarded to replicas; Tenant tells replicas which tenant the key belongs to.
 	APIKey string
 	Tenant string
-	// ColdFor says, in a replica's answers, how many ms longer it stays cold.
+	// ColdFor carries, in a replica's responses, the remaining time in milliseconds for which it is cold.
 	ColdFor string
 }
 
-// ErrNotSent says that no byte of the request reached the replica.
+// ErrNotSent means that no byte of the request reached the replica, so that it is safe to send it elsewhere.
 var ErrNotSent = errors.New("request was not sent")
 
 const (
-	// connectTimeout bounds the making of a connection where the call names no time.
+	// connectTimeout is the default for Call.ConnectWithin.
 	connectTimeout = time.Second
-	// pathTrusted is how long an answer from a replica's zone shows that kept connections there still lead to it. Behind a link that was cut
-	// since, a request that may not be repeated is lost on one; a new connection shows it before anything is sent.
-	pathTrusted = 500 * time.Millisecond
-	// maxStrayAnswers bounds the answers to earlier requests that are passed over on one connection.
+	// reuseWindow is how long after bytes from a replica's zone idle connections to the zone may be reused. If the link was cut since,
+	// a request sent on an idle connection is lost, which is fatal for one that may not be repeated; a new connection fails before
+	// anything is sent.
+	reuseWindow = 500 * time.Millisecond
+	// maxStrayAnswers limits the responses to earlier requests that are skipped on one connection.
 	maxStrayAnswers = 3
-	// maxStrayBytes bounds the body of such an answer.
+	// maxStrayBytes limits the body of a skipped response.
 	maxStrayBytes = 1 << 20
-	// maxInformational bounds the interim answers before the final one.
+	// maxInformational limits the 1xx responses before the final one.
 	maxInformational = 8
 )
 
@@ -57,13 +58,13 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// RequestID is what the answer must carry.
+	// RequestID is the id that the response must carry.
 	RequestID string
-	// Fresh asks for a new connection in place of a kept one.
+	// Fresh requires a new connection instead of an idle one from the pool.
 	Fresh bool
-	// ConnectWithin bounds the making of a connection; 0 stands for connectTimeout.
+	// ConnectWithin is the timeout for connecting; 0 means connectTimeout.
 	ConnectWithin time.Duration
-	// AdmittedAt is when the request was counted against what a cold replica can take; zero stands for the time of the call.
+	// AdmittedAt is when the request was counted against a cold replica's rate limit; zero means the time of the call.
 	AdmittedAt time.Time
 }
 
@@ -73,21 +74,21 @@
 	headers Headers
 }
 
-// NewClient returns a Client.
+// NewClient returns a Client that connects through via and uses the given header names.
 func NewClient(via network.Network, headers Headers) *Client {
 	return &Client{network: via, headers: headers}
 }
 
-// Headers returns the names in use.
+// Headers returns the header names in use.
 func (c *Client) Headers() Headers { return c.headers }
 
-// Answer is the head of a replica's answer; its body is read from Body. Close must be called.
+// Answer is a replica's response: status and headers, with the body still to be read from Body. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length in bytes; -1 where the answer does not name it.
+	// Length is the body's length in bytes; -1 if the response does not declare it.
 	Length int64
-	// Framed says that the body's end is known without the end of the connection.
+	// Framed is true if the end of the body is recognizable without the connection being closed.
 	Framed bool
 	Body   io.Reader
 
@@ -95,12 +96,13 @@
 	once   sync.Once
 }
 
-// Close ends the call. whole says that Body was read to its end without an error; only then can the connection be
-// used again, else it is closed, at which the replica stops.
+// Close ends the call. whole reports that Body was read to its end without an error; only then can the connection be
+// reused. Otherwise it is closed, which makes the replica stop working on the request.
 func (a *Answer) Close(whole bool) { a.once.Do(func() { a.finish(whole) }) }
 
-// Do sends call to the replica and returns the head of its answer. When ctx ends, the connection is closed. An error
-// that wraps ErrNotSent says that the request did not reach the replica; after any other the request may have run.
+// Do sends call to the replica and returns once the response headers have been read. When ctx ends, the connection is
+// closed. An error that wraps ErrNotSent means that the request did not reach the replica; after any other error the
+// request may have run.
 func (c *Client) Do(ctx context.Context, handle *Handle, call Call) (*Answer, error) {
 	used, err := c.open(ctx, handle, call)
 	if err != nil {
@@ -126,8 +128,14 @@
 		handle.NoteLoad(load, clock.Now())
 	}
 	handle.noteCold(response.Header, c.headers.ColdFor, clock.Now())
-	keep := keepFor(response)
-	answer := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Framed: isFramed(response), Body: response.Body}
+	keep := idleTimeout(response)
+	answer := &Answer{
+		Status: response.StatusCode,
+		Header: response.Header,
+		Length: response.ContentLength,
+		Framed: isFramed(response),
+		Body:   response.Body,
+	}
 	answer.finish = func(whole bool) {
 		reusable := stopWatching() && whole && keep > 0 && written.done() && used.reader.Buffered() == 0
 		if !reusable {
@@ -140,7 +148,7 @@
 	return answer, nil
 }
 
-// open returns a connection on which call may be sent now. Each of its errors wraps ErrNotSent.
+// open returns a connection on which call may be sent now. Every error wraps ErrNotSent.
 func (c *Client) open(ctx context.Context, handle *Handle, call Call) (*connection, error) {
 	if handle.Evacuated() {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, ErrEvacuated)
@@ -155,26 +163,26 @@
 		return nil, err
 	}
 	if handle.Evacuated() {
-		// The evacuation was asked for while the connection was made.
+		// The evacuation began while the connection was being made.
 		used.close()
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, ErrEvacuated)
 	}
-	if handle.staleAdmission(admittedAt, clock.Now()) {
+	if handle.admissionExpired(admittedAt, clock.Now()) {
 		used.close()
 		return nil, fmt.Errorf("%w: the connection to a cold replica took too long", ErrNotSent)
 	}
 	if err := ctx.Err(); err != nil {
-		// The caller left meanwhile.
+		// The caller disconnected while the connection was being made.
 		used.close()
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	return used, nil
 }
 
-// connect takes a kept connection to the replica or makes a new one. Each of its errors wraps ErrNotSent.
+// connect takes an idle connection to the replica from the pool or makes a new one. Every error wraps ErrNotSent.
 func (c *Client) connect(ctx context.Context, handle *Handle, call Call) (*connection, error) {
 	now := clock.Now()
-	if !call.Fresh && handle.zone.AnsweredWithin(pathTrusted, now) {
+	if !call.Fresh && handle.zone.AnsweredWithin(reuseWindow, now) {
 		if kept := handle.pool.take(now); kept != nil {
 			return kept, nil
 		}
@@ -184,8 +192,8 @@
 	raw, err := c.network.Dial(bounded, handle.Info().Address)
 	if err != nil {
 		if ctx.Err() == nil {
-			// Refused ones count too: a zone that is cut off may reset what comes. Where two replicas of a zone just ended it is taken for cut off
-			// until the next probe.
+			// A refused connection counts too, since a partitioned zone may reset incoming connections. Two replicas of a zone that have
+			// just ended therefore make the zone count as unreachable until the next probe.
 			handle.Silent()
 		}
 		return nil, fmt.Errorf("%w: connect to %s: %w", ErrNotSent, handle.Info().Address, err)
@@ -194,7 +202,7 @@
 	return newConnection(raw), nil
 }
 
-// receive reads the answer to call, past interim answers and answers to earlier requests.
+// receive reads the response to call. It skips 1xx responses and responses to earlier requests on the connection.
 func (c *Client) receive(used *connection, call Call) (*http.Response, error) {
 	request := &http.Request{Method: call.Method}
 	stray, interim := 0, 0
@@ -206,11 +214,11 @@
 		if response.StatusCode < http.StatusOK {
 			interim++
 			if interim > maxInformational || response.StatusCode == http.StatusSwitchingProtocols {
-				return nil, fmt.Errorf("unexpected interim answer %d", response.StatusCode)
+				return nil, fmt.Errorf("unexpected interim response with status %d", response.StatusCode)
 			}
 			continue
 		}
-		err = c.check(response, call)
+		err = c.checkRequestID(response, call)
 		if err == nil {
 			return response, nil
 		}
@@ -219,13 +227,14 @@
 			return nil, err
 		}
 		if _, err := io.CopyN(io.Discard, response.Body, maxStrayBytes); err != io.EOF {
-			return nil, errors.New("answer to another request has no end")
+			return nil, errors.New("body of a response to another request is truncated or too long to skip")
 		}
 	}
 }
 
-// check says whether the answer is one to call: it names the call's id, or is a failure that names none.
-func (c *Client) check(response *http.Response, call Call) error {
+// checkRequestID returns an error unless the response belongs to call: it carries the call's request id, or is an error
+// response without an id.
+func (c *Client) checkRequestID(response *http.Response, call Call) error {
 	id := response.Header.Get(c.headers.RequestID)
 	if id == call.RequestID {
 		return nil
@@ -233,10 +242,10 @@
 	if id == "" && response.StatusCode >= http.StatusBadRequest {
 		return nil
 	}
-	return fmt.Errorf("answer names request %q, not %q", id, call.RequestID)
+	return fmt.Errorf("response is for request %q, want %q", id, call.RequestID)
 }
 
-// isFramed says that the end of the answer's body is known without the end of the connection.
+// isFramed reports whether the end of the body is recognizable without the connection being closed.
 func isFramed(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
--- a/internal/replica/cold.go
+++ b/internal/replica/cold.go
@@ -11,47 +11,48 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// SendWithin is the longest time from a ColdPass's Take to the first byte of the request: a connection that takes longer to come up, as
-// behind a cut, would gather requests that were admitted one after the other and send them at once. A connection is made within 10 ms; a
-// process that has spent its processor time stands still for up to 0.1 s.
+// SendWithin is the longest time from a ColdPass's Take to the first byte of the request. If connecting took longer, as during a network
+// partition, requests that were admitted one after the other would reach the replica in a burst. Connecting normally takes up to 10 ms; a
+// process throttled by its CPU quota can be stopped for up to 0.1 s.
 const SendWithin = 100 * time.Millisecond
 
-// coldSlots is how many slots of a cold replica count as room: a few requests a second, each of a fraction of a second, are about one at
-// a time.
+// coldSlots is the number of slots that a cold replica counts for in capacity estimates: a few requests per second, each lasting a
+// fraction of a second, amount to about one at a time.
 const coldSlots = 1
 
-// coldWindow is the span in which the requests of a ColdPass are counted. All that is sent within a second of time was admitted within it.
+// coldWindow is the sliding window in which the requests of a ColdPass are counted. Requests that are sent within the same second were
+// all admitted within one such window.
 const coldWindow = time.Second + SendWithin
 
-// ColdPass is the part of a cold replica's requests that this process may send. It is safe for concurrent use.
+// ColdPass is this process's share of a cold replica's rate limit. It is safe for concurrent use.
 //
 // Invariant: at most limit requests are admitted within any coldWindow, and none after until.
 type ColdPass struct {
 	mutex sync.Mutex
 	limit int
 	until time.Time
-	// admitted are the times of the latest requests, the oldest first, at most limit.
+	// admitted holds the times of the latest requests, oldest first, at most limit of them.
 	admitted []time.Time
 }
 
-// NewColdPass returns a pass for limit requests a second that ends at until.
+// NewColdPass returns a pass for limit requests per second that expires at until.
 func NewColdPass(limit int, until time.Time) *ColdPass { return &ColdPass{limit: limit, until: until} }
 
-// Extend has the pass end at until.
+// Extend changes the pass's expiry to until.
 func (p *ColdPass) Extend(until time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.until = until
 }
 
-// Until returns when the pass ends.
+// Until returns when the pass expires.
 func (p *ColdPass) Until() time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.until
 }
 
-// Room says that Take would admit a request.
+// Room reports whether Take would admit a request.
 func (p *ColdPass) Room(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -66,7 +67,7 @@
 	return len(p.admitted) < p.limit || now.Sub(p.admitted[0]) > coldWindow
 }
 
-// Take admits a request, or returns false.
+// Take admits a request and returns true, or returns false if the limit is used up or the pass has expired.
 func (p *ColdPass) Take(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -80,25 +81,26 @@
 	return true
 }
 
-// coldness is what is known of a replica's being cold.
-type coldness struct {
-	// bounded says that the replica's service declares how many requests its cold replicas can take.
+// coldState is what this process knows of a replica's cold period after its start.
+type coldState struct {
+	// bounded is true if the replica's service declares a rate limit for its cold replicas.
 	bounded atomic.Bool
-	// until is the end of the latest time for which it is known or assumed to be cold; nil where there was none.
+	// until is the latest time until which the replica is known or assumed to be cold; nil if it never was cold.
 	until atomic.Pointer[time.Time]
-	pass  atomic.Pointer[ColdPass]
-	// wanted is when a request last could have used the replica though it is cold; nil where none could.
-	wanted atomic.Pointer[time.Time]
+	// pass is the share of the rate limit that this process holds; nil if it holds none.
+	pass atomic.Pointer[ColdPass]
+	// wantedAt is when a request could last have been sent to the replica while it was cold; nil if there was none.
+	wantedAt atomic.Pointer[time.Time]
 }
 
-// SetColdBounded says whether the replica's service declares how many requests its cold replicas can take; where it does not, none counts as
-// cold.
+// SetColdBounded sets whether the replica's service declares a rate limit for its cold replicas. If it does not, its replicas never count
+// as cold.
 func (h *Handle) SetColdBounded(bounded bool) { h.cold.bounded.Store(bounded) }
 
-// ColdBounded returns what SetColdBounded was given.
+// ColdBounded reports whether the replica's service declares a rate limit for its cold replicas.
 func (h *Handle) ColdBounded() bool { return h.cold.bounded.Load() }
 
-// SetColdUntil has the replica count as cold until then, or for longer where that is known already.
+// SetColdUntil makes the replica count as cold until the given time. It never shortens a cold period that is already known.
 func (h *Handle) SetColdUntil(until time.Time) {
 	for {
 		known := h.cold.until.Load()
@@ -111,10 +113,10 @@
 	}
 }
 
-// Cold says that the replica can take few requests now.
+// Cold reports whether the replica is in its cold period and can take only a few requests.
 func (h *Handle) Cold(now time.Time) bool { return h.ColdFor(now) > 0 }
 
-// ColdFor returns for how much longer the replica counts as cold; 0 where it is warm.
+// ColdFor returns the rest of the replica's cold period; 0 if it is warm.
 func (h *Handle) ColdFor(now time.Time) time.Duration {
 	until := h.cold.until.Load()
 	if until == nil || !h.cold.bounded.Load() {
@@ -123,7 +125,7 @@
 	return max(0, until.Sub(now))
 }
 
-// WarmFor returns since when the replica counts as warm after it was cold; ever is false where it was not.
+// WarmFor returns how long ago the replica's last cold period ended, 0 while it lasts; ever is false if it never was cold.
 func (h *Handle) WarmFor(now time.Time) (since time.Duration, ever bool) {
 	until := h.cold.until.Load()
 	if until == nil || !h.cold.bounded.Load() {
@@ -132,13 +134,13 @@
 	return max(0, now.Sub(*until)), true
 }
 
-// SetColdPass gives this process a pass: a part of the requests that the replica may get while it is cold.
+// SetColdPass sets this process's share of the replica's rate limit while it is cold.
 func (h *Handle) SetColdPass(pass *ColdPass) { h.cold.pass.Store(pass) }
 
-// ColdPass returns the pass that this process holds; nil where it holds none.
+// ColdPass returns the pass that this process holds; nil if it holds none.
 func (h *Handle) ColdPass() *ColdPass { return h.cold.pass.Load() }
 
-// ColdRoom says that the replica is warm, or that this process may send it one more request while it is cold.
+// ColdRoom reports whether the replica is warm, or is cold and this process's pass admits another request.
 func (h *Handle) ColdRoom(now time.Time) bool {
 	if !h.Cold(now) {
 		return true
@@ -147,16 +149,16 @@
 	return pass != nil && pass.Room(now)
 }
 
-// WantCold notes that requests of this process could use the replica though it is cold.
-func (h *Handle) WantCold(now time.Time) { h.cold.wanted.Store(&now) }
+// WantCold records that this process has requests that it could send to the cold replica.
+func (h *Handle) WantCold(now time.Time) { h.cold.wantedAt.Store(&now) }
 
-// ColdWanted says that WantCold was called after since.
+// ColdWanted reports whether WantCold was called after since.
 func (h *Handle) ColdWanted(since time.Time) bool {
-	wanted := h.cold.wanted.Load()
+	wanted := h.cold.wantedAt.Load()
 	return wanted != nil && wanted.After(since)
 }
 
-// usableSlots returns the number of requests that the replica works on at once, for plans of what all replicas can take.
+// usableSlots returns the replica's concurrency for capacity estimates; while it is cold, at most coldSlots.
 func (h *Handle) usableSlots(now time.Time) int {
 	if h.Cold(now) {
 		return min(coldSlots, h.Info().Slots)
@@ -164,12 +166,13 @@
 	return h.Info().Slots
 }
 
-// staleAdmission says that a request to a cold replica was admitted at admittedAt and may not be sent any more.
-func (h *Handle) staleAdmission(admittedAt, now time.Time) bool {
+// admissionExpired reports whether a request that was admitted at admittedAt is too late to be sent, because the replica is cold and
+// SendWithin has passed.
+func (h *Handle) admissionExpired(admittedAt, now time.Time) bool {
 	return now.Sub(admittedAt) > SendWithin && h.Cold(now)
 }
 
-// noteCold takes in what an answer says of the time that the replica stays cold.
+// noteCold records the rest of the cold period, in milliseconds, from the response header with the given name, if present.
 func (h *Handle) noteCold(header http.Header, name string, now time.Time) {
 	text := header.Get(name)
 	if name == "" || text == "" {
@@ -181,10 +184,11 @@
 	}
 }
 
-// ColdTerms says whether a service declares how many requests its cold replicas can take, and how long one that has just appeared is to count as cold.
+// ColdTerms returns a service's settings for cold replicas: bounded is true if it declares a rate limit for them, and assumed is how long
+// a replica that has just appeared counts as cold.
 type ColdTerms func(service string) (assumed time.Duration, bounded bool)
 
-// SetColdTerms has replicas that appear after the first listing, or return from an evacuated zone, count as cold.
+// SetColdTerms makes replicas that appear after the first listing, or whose zone returns from an evacuation, count as cold by terms.
 func (d *Directory) SetColdTerms(terms ColdTerms) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -195,7 +199,7 @@
 	}
 }
 
-// assumeCold has a replica count as cold that has just started, or turned to be used again. The mutex is held.
+// assumeCold starts the assumed cold period of a replica that has just started or whose zone is back in use. The mutex must be held.
 func (d *Directory) assumeCold(handle *Handle, now time.Time) {
 	if d.coldTerms == nil {
 		return
@@ -205,20 +209,20 @@
 	}
 }
 
-// noteEntry takes in a replica's entry; before is the one known so far, nil where the replica is new, and written says that the entry has
-// just been written: one that is merely listed once more starts no cold time again. The mutex is held.
-func (d *Directory) noteEntry(handle *Handle, before *Info, written bool) {
+// noteEntry applies the cold period in a replica's entry. previous is the entry known so far, nil if the replica is new. written is true
+// if the entry has just been written; one that is only listed again must not restart the cold period. The mutex must be held.
+func (d *Directory) noteEntry(handle *Handle, previous *Info, written bool) {
 	info, now := handle.Info(), clock.Now()
-	if before == nil && d.coldTerms != nil {
+	if previous == nil && d.coldTerms != nil {
 		_, bounded := d.coldTerms(info.Service)
 		handle.SetColdBounded(bounded)
 	}
-	if before == nil && d.loaded.Load() {
+	if previous == nil && d.loaded.Load() {
 		d.assumeCold(handle, now)
-		d.noteAddress(handle, now)
+		d.endOthersAtAddress(handle, now)
 	}
-	news := written || before == nil || *before != *info
-	if info.ColdFor > 0 && news {
+	changed := written || previous == nil || *previous != *info
+	if info.ColdFor > 0 && changed {
 		handle.SetColdUntil(now.Add(info.ColdFor))
 	}
 }
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// boundedDirectory holds replica "first" by its first listing. New replicas are assumed to be cold for 3 s.
+// boundedDirectory returns a directory whose first listing holds the replica "first". New replicas are assumed to be cold for 3 s.
 func boundedDirectory(bounded bool) *Directory {
 	directory := NewDirectory()
 	directory.SetColdTerms(func(string) (time.Duration, bool) { return 3 * time.Second, bounded })
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestPassAdmitsNoMoreInAnyWindow: whatever the moments at which requests come.
+// TestPassAdmitsNoMoreInAnyWindow checks that a pass admits at most its limit within any window, for random arrival times.
 func TestPassAdmitsNoMoreInAnyWindow(t *testing.T) {
 	t.Parallel()
 	seed := rand.Uint64()
@@ -116,28 +116,28 @@
 			admitted = append(admitted, now)
 		}
 	}
-	for index, at := range admitted {
-		if !at.Before(start.Add(20 * time.Second)) {
-			t.Errorf("admitted %s after the pass began, at its end or later", at.Sub(start))
+	for index, admittedAt := range admitted {
+		if !admittedAt.Before(start.Add(20 * time.Second)) {
+			t.Errorf("request admitted %s after the start of the pass, when it had expired", admittedAt.Sub(start))
 		}
-		if index >= limit && at.Sub(admitted[index-limit]) <= time.Second+SendWithin {
-			t.Errorf("%d requests within %s", limit+1, at.Sub(admitted[index-limit]))
+		if index >= limit && admittedAt.Sub(admitted[index-limit]) <= time.Second+SendWithin {
+			t.Errorf("%d requests within %s", limit+1, admittedAt.Sub(admitted[index-limit]))
 		}
 	}
 	if len(admitted) < 40 {
-		t.Errorf("%d requests were admitted in 20 s, want about %d a window", len(admitted), limit)
+		t.Errorf("%d requests admitted in 20 s, want about %d per window", len(admitted), limit)
 	}
 }
 
-// slowNetwork makes connections after a while.
+// slowNetwork connects after a delay.
 type slowNetwork struct {
 	delay time.Duration
-	// read counts the bytes that reached the replica.
-	read chan int
+	// received gets the number of bytes that reached the replica on a connection.
+	received chan int
 }
 
 func (s *slowNetwork) Listen(context.Context, netip.AddrPort) (net.Listener, error) {
-	return nil, errors.New("nothing listens here")
+	return nil, errors.New("slowNetwork: Listen is not supported")
 }
 
 func (s *slowNetwork) Dial(context.Context, netip.AddrPort) (net.Conn, error) {
@@ -145,13 +145,14 @@
 	near, far := net.Pipe()
 	go func() {
 		count, _ := far.Read(make([]byte, 100))
-		s.read <- count
+		s.received <- count
 		_ = far.Close()
 	}()
 	return near, nil
 }
 
-// TestRequestToAColdReplicaIsNotSentLate: requests that were admitted while a connection came up would arrive together.
+// TestRequestToAColdReplicaIsNotSentLate guards the rate limit of cold replicas: requests that were admitted one after the other while
+// connecting is slow would arrive in a burst.
 func TestRequestToAColdReplicaIsNotSentLate(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
@@ -174,14 +175,15 @@
 				handle := NewHandle(Info{ID: "r"})
 				handle.SetColdBounded(test.cold)
 				handle.SetColdUntil(time.Now().Add(time.Second))
-				network := &slowNetwork{delay: test.delay, read: make(chan int, 1)}
+				network := &slowNetwork{delay: test.delay, received: make(chan int, 1)}
 				admitted := time.Now()
 				time.Sleep(test.waited)
-				_, err := NewClient(network, Headers{}).Do(context.Background(), handle, Call{Method: http.MethodGet, Target: "/", Host: "h", AdmittedAt: admitted})
+				_, err := NewClient(network, Headers{}).Do(context.Background(), handle,
+					Call{Method: http.MethodGet, Target: "/", Host: "h", AdmittedAt: admitted})
 				if errors.Is(err, ErrNotSent) == test.sent {
 					t.Errorf("error %v, sent should be %t", err, test.sent)
 				}
-				if bytes := <-network.read; (bytes > 0) != test.sent {
+				if bytes := <-network.received; (bytes > 0) != test.sent {
 					t.Errorf("%d bytes reached the replica, sent should be %t", bytes, test.sent)
 				}
 			})
@@ -196,8 +198,8 @@
 	for range 4 {
 		counted.note(start)
 	}
-	if got := counted.ahead(start); got != 3 {
-		t.Errorf("4 requests to a replica that bore none are %g ahead, want 3", got)
+	if got := counted.excess(start); got != 3 {
+		t.Errorf("excess of 4 requests to a replica without earlier ones is %g, want 3", got)
 	}
 	for second := range 60 {
 		for range 2 {
@@ -208,16 +210,17 @@
 	for range 4 {
 		counted.note(end)
 	}
-	if got := counted.ahead(end); got != 0 {
-		t.Errorf("a burst of twice the usual rate is %g ahead", got)
+	if got := counted.excess(end); got != 0 {
+		t.Errorf("excess of a burst of twice the usual rate is %g, want 0", got)
 	}
 	counted.note(end.Add(time.Hour))
-	if got := counted.ahead(end.Add(time.Hour)); got != 0 {
-		t.Errorf("the first request after an hour is %g ahead", got)
+	if got := counted.excess(end.Add(time.Hour)); got != 0 {
+		t.Errorf("excess of the first request after an hour is %g, want 0", got)
 	}
 }
 
-// TestColdReplicasAreLittleRoom: requests are held back, and items give way, by what the replicas bear now.
+// TestColdReplicasAreLittleRoom checks that a cold replica counts for one slot in capacity estimates, by which requests are held back and
+// batch items yield.
 func TestColdReplicasAreLittleRoom(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/replica/connection.go
+++ b/internal/replica/connection.go
@@ -12,9 +12,9 @@
 
 const (
 	readBufferBytes = 8 << 10
-	// idleDefault is how long a connection is kept where the replica names no time.
-	idleDefault = 30 * time.Second
-	// idleMargin is taken off the time that the replica names, so that the two ends do not cross.
+	// defaultIdleTimeout applies if the replica's Keep-Alive header names no timeout.
+	defaultIdleTimeout = 30 * time.Second
+	// idleMargin is subtracted from the replica's timeout, so that no request is sent while the replica closes the connection.
 	idleMargin = 900 * time.Millisecond
 )
 
@@ -31,8 +31,8 @@
 
 func (c *connection) close() { _ = c.net.Close() }
 
-// quiet says that the other end has neither closed the idle connection nor sent bytes that no request waits for.
-func (c *connection) quiet() bool {
+// reusable reports whether the replica has neither closed the idle connection nor sent unsolicited bytes on it.
+func (c *connection) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -44,18 +44,18 @@
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var peeked [1]byte
-		_, _, failure := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = failure == syscall.EAGAIN
+		_, _, errno := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		empty = errno == syscall.EAGAIN
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
 
-// keepFor reads how long the replica keeps the connection idle; zero where it closes it.
-func keepFor(answer *http.Response) time.Duration {
+// idleTimeout returns how long the connection may stay idle after answer; 0 if the replica closes it.
+func idleTimeout(answer *http.Response) time.Duration {
 	if answer.Close {
 		return 0
 	}
@@ -70,5 +70,5 @@
 		}
 		return max(0, time.Duration(seconds)*time.Second-idleMargin)
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/internal/replica/directory.go
+++ b/internal/replica/directory.go
@@ -15,20 +15,21 @@
 	"github.com/sloelift/sloelift/internal/unreached"
 )
 
-// Info is what a replica's own entry says of it.
+// Info is the content of a replica's directory entry.
 type Info struct {
-	// ID names the replica. It may start again under it.
+	// ID names the replica. It keeps its ID when it restarts.
 	ID string
-	// Born is when this life of the replica started, in Unix milliseconds; 0 where its entry does not say. Lives of one ID differ in it.
+	// Born is when this incarnation of the replica started, in Unix milliseconds; 0 if its entry does not tell. It distinguishes the
+	// incarnations of one ID.
 	Born    int64
 	Service string
 	Address netip.AddrPort
 	Zone    string
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the replica processes concurrently.
 	Slots int
-	// Draining replicas take no new requests.
+	// Draining is true if the replica takes no new requests.
 	Draining bool
-	// ColdFor is how much longer the replica stays cold, counted from when it wrote its entry; 0 is warm.
+	// ColdFor is the rest of the replica's cold period at the time its entry was written; 0 if it is warm.
 	ColdFor time.Duration
 }
 
@@ -36,15 +37,14 @@
 type View struct {
 	byService map[string][]*Handle
 	byID      map[string]*Handle
-	// elsewhere are the slots of replicas that are not in the directory, by service, where this node keeps a part of all only.
-	elsewhere map[string]int
+	// unlistedSlots counts, by service, the slots of replicas outside the directory if this node keeps only a subset of all replicas.
+	unlistedSlots map[string]int
 }
 
 // Of returns the replicas of service, sorted by ID.
 func (v *View) Of(service string) []*Handle { return v.byService[service] }
 
-// Slots returns the number of requests that the replicas of service which take new ones work on at once, those among them that this node does
-// not know.
+// Slots returns the total slots of the replicas of service that take new requests, including those outside this node's subset.
 func (v *View) Slots(service string) int {
 	slots, now := 0, clock.Now()
 	for _, handle := range v.byService[service] {
@@ -52,11 +52,11 @@
 			slots += handle.usableSlots(now)
 		}
 	}
-	return slots + v.elsewhere[service]
+	return slots + v.unlistedSlots[service]
 }
 
-// WorkingSlots returns the same without the replicas that are down. Of those that this node does not know the same share is taken to work as
-// of those that it knows.
+// WorkingSlots is like Slots but leaves out replicas that are down. Slots outside this node's subset are assumed to be up in the same
+// proportion as those inside it.
 func (v *View) WorkingSlots(service string, now time.Time) int {
 	working, declared := 0, 0
 	for _, handle := range v.byService[service] {
@@ -68,14 +68,14 @@
 		}
 	}
 	if declared == 0 {
-		return working + v.elsewhere[service]
+		return working + v.unlistedSlots[service]
 	}
-	return working + v.elsewhere[service]*working/declared
+	return working + v.unlistedSlots[service]*working/declared
 }
 
-// KnowsPart says that there are replicas that take requests and are not in the directory.
+// KnowsPart reports whether the directory is only a subset: some replicas outside it take requests.
 func (v *View) KnowsPart() bool {
-	for _, slots := range v.elsewhere {
+	for _, slots := range v.unlistedSlots {
 		if slots > 0 {
 			return true
 		}
@@ -83,72 +83,77 @@
 	return false
 }
 
-// Find returns the replica with the given ID; nil where there is none.
+// Find returns the replica with the given ID; nil if there is none.
 func (v *View) Find(id string) *Handle { return v.byID[id] }
 
-// All returns all replicas, in no order.
+// All returns all replicas, in no particular order.
 func (v *View) All() iter.Seq[*Handle] { return maps.Values(v.byID) }
 
 // Len returns the number of replicas.
 func (v *View) Len() int { return len(v.byID) }
 
-// Directory holds the replicas that are registered. It is safe for concurrent use.
+// Directory holds the registered replicas. It is safe for concurrent use.
 type Directory struct {
 	view atomic.Pointer[View]
-	// mutex is held by writers.
+	// mutex serializes writers.
 	mutex       sync.Mutex
 	loaded      atomic.Bool
 	subscribers subscription.List[*View]
-	// useChanged holds one signal that requests began or ended, or prompts were read.
+	// useChanged has capacity 1 and signals that requests began or ended, or that prompts were processed.
 	useChanged chan struct{}
-	// zones knows those that are cut off from this process.
+	// zones tracks which zones are unreachable from this process.
 	zones *unreached.Zones
-	// evacuated are the zones whose replicas get nothing more, evacuationEnded says when other zones were taken back; both are guarded by
-	// mutex.
+	// evacuated holds the zones whose replicas receive no requests, evacuationEnded the times at which evacuations of other zones
+	// ended; both are guarded by mutex.
 	evacuated       map[string]bool
 	evacuationEnded map[string]time.Time
-	// coldTerms is guarded by mutex; nil where cold replicas may get as much as warm ones.
+	// coldTerms is guarded by mutex; nil if cold replicas are treated like warm ones.
 	coldTerms ColdTerms
 }
 
 // NewDirectory returns an empty Directory.
 func NewDirectory() *Directory {
-	directory := &Directory{useChanged: make(chan struct{}, 1), zones: unreached.NewZones(), evacuationEnded: map[string]time.Time{}}
+	directory := &Directory{
+		useChanged:      make(chan struct{}, 1),
+		zones:           unreached.NewZones(),
+		evacuationEnded: map[string]time.Time{},
+	}
 	directory.view.Store(&View{byService: map[string][]*Handle{}, byID: map[string]*Handle{}})
 	return directory
 }
 
-// View returns the present snapshot.
+// View returns the current snapshot.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Loaded says that the directory has been read once.
+// Loaded reports whether Replace or ReplaceByCopy has been called at least once.
 func (d *Directory) Loaded() bool { return d.loaded.Load() }
 
-// UseChanged signals that requests of this process at replicas have begun or ended, or their prompts were read, since the last signal
-// was taken.
+// UseChanged signals that, since the last signal was received, requests of this process at replicas began or ended or their prompts were
+// processed.
 func (d *Directory) UseChanged() <-chan struct{} { return d.useChanged }
 
-// SetElsewhere says how many slots replicas have that are not in the directory, by service.
+// SetElsewhere sets the number of slots, by service, of replicas that are not in the directory.
 func (d *Directory) SetElsewhere(slots map[string]int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	next := *d.View()
-	next.elsewhere = maps.Clone(slots)
+	next.unlistedSlots = maps.Clone(slots)
 	d.view.Store(&next)
 }
 
-// SignalUse has UseChanged signal.
+// SignalUse sends a signal on UseChanged.
 func (d *Directory) SignalUse() {
 	subscription.Signal(d.useChanged)
 }
 
-// Subscribe calls notify after each change until remove is called.
+// Subscribe calls notify with the new view after each change until remove is called.
 func (d *Directory) Subscribe(notify func(*View)) (remove func()) { return d.subscribers.Add(notify) }
 
-// Replace makes replicas the whole content of the directory and returns how many are gone.
+// Replace replaces the whole content of the directory and returns how many replicas were removed.
 func (d *Directory) Replace(replicas []Info) (gone int) { return d.replace(replicas, true) }
 
-// ReplaceByCopy is Replace by what was known some time ago, while the key-value service does not answer.
+// ReplaceByCopy is Replace with an older copy of the content, while the key-value service is unavailable. The replicas count as
+// unconfirmed until Replace names them.
 func (d *Directory) ReplaceByCopy(replicas []Info) { d.replace(replicas, false) }
 
 func (d *Directory) replace(replicas []Info, confirmed bool) (gone int) {
@@ -170,7 +175,7 @@
 	return gone
 }
 
-// Update takes in changed replicas and drops the removed ones.
+// Update adds or changes the replicas in changed and removes those whose IDs are in removed.
 func (d *Directory) Update(changed []Info, removed []string) {
 	d.mutex.Lock()
 	next := make(map[string]*Handle, d.View().Len()+len(changed))
@@ -188,15 +193,16 @@
 	d.subscribers.Notify(d.View())
 }
 
-// handleFor returns the handle of info's life with its newest entry; written says that the entry has just been written. What was known of
-// an earlier life goes with its handle: load, requests in flight, failures, coldness, kept connections and what other nodes reported of it.
+// handleFor returns the handle of info's incarnation, updated to the newest entry; written is true if the entry has just been written. A
+// later incarnation gets a new handle, so that nothing carries over from the earlier one: load, requests in flight, failures, cold
+// period, idle connections and reports of other nodes.
 func (d *Directory) handleFor(info Info, written bool) *Handle {
 	handle := d.View().Find(info.ID)
 	if handle != nil && info.Born == 0 {
 		info.Born = handle.Info().Born
 	}
 	if handle != nil && info.Born < handle.Info().Born {
-		// A late entry of an earlier life.
+		// A delayed entry of an earlier incarnation.
 		return handle
 	}
 	if handle == nil || info.Born > handle.Info().Born {
@@ -209,13 +215,13 @@
 		before := handle.info.Swap(&info)
 		d.noteEntry(handle, before, written)
 	}
-	d.markZone(handle)
+	d.applyZoneState(handle)
 	return handle
 }
 
-// publish makes next the content and ends the handles that are gone from it.
+// publish stores a view of next and retires the handles that are no longer in it.
 func (d *Directory) publish(next map[string]*Handle) {
-	view := &View{byService: map[string][]*Handle{}, byID: next, elsewhere: d.View().elsewhere}
+	view := &View{byService: map[string][]*Handle{}, byID: next, unlistedSlots: d.View().unlistedSlots}
 	for _, handle := range next {
 		service := handle.Info().Service
 		view.byService[service] = append(view.byService[service], handle)
--- a/internal/replica/evacuated.go
+++ b/internal/replica/evacuated.go
@@ -8,15 +8,15 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// ErrEvacuated says that nothing is sent to the replica since its zone is evacuated; it comes with ErrNotSent and says nothing of the
-// replica itself.
+// ErrEvacuated means that the request was not sent because the replica's zone is evacuated. It is always wrapped together with ErrNotSent
+// and does not mean that the replica itself has failed.
 var ErrEvacuated = errors.New("zone of the replica is evacuated")
 
-// Evacuated says that the replica's zone is taken out of service.
+// Evacuated reports whether the replica's zone is out of service.
 func (h *Handle) Evacuated() bool { return h.evacuated.Load() }
 
-// EvacuationEnded returns when the replica's zone was last taken back as this process knows it; zero where it never was. The replicas may
-// have turned cold shortly before.
+// EvacuationEnded returns when this process learned that the last evacuation of the replica's zone ended; zero if there was none. The
+// replicas may have become cold shortly before.
 func (h *Handle) EvacuationEnded() time.Time {
 	if ended := h.evacuationEnded.Load(); ended != nil {
 		return *ended
@@ -24,8 +24,8 @@
 	return time.Time{}
 }
 
-// EvacuatedInUse returns the requests that still run at replicas of evacuated zones. They count in what all nodes have of service, but
-// take no room of the replicas that are left.
+// EvacuatedInUse returns the number of requests of service that still run at replicas of evacuated zones. They are part of the requests
+// in flight on all nodes, but occupy no slots of the remaining replicas.
 func (v *View) EvacuatedInUse(service string, now time.Time) int {
 	running := 0.0
 	for _, handle := range v.byService[service] {
@@ -36,7 +36,7 @@
 	return int(running)
 }
 
-// AllEvacuated says that service has replicas, and each that would take requests is in an evacuated zone.
+// AllEvacuated reports whether service has replicas in evacuated zones and no usable replica outside them.
 func (v *View) AllEvacuated(service string) bool {
 	evacuated := false
 	for _, handle := range v.byService[service] {
@@ -48,7 +48,8 @@
 	return evacuated
 }
 
-// SetEvacuated has the replicas of the given zones, and of no others, get nothing more. They stay in the directory: what runs there goes on.
+// SetEvacuated makes exactly the given zones evacuated: their replicas receive no new requests. The replicas stay in the directory and
+// requests in flight there continue.
 func (d *Directory) SetEvacuated(zones map[string]bool) {
 	d.mutex.Lock()
 	now := clock.Now()
@@ -58,30 +59,30 @@
 		}
 	}
 	d.evacuated = maps.Clone(zones)
-	d.markZones()
+	d.applyZoneStates()
 	d.mutex.Unlock()
 	d.subscribers.Notify(d.View())
 }
 
-// NoteEvacuationEnded says that a zone is taken back now of whose evacuation SetEvacuated was never given, since it was over before it
-// was known here.
+// NoteEvacuationEnded records the end of an evacuation that SetEvacuated never named, because it was over before this process learned of
+// it.
 func (d *Directory) NoteEvacuationEnded(zone string) {
 	d.mutex.Lock()
 	d.evacuationEnded[zone] = clock.Now()
-	d.markZones()
+	d.applyZoneStates()
 	d.mutex.Unlock()
 	d.subscribers.Notify(d.View())
 }
 
-// markZones brings to all handles what is known of their zones. The mutex is held.
-func (d *Directory) markZones() {
+// applyZoneStates copies the evacuation state of the zones to all handles. The mutex must be held.
+func (d *Directory) applyZoneStates() {
 	for _, handle := range d.View().byID {
-		d.markZone(handle)
+		d.applyZoneState(handle)
 	}
 }
 
-// markZone brings to a handle what is known of its zone. The mutex is held.
-func (d *Directory) markZone(handle *Handle) {
+// applyZoneState copies the evacuation state of its zone to a handle. The mutex must be held.
+func (d *Directory) applyZoneState(handle *Handle) {
 	zone := handle.Info().Zone
 	if ended, known := d.evacuationEnded[zone]; known && !ended.Equal(handle.EvacuationEnded()) {
 		d.assumeCold(handle, ended)
--- a/internal/replica/evacuated_send_test.go
+++ b/internal/replica/evacuated_send_test.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// evacuatingNetwork has the zone evacuated while a connection is made.
+// evacuatingNetwork calls evacuate, if set, during Dial.
 type evacuatingNetwork struct {
 	*replicatest.Network
 	evacuate func()
@@ -27,8 +27,8 @@
 	return n.Network.Dial(ctx, address)
 }
 
-// TestNothingIsSentToAnEvacuatedZone: neither over a new connection, nor over one that was being made as that was asked, nor over a kept
-// one; after it was taken back everything goes there again.
+// TestNothingIsSentToAnEvacuatedZone checks that no request is sent to an evacuated zone: not on a new connection, not on one that was
+// being made when the evacuation began, and not on an idle one. After the evacuation requests are sent there again.
 func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		address := netip.MustParseAddrPort("127.0.0.1:1000")
@@ -50,21 +50,21 @@
 			return err
 		}
 		evacuated := map[string]bool{"z": true}
-		rejected := func(when string) {
+		wantEvacuated := func(when string) {
 			if err := send(); !errors.Is(err, replica.ErrEvacuated) || !errors.Is(err, replica.ErrNotSent) {
-				t.Errorf("%s: %v", when, err)
+				t.Errorf("request %s: error %v, want ErrEvacuated and ErrNotSent", when, err)
 			}
 		}
 		network.evacuate = func() { directory.SetEvacuated(evacuated) }
-		rejected("while the connection is made")
+		wantEvacuated("while the connection is made")
 		network.evacuate = nil
-		rejected("before it is made")
+		wantEvacuated("before the connection is made")
 		directory.SetEvacuated(nil)
 		if err := send(); err != nil {
-			t.Errorf("after it was taken back: %v", err)
+			t.Errorf("request after the evacuation: %v", err)
 		}
 		directory.SetEvacuated(evacuated)
-		rejected("over a kept connection")
+		wantEvacuated("on an idle connection")
 		if got := len(network.Requests()); got != 1 {
 			t.Errorf("%d requests reached the replica, want 1", got)
 		}
--- a/internal/replica/failures.go
+++ b/internal/replica/failures.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// avoidFirst and avoidLongest bound how long a replica is avoided after it failed.
-	avoidFirst   = 200 * time.Millisecond
-	avoidLongest = 3 * time.Second
-	// othersAvoiding is the number of other nodes that avoid a replica from which on this node does so too: where one answer in twenty of
-	// half of the replicas is lost, one node avoids some three replicas at any time, two hardly ever the same.
-	othersAvoiding = 2
-	// ownExperience is how long bytes of an answer count for more than what fails other nodes.
-	ownExperience = 300 * time.Millisecond
-	// downAfter is the number of failures, one after the other, after which a replica is taken to be down.
+	// minAvoidance and maxAvoidance bound the backoff during which a replica is avoided after a failure.
+	minAvoidance = 200 * time.Millisecond
+	maxAvoidance = 3 * time.Second
+	// minOthersAvoiding is the number of other nodes that must avoid a replica for this node to avoid it too. One would be too few:
+	// where half of the replicas lose one response in twenty, each node avoids some three replicas at any time, but two nodes hardly
+	// ever the same one.
+	minOthersAvoiding = 2
+	// ownAnswerWindow is how long bytes of a response received here outweigh the failures that other nodes report.
+	ownAnswerWindow = 300 * time.Millisecond
+	// downAfter is the number of consecutive failures after which a replica counts as down.
 	downAfter = 2
-	// failureWeight is the part of the newest result in the running failure rate.
+	// failureWeight is the weight of the newest result in the moving average of the failure rate.
 	failureWeight = 0.12
 )
 
-// Succeeded notes a whole answer.
+// Succeeded records a complete response.
 func (h *Handle) Succeeded() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -26,40 +27,40 @@
 	h.failureRate *= 1 - failureWeight
 }
 
-// Failed notes a call that the replica did not answer well; it is avoided for a while.
+// Failed records a failed call. The replica is avoided for a backoff that doubles with each consecutive failure, up to maxAvoidance.
 func (h *Handle) Failed(now time.Time) {
 	h.mutex.Lock()
 	h.failures++
-	wait := avoidFirst << min(h.failures-1, 8)
-	h.avoidUntil = now.Add(min(wait, avoidLongest))
+	wait := minAvoidance << min(h.failures-1, 8)
+	h.avoidUntil = now.Add(min(wait, maxAvoidance))
 	h.failingUntil = h.avoidUntil
 	h.failureRate += failureWeight * (1 - h.failureRate)
 	h.mutex.Unlock()
 	h.signalChange()
 }
 
-// Ended notes that the replica's process was found to have ended, though its entry may stand for seconds. It counts as down for avoidLongest,
-// the longest time for which any replica is avoided, so that a wrong finding lasts no longer than that.
+// Ended records that the replica's process has ended, though its entry may remain for seconds. The replica counts as down for
+// maxAvoidance only, so that a wrong finding has no effect beyond that.
 func (h *Handle) Ended(now time.Time) {
 	h.mutex.Lock()
 	h.failures = max(h.failures, downAfter)
-	h.avoidUntil = now.Add(avoidLongest)
+	h.avoidUntil = now.Add(maxAvoidance)
 	h.failingUntil = h.avoidUntil
 	h.mutex.Unlock()
 	h.signalChange()
 }
 
-// Rejected notes that the replica refused a request for want of room; it is avoided for a moment.
+// Rejected records that the replica refused a request because it is full. It is avoided for at least half of minAvoidance.
 func (h *Handle) Rejected(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	until := now.Add(avoidFirst / 2)
+	until := now.Add(minAvoidance / 2)
 	if until.After(h.avoidUntil) {
 		h.avoidUntil = until
 	}
 }
 
-// Avoided says that the replica failed or refused a short while ago, or fails other nodes.
+// Avoided reports whether the replica is in its backoff after a failure or refusal, or fails other nodes.
 func (h *Handle) Avoided(now time.Time) bool {
 	h.mutex.Lock()
 	avoided := now.Before(h.avoidUntil)
@@ -67,16 +68,17 @@
 	return avoided || h.FailsOthers(now)
 }
 
-// FailsOthers says that several other nodes avoid the replica since their calls to it fail, and that this process has had no bytes of an
-// answer from it lately.
+// FailsOthers reports whether at least minOthersAvoiding other nodes avoid the replica because their calls fail, and this process has
+// received no bytes of a response from it within ownAnswerWindow.
 func (h *Handle) FailsOthers(now time.Time) bool {
 	h.mutex.Lock()
-	fails := !h.othersAt.IsZero() && now.Sub(h.othersAt) < othersStale && h.others.Avoiding >= othersAvoiding
+	fails := !h.othersAt.IsZero() && now.Sub(h.othersAt) < othersStaleAfter && h.othersUse.Avoiding >= minOthersAvoiding
 	h.mutex.Unlock()
-	return fails && !h.AnsweredSince(now.Add(-ownExperience))
+	return fails && !h.AnsweredSince(now.Add(-ownAnswerWindow))
 }
 
-// Down says that no answer can be expected of the replica: it fails other nodes, or has failed this process again and again.
+// Down reports whether no response can be expected of the replica: it fails other nodes, has failed downAfter calls of this process in a
+// row, or its zone is unreachable.
 func (h *Handle) Down(now time.Time) bool {
 	h.mutex.Lock()
 	failing := h.failures >= downAfter && now.Before(h.failingUntil)
@@ -84,7 +86,7 @@
 	return failing || h.zone.CutOff() || h.FailsOthers(now)
 }
 
-// FailureRate is the share of failures among the latest calls, from 0 to 1.
+// FailureRate returns the moving average of failures among the latest calls, from 0 to 1.
 func (h *Handle) FailureRate() float64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -12,32 +12,34 @@
 	"github.com/sloelift/sloelift/internal/unreached"
 )
 
-// Handle is one life of a replica with what this process knows of it. It is safe for concurrent use.
+// Handle is one incarnation of a replica and what this process knows of it. It is safe for concurrent use.
 type Handle struct {
-	info atomic.Pointer[Info]
-	key  Key
-	pool connectionPool
-	gone atomic.Bool
-	// replaced says that the replica has started again under its ID.
+	info    atomic.Pointer[Info]
+	key     Key
+	pool    connectionPool
+	retired atomic.Bool
+	// replaced is true once a later incarnation of the replica has taken its place.
 	replaced atomic.Bool
 	inUse    atomic.Int64
-	// useChanged, where it is set, is called after a request began or ended or its prompt was read; it is set before the first one.
+	// useChanged, if set, is called after a request began or ended, its prompt was processed, or the replica failed. It is set before
+	// the first request.
 	useChanged func()
-	// reading counts the prompt tokens of this process's requests that wait for their first event.
-	reading atomic.Int64
-	// evacuated says that the replica's zone is taken out of service.
+	// readingTokens counts the prompt tokens of this process's requests that have not yet received their first event.
+	readingTokens atomic.Int64
+	// evacuated is true while the replica's zone is out of service.
 	evacuated atomic.Bool
-	// evacuationEnded is when the zone was taken back; nil where it never was.
+	// evacuationEnded is when the zone's last evacuation ended; nil if there was none.
 	evacuationEnded atomic.Pointer[time.Time]
-	// zone is what is known of whether the replicas of this one's zone are reached.
+	// zone tracks whether the replica's zone is reachable.
 	zone *unreached.Zone
-	// probesDue returns replicas of zones that are to be probed; nil for a replica outside a Directory.
+	// probesDue returns replicas of unreachable zones that are to be probed now; nil for a replica outside a Directory.
 	probesDue func(now time.Time) []*Handle
-	// unconfirmed says that the replica is known from a copy only, misdirected that another service answered at its address meanwhile.
+	// unconfirmed is true while the replica is known only from a copy of the directory; misdirected is true if, meanwhile, another
+	// service has answered at its address.
 	unconfirmed, misdirected atomic.Bool
-	// answeredAt is when bytes of an answer last came, in nanoseconds since the start of the process; 0 is never.
+	// answeredAt is when bytes of a response were last received, in nanoseconds since processStart; 0 is never.
 	answeredAt atomic.Int64
-	cold       coldness
+	cold       coldState
 	pace       pace
 
 	mutex sync.Mutex
@@ -45,60 +47,61 @@
 	reported      Load
 	reportedAt    time.Time
 	inUseAtReport int64
-	// workTime is the newest Load.WorkTime that was reported, at workTimeAt.
+	// workTime is the latest reported Load.WorkTime, received at workTimeAt.
 	workTime   int
 	workTimeAt time.Time
-	// others is what the other nodes have there, as known at othersAt; unknown are those that the replica reported at
-	// unknownAt and no node did.
-	others    Use
-	othersAt  time.Time
-	unknown   float64
-	unknownAt time.Time
-	// failures counts those since the last whole answer; the replica is avoided until avoidUntil, and held for failing until failingUntil.
+	// othersUse is the other nodes' use of the replica as of othersAt. unattributed counts the requests that the replica reported at
+	// unattributedAt and that no node accounts for.
+	othersUse      Use
+	othersAt       time.Time
+	unattributed   float64
+	unattributedAt time.Time
+	// failures counts failures since the last complete response. The replica is avoided until avoidUntil, after failures and refusals,
+	// and counts as failing until failingUntil, after failures only.
 	failures     int
 	avoidUntil   time.Time
 	failingUntil time.Time
 	failureRate  float64
 }
 
-// Key names a life of a replica in messages between nodes: the XXH64 of its ID and, where that is known, its start.
+// Key identifies an incarnation of a replica in messages between nodes: the XXH64 of its ID and, if known, its start time.
 type Key uint64
 
-// KeyOf returns the key of a replica whose start is not known.
+// KeyOf returns the key of a replica whose start time is not known.
 func KeyOf(replicaID string) Key { return Key(xxhash.Sum64String(replicaID)) }
 
-func keyOfLife(info Info) Key {
+func incarnationKey(info Info) Key {
 	if info.Born == 0 {
 		return KeyOf(info.ID)
 	}
 	return KeyOf(info.ID + "@" + strconv.FormatInt(info.Born, 10))
 }
 
-// NewHandle returns a handle of a replica of which nothing else is known.
+// NewHandle returns a Handle with nothing but the replica's entry.
 func NewHandle(info Info) *Handle {
-	handle := &Handle{key: keyOfLife(info), zone: unreached.NewZones().Of(info.Zone)}
+	handle := &Handle{key: incarnationKey(info), zone: unreached.NewZones().Of(info.Zone)}
 	handle.info.Store(&info)
 	return handle
 }
 
-// Info returns the replica's newest entry.
+// Info returns the replica's latest entry.
 func (h *Handle) Info() *Info { return h.info.Load() }
 
 // Key returns the replica's key.
 func (h *Handle) Key() Key { return h.key }
 
-// Usable says that new requests may go to the replica.
+// Usable reports whether new requests may be sent to the replica.
 func (h *Handle) Usable() bool {
-	return !h.gone.Load() && !h.misdirected.Load() && !h.evacuated.Load() && !h.Info().Draining
+	return !h.retired.Load() && !h.misdirected.Load() && !h.evacuated.Load() && !h.Info().Draining
 }
 
-// Replaced says that this life of the replica has ended: another one has its ID.
+// Replaced reports whether a later incarnation of the replica has taken its ID.
 func (h *Handle) Replaced() bool { return h.replaced.Load() }
 
-// InUse returns the number of this process's requests there.
+// InUse returns the number of this process's requests in flight at the replica.
 func (h *Handle) InUse() int { return int(h.inUse.Load()) }
 
-// Acquire counts a request until release is called.
+// Acquire counts a request as in flight until release is called.
 func (h *Handle) Acquire() (release func()) {
 	h.addInUse(1)
 	h.NoteSent(clock.Now())
@@ -117,44 +120,45 @@
 	}
 }
 
-// BeginReading counts the tokens of a prompt until read is called.
+// BeginReading counts the prompt's tokens as unprocessed until read is called.
 func (h *Handle) BeginReading(tokens int) (read func()) {
-	h.reading.Add(int64(tokens))
+	h.readingTokens.Add(int64(tokens))
 	var once sync.Once
 	return func() { once.Do(func() { h.endReading(tokens) }) }
 }
 
 func (h *Handle) endReading(tokens int) {
-	h.reading.Add(-int64(tokens))
+	h.readingTokens.Add(-int64(tokens))
 	if tokens > 0 {
 		h.signalChange()
 	}
 }
 
-// processStart is the origin of times that no step of the time of day changes.
+// processStart is the origin of monotonic times, which adjustments of the wall clock do not affect.
 var processStart = clock.Now()
 
-// NoteAnswer notes that bytes of an answer have come.
+// NoteAnswer records that bytes of a response were received now.
 func (h *Handle) NoteAnswer() {
 	now := clock.Now()
 	h.answeredAt.Store(int64(now.Sub(processStart)))
 	h.zone.NoteAnswer(now)
 }
 
-// AnsweredSince says that bytes of an answer have come after since.
+// AnsweredSince reports whether bytes of a response were received after since.
 func (h *Handle) AnsweredSince(since time.Time) bool {
 	at := h.answeredAt.Load()
 	return at != 0 && at > int64(since.Sub(processStart))
 }
 
-// DropKept closes the kept connections, since one went silent without a reset: the others may have too, and each would cost a request.
+// DropKept closes the idle connections. It is called after one went silent without a reset: the others may be dead as well, and each
+// would cost a request.
 func (h *Handle) DropKept() { h.pool.drop() }
 
-// KeptAlive says that a kept connection is open at the other end: the process there has not ended.
-func (h *Handle) KeptAlive() bool { return h.pool.anyQuiet() }
+// KeptAlive reports whether the replica still holds an idle connection open, which shows that its process has not ended.
+func (h *Handle) KeptAlive() bool { return h.pool.anyReusable() }
 
-// retire closes the kept connections; requests under way go on.
+// retire makes the handle unusable and closes its idle connections; requests in flight continue.
 func (h *Handle) retire() {
-	h.gone.Store(true)
+	h.retired.Store(true)
 	h.pool.close()
 }
--- a/internal/replica/handle_test.go
+++ b/internal/replica/handle_test.go
@@ -12,24 +12,24 @@
 	handle.Acquire()
 	handle.NoteLoad(Load{Running: 5, Waiting: 1, Slots: 8}, now)
 	if got := handle.Occupancy(now); got != 6 {
-		t.Errorf("%f right after the replica told of 6", got)
+		t.Errorf("occupancy %f right after the replica reported 6", got)
 	}
 	release := handle.Acquire()
 	if got := handle.Occupancy(now); got != 7 {
-		t.Errorf("%f after one more, want 7", got)
+		t.Errorf("occupancy %f after one more request, want 7", got)
 	}
 	release()
 	handle.SetOthers(Use{Requests: 3}, now.Add(time.Second))
 	if got := handle.Occupancy(now.Add(time.Second)); got < 4 || got >= 6 {
-		t.Errorf("%f with 3 of others: want 4 and a part of what only the replica told of", got)
+		t.Errorf("occupancy %f with 3 requests of other nodes, want 4 plus a fraction of those that only the replica reported", got)
 	}
 	if got := handle.Occupancy(now.Add(time.Minute)); got != 1 {
-		t.Errorf("%f after all was heard long ago, want its own one", got)
+		t.Errorf("occupancy %f after all reports are stale, want this process's 1", got)
 	}
 }
 
-// TestWhatFailsOthersIsAvoided: a replica that fails several other nodes is avoided and its slots do not count, unless it has just answered
-// this process; one other node's failures are no reason.
+// TestWhatFailsOthersIsAvoided checks that a replica that fails several other nodes is avoided and its slots do not count, unless it has
+// just responded to this process; failures on a single other node have no effect.
 func TestWhatFailsOthersIsAvoided(t *testing.T) {
 	for _, test := range []struct {
 		name           string
@@ -64,10 +64,10 @@
 				handle.SetOthers(Use{Avoiding: test.others}, time.Now())
 				now := time.Now().Add(test.age)
 				if handle.Avoided(now) != test.avoided || (directory.View().WorkingSlots("s", now) == 6) != test.slots {
-					t.Errorf("avoided %t, slots %d", handle.Avoided(now), directory.View().WorkingSlots("s", now))
+					t.Errorf("avoided %t, %d working slots", handle.Avoided(now), directory.View().WorkingSlots("s", now))
 				}
-				if wants := test.own > 0 && !test.answered; (handle.Use().Avoiding == 1) != wants {
-					t.Errorf("reported as %+v", handle.Use())
+				if want := test.own > 0 && !test.answered; (handle.Use().Avoiding == 1) != want {
+					t.Errorf("use reported to other nodes is %+v", handle.Use())
 				}
 			})
 		})
--- a/internal/replica/load_report.go
+++ b/internal/replica/load_report.go
@@ -11,16 +11,17 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// loadFigures is how many figures a load always has; some replicas add the time that work takes.
-const loadFigures = 3
+// loadFields is the number of required fields in a load header; some replicas append the work time.
+const loadFields = 3
 
-// parseLoad reads "running,waiting,slots" or "running,waiting,slots,time of work in hundredths of the usual one".
+// parseLoad parses "running,waiting,slots" or "running,waiting,slots,work time", the latter in hundredths of the usual time. It returns
+// false for any other text.
 func parseLoad(text string) (Load, bool) {
 	parts := strings.Split(text, ",")
-	if len(parts) != loadFigures && len(parts) != loadFigures+1 {
+	if len(parts) != loadFields && len(parts) != loadFields+1 {
 		return Load{}, false
 	}
-	numbers := make([]int, loadFigures+1)
+	numbers := make([]int, loadFields+1)
 	for index, part := range parts {
 		number, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || number < 0 {
@@ -31,9 +32,9 @@
 	return Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2], WorkTime: numbers[3]}, true
 }
 
-// LoadReport is how a replica is asked for its load.
+// LoadReport describes the request for a replica's load.
 type LoadReport struct {
-	// Path is the target of the GET; Parse reads the answer's body.
+	// Path is the target of the GET; Parse decodes the response body.
 	Path  string
 	Parse func(body []byte) (Load, error)
 }
@@ -41,9 +42,14 @@
 // maxReportBytes bounds a load report.
 const maxReportBytes = 256 << 10
 
-// Ask asks a replica for its load and notes it.
+// Ask requests a replica's load and records it in handle. A report of another incarnation is an error and is not recorded.
 func (c *Client) Ask(ctx context.Context, handle *Handle, report LoadReport) error {
-	answer, err := c.Do(ctx, handle, Call{Method: http.MethodGet, Target: report.Path, Host: handle.Info().Address.String(), Header: http.Header{}})
+	answer, err := c.Do(ctx, handle, Call{
+		Method: http.MethodGet,
+		Target: report.Path,
+		Host:   handle.Info().Address.String(),
+		Header: http.Header{},
+	})
 	if err != nil {
 		return err
 	}
@@ -61,10 +67,10 @@
 	}
 	if born := handle.Info().Born; born > 0 && load.Born > 0 && load.Born != born {
 		if load.Born > born {
-			// The life that was asked has ended, though its entry still stands.
+			// The incarnation behind handle has ended, though its entry still exists.
 			handle.Ended(clock.Now())
 		}
-		return fmt.Errorf("load report of a life that started at %d, not at %d", load.Born, born)
+		return fmt.Errorf("load report is of the incarnation started at %d ms, want %d ms", load.Born, born)
 	}
 	load.Slots = handle.Info().Slots
 	handle.NoteLoad(load, clock.Now())
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// paceStep is the length of the steps in which requests are counted.
+	// paceStep is the interval in which requests are counted.
 	paceStep = time.Second
-	// paceGrowth is how many times the usual rate a replica may get without a penalty: callers come in bursts of twice their average.
-	paceGrowth = 2
-	// paceWeight is the part of the newest step in the usual rate; the last ten seconds or so count.
+	// paceBurstFactor is the multiple of its usual rate that a replica may receive without a penalty: callers' bursts reach twice their
+	// average rate.
+	paceBurstFactor = 2
+	// paceWeight is the weight of the newest step in the moving average, which thus covers about the last ten seconds.
 	paceWeight = 0.2
-	// forgottenAfter is the number of steps after which nothing is left of the running average.
-	forgottenAfter = 40
+	// maxStepGap is the number of steps without requests after which the moving average is negligible and is reset.
+	maxStepGap = 40
 )
 
-// pace counts what this process sends to a replica. It is safe for concurrent use.
+// pace tracks the rate at which this process sends requests to a replica. It is safe for concurrent use.
 type pace struct {
 	mutex sync.Mutex
-	// step is the number of the present step, sent what was sent in it, usual the running average of the steps before.
-	step  int64
-	sent  int
-	usual float64
+	// step is the number of the current step, sent counts its requests, and usualPerStep is the moving average of the steps before it.
+	step         int64
+	sent         int
+	usualPerStep float64
 }
 
 func (p *pace) note(now time.Time) {
@@ -32,29 +33,30 @@
 	p.sent++
 }
 
-// ahead returns by how many requests the present step exceeds paceGrowth times the usual number; a first one does not count.
-func (p *pace) ahead(now time.Time) float64 {
+// excess returns by how many requests the current step exceeds paceBurstFactor times the usual number. The first request of a step is
+// not counted.
+func (p *pace) excess(now time.Time) float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.advance(now)
-	return max(0, float64(p.sent)-paceGrowth*p.usual-1)
+	return max(0, float64(p.sent)-paceBurstFactor*p.usualPerStep-1)
 }
 
-// advance ends the steps that are over. The mutex is held.
+// advance closes the steps that ended before now. The mutex must be held.
 func (p *pace) advance(now time.Time) {
 	present := int64(now.Sub(processStart) / paceStep)
-	if present < p.step || present-p.step > forgottenAfter {
-		p.step, p.sent, p.usual = present, 0, 0
+	if present < p.step || present-p.step > maxStepGap {
+		p.step, p.sent, p.usualPerStep = present, 0, 0
 	}
 	for p.step < present {
-		p.usual += paceWeight * (float64(p.sent) - p.usual)
+		p.usualPerStep += paceWeight * (float64(p.sent) - p.usualPerStep)
 		p.sent = 0
 		p.step++
 	}
 }
 
-// NoteSent counts a request that this process sends there.
+// NoteSent counts a request that this process sends to the replica.
 func (h *Handle) NoteSent(now time.Time) { h.pace.note(now) }
 
-// Ahead returns by how many requests this process exceeds, in the present second, what it sent there lately.
-func (h *Handle) Ahead(now time.Time) float64 { return h.pace.ahead(now) }
+// Ahead returns by how many requests this process exceeds, in the current second, paceBurstFactor times its usual rate to the replica.
+func (h *Handle) Ahead(now time.Time) float64 { return h.pace.excess(now) }
--- a/internal/replica/part_test.go
+++ b/internal/replica/part_test.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// TestSlotsOfAPart: the slots that a node does not know count among all, and among the working ones as far as those that it knows work.
+// TestSlotsOfAPart checks that slots outside a node's subset count in full in Slots, and in WorkingSlots in the same proportion as those
+// inside it.
 func TestSlotsOfAPart(t *testing.T) {
 	directory := NewDirectory()
 	directory.Replace([]Info{{ID: "a", Service: "s", Slots: 8}, {ID: "b", Service: "s", Slots: 8}, {ID: "c", Service: "s", Slots: 8, Draining: true}})
 	if directory.View().KnowsPart() {
-		t.Error("a directory of all replicas counts as a part")
+		t.Error("a directory of all replicas counts as a subset")
 	}
 	directory.SetElsewhere(map[string]int{"s": 800, "t": 0})
 	now := time.Now()
 	if view := directory.View(); !view.KnowsPart() || view.Slots("s") != 816 || view.WorkingSlots("s", now) != 816 {
-		t.Errorf("%d slots, %d of them working", view.Slots("s"), view.WorkingSlots("s", now))
+		t.Errorf("%d slots, %d of them working, or not counted as a subset; want 816 of both",
+			view.Slots("s"), view.WorkingSlots("s", now))
 	}
 	for range downAfter {
 		directory.View().Find("a").Failed(now)
 	}
 	if view := directory.View(); view.WorkingSlots("s", now) != 408 {
-		t.Errorf("%d working slots where one of two replicas is down, want half", view.WorkingSlots("s", now))
+		t.Errorf("%d working slots with one of two replicas down, want 408", view.WorkingSlots("s", now))
 	}
 	directory.Replace([]Info{{ID: "a", Service: "s", Slots: 8}})
 	if view := directory.View(); view.Slots("s") != 808 {
-		t.Errorf("%d slots after a change of the part", view.Slots("s"))
+		t.Errorf("%d slots after the subset changed, want 808", view.Slots("s"))
 	}
 	directory.SetElsewhere(nil)
 	if view := directory.View(); view.Slots("s") != 8 || view.KnowsPart() {
-		t.Errorf("%d slots of all replicas", view.Slots("s"))
+		t.Errorf("%d slots without unlisted ones, want 8, or counted as a subset", view.Slots("s"))
 	}
 }
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxIdleConnections bounds the kept connections to one replica.
+// maxIdleConnections limits the idle connections to one replica.
 const maxIdleConnections = 64
 
-// connectionPool keeps idle connections to one replica; the one used last goes out first. Its zero value is empty.
+// connectionPool is a last-in, first-out pool of idle connections to one replica. Its zero value is empty and ready for use.
 type connectionPool struct {
 	mutex sync.Mutex
 	// idle and closed are guarded by mutex.
@@ -17,14 +17,14 @@
 	closed bool
 }
 
-// take returns an idle connection that can be used; nil where there is none.
+// take returns a reusable idle connection and closes those found unusable on the way; nil if there is none.
 func (p *connectionPool) take(now time.Time) *connection {
 	for {
 		candidate := p.pop()
 		if candidate == nil {
 			return nil
 		}
-		if now.Before(candidate.idleUntil) && candidate.quiet() {
+		if now.Before(candidate.idleUntil) && candidate.reusable() {
 			return candidate
 		}
 		candidate.close()
@@ -43,7 +43,7 @@
 	return taken
 }
 
-// put keeps an idle connection, or closes it.
+// put adds an idle connection to the pool, or closes it if the pool is full or closed.
 func (p *connectionPool) put(returned *connection) {
 	p.mutex.Lock()
 	keep := !p.closed && len(p.idle) < maxIdleConnections
@@ -56,14 +56,14 @@
 	}
 }
 
-// anyQuiet says that the other end has closed not all that is kept.
-func (p *connectionPool) anyQuiet() bool {
+// anyReusable reports whether at least one idle connection is still open at the replica.
+func (p *connectionPool) anyReusable() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return slices.ContainsFunc(p.idle, (*connection).quiet)
+	return slices.ContainsFunc(p.idle, (*connection).reusable)
 }
 
-// close closes what is kept, and all that is put later.
+// close closes the idle connections, and every connection that is put later.
 func (p *connectionPool) close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -71,7 +71,7 @@
 	p.drop()
 }
 
-// drop closes what is kept.
+// drop closes the idle connections.
 func (p *connectionPool) drop() {
 	p.mutex.Lock()
 	idle := p.idle
--- a/internal/replica/reached.go
+++ b/internal/replica/reached.go
@@ -8,14 +8,14 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// Silent notes that no connection to the replica came up, or that no answer came for a while. After several such replicas of a zone the zone
-// counts as cut off.
+// Silent records that connecting to the replica failed or that it has not responded for a while. A zone counts as unreachable once this
+// holds for several of its replicas.
 func (h *Handle) Silent() { h.zone.NoteSilence(h.Info().ID, clock.Now()) }
 
-// ZoneCutOff says that no replica of its zone is reached, as far as this process knows.
+// ZoneCutOff reports whether the replica's zone counts as unreachable from this process.
 func (h *Handle) ZoneCutOff() bool { return h.zone.CutOff() }
 
-// probesDue returns replicas of zones that are cut off, one of each, that are to be probed now.
+// probesDue returns a random usable replica of each unreachable zone that is due for a probe.
 func (d *Directory) probesDue(now time.Time) (probed []*Handle) {
 	for _, zone := range d.zones.ProbesDue(now) {
 		var usable []*Handle
@@ -31,15 +31,15 @@
 	return probed
 }
 
-// probeZones looks, in the background and now and then, whether zones that are cut off are reached again: whether a replica there takes a
-// connection. Nothing is sent on it.
+// probeZones checks in the background whether unreachable zones that are due for a probe are reachable again, by connecting to a replica
+// there. Nothing is sent on the connection.
 func (c *Client) probeZones(ctx context.Context, near *Handle) {
 	if near.probesDue == nil {
 		return
 	}
 	for _, handle := range near.probesDue(clock.Now()) {
 		go func() {
-			// Without a connection the zone stays cut off, and connect has noted that.
+			// On failure the zone stays unreachable, which connect has already recorded.
 			if probed, err := c.connect(context.WithoutCancel(ctx), handle, Call{Fresh: true}); err == nil {
 				probed.close()
 			}
--- a/internal/replica/replaced.go
+++ b/internal/replica/replaced.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Refused notes that the replica promised, in an answer of that status, not to have run a request.
+// Refused records a response with the given status by which the replica guarantees that the request has not run.
 func (h *Handle) Refused(status int, now time.Time) {
 	if status == http.StatusMisdirectedRequest {
 		h.Misdirected(now)
@@ -14,8 +14,8 @@
 	h.Rejected(now)
 }
 
-// noteAddress notes that the other replicas at the address of a new one have ended: it has replaced them. The mutex is held.
-func (d *Directory) noteAddress(appeared *Handle, now time.Time) {
+// endOthersAtAddress marks the other replicas at a new replica's address as ended, since it has replaced them. The mutex must be held.
+func (d *Directory) endOthersAtAddress(appeared *Handle, now time.Time) {
 	address := appeared.Info().Address
 	if !address.IsValid() {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// Misdirected notes that another service answers at the replica's address: this one has ended. A replica that is known from a copy only takes no requests after
-// that, until the key-value service names it.
+// Misdirected records that another service answers at the replica's address, so that this replica has ended. A replica that is known only
+// from a copy of the directory receives no more requests until the key-value service confirms it.
 func (h *Handle) Misdirected(now time.Time) {
 	if h.unconfirmed.Load() {
 		h.misdirected.Store(true)
@@ -36,7 +36,7 @@
 	h.Ended(now)
 }
 
-// setConfirmed notes whether the key-value service itself named the replica last, or a copy of its content.
+// setConfirmed records whether the replica's latest entry came from the key-value service itself or from a copy of its content.
 func (h *Handle) setConfirmed(confirmed bool) {
 	h.unconfirmed.Store(!confirmed)
 	if confirmed {
--- a/internal/replica/replaced_test.go
+++ b/internal/replica/replaced_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestReplicaWhoseAddressHasANewOneIsDown though its entry still stands.
+// TestReplicaWhoseAddressHasANewOneIsDown checks that a replica counts as down once a new one appears at its address, though its entry
+// still exists, and that this lasts no longer than maxAvoidance.
 func TestReplicaWhoseAddressHasANewOneIsDown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -21,8 +22,8 @@
 				t.Errorf("%s is down: %t, want %t", id, down, want)
 			}
 		}
-		if now = now.Add(avoidLongest); view.Find("old").Avoided(now) {
-			t.Error("a wrong entry harms for long")
+		if now = now.Add(maxAvoidance); view.Find("old").Avoided(now) {
+			t.Error("replica is still avoided after maxAvoidance")
 		}
 	})
 }
--- a/internal/replica/replicatest/network.go
+++ b/internal/replica/replicatest/network.go
@@ -1,4 +1,4 @@
-// Package replicatest has replicas in memory that follow scripts.
+// Package replicatest provides in-memory replicas for tests, whose responses follow scripts.
 package replicatest
 
 import (
@@ -15,18 +15,19 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// Headers are the names that the scripts use.
+// Headers are the header names that the scripts use.
 var Headers = replica.Headers{
 	RequestID: "X-Id", Deadline: "X-Deadline", ExpectInstance: "X-Instance", NotRun: "X-Not-Run", Signature: "X-Signature",
 	Load: "X-Load", LastEventID: "Last-Event-Id", PromptParts: "X-Parts", APIKey: "X-Key", Tenant: "X-Tenant",
 }
 
-// Script answers one request on a connection; false closes the connection.
+// Script answers one request on a connection; the connection is closed if it returns false.
 type Script func(connection net.Conn, request *http.Request) (keep bool)
 
-// Network is a network in memory with replicas that follow scripts.
+// Network is an in-memory network of scripted replicas.
 type Network struct {
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// Scripts holds the script of each replica by its address.
 	Scripts  map[netip.AddrPort]Script
 	requests []*http.Request
 	bodies   []string
@@ -34,12 +35,12 @@
 	serving  sync.WaitGroup
 }
 
-// Listen fails: nothing is served here.
+// Listen always fails: the network only has the scripted replicas.
 func (f *Network) Listen(context.Context, netip.AddrPort) (net.Listener, error) {
-	return nil, errors.New("nothing listens here")
+	return nil, errors.New("replicatest: Listen is not supported")
 }
 
-// Dial connects to the replica whose script stands at address.
+// Dial connects to the scripted replica at address.
 func (f *Network) Dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -75,7 +76,8 @@
 	}
 }
 
-// CloseAll ends all connections and returns once all scripts have ended; a script that sleeps first has to wake. Nothing may connect meanwhile.
+// CloseAll closes all connections and waits until all scripts have returned, including those that sleep. Dial must not be called
+// concurrently.
 func (f *Network) CloseAll() {
 	f.mutex.Lock()
 	for _, connection := range f.open {
@@ -85,7 +87,7 @@
 	f.serving.Wait()
 }
 
-// Answer writes a whole answer with a length and the request's id.
+// Answer writes a complete response with a Content-Length and the request's id; headers are extra header lines, each ending in CRLF.
 func Answer(status int, headers, body string) Script {
 	return func(connection net.Conn, request *http.Request) bool {
 		_, err := fmt.Fprintf(connection, "HTTP/1.1 %d X\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s",
@@ -94,16 +96,16 @@
 	}
 }
 
-// Signed are the headers of a signed answer.
+// Signed is the header line of a signed response.
 const Signed = "X-Signature: s1\r\n"
 
-// Refuse promises that the request has not run.
+// Refuse responds with status 503 and the header that guarantees that the request has not run.
 func Refuse() Script { return Answer(503, "X-Not-Run: 1\r\n", "full") }
 
-// Lose reads the request and closes the connection without an answer.
+// Lose closes the connection without a response after the request has been read.
 func Lose() Script { return func(net.Conn, *http.Request) bool { return false } }
 
-// Hang never answers.
+// Hang never responds; it returns when the connection is closed.
 func Hang() Script {
 	return func(connection net.Conn, _ *http.Request) bool {
 		_, _ = connection.Read(make([]byte, 1))
@@ -111,7 +113,8 @@
 	}
 }
 
-// Stream writes chunks of a stream of events; with whole it ends the stream, else it breaks off or, with hold, stops.
+// Stream writes an event stream in chunks. With hold, it then leaves the connection open without sending more; with whole, it ends the
+// stream properly; otherwise it closes the connection in mid-stream.
 func Stream(signature string, whole, hold bool, chunks ...string) Script {
 	return func(connection net.Conn, request *http.Request) bool {
 		_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -150,14 +153,14 @@
 	return append([]*http.Request(nil), f.requests...)
 }
 
-// Bodies returns their bodies.
+// Bodies returns the bodies of Requests, in the same order.
 func (f *Network) Bodies() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]string(nil), f.bodies...)
 }
 
-// Connections returns how many connections were made.
+// Connections returns the number of connections made so far.
 func (f *Network) Connections() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/replica/report_test.go
+++ b/internal/replica/report_test.go
@@ -16,8 +16,8 @@
 	return load, err
 }
 
-// TestReportOfAnotherLifeIsNotNoted: a report says of which life it is, where it says so; one of a later life shows that the one that was
-// asked has ended.
+// TestReportOfAnotherLifeIsNotNoted checks that a load report of another incarnation is not recorded, and that one of a later incarnation
+// shows that the one in the directory has ended. A report or entry without a start time matches any incarnation.
 func TestReportOfAnotherLifeIsNotNoted(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1000")
 	for _, test := range []struct {
@@ -25,8 +25,11 @@
 		entry, report     int64
 		isNoted, hasEnded bool
 	}{
-		{"same life", 100, 100, true, false}, {"later life", 100, 200, false, true}, {"earlier life", 200, 100, false, false},
-		{"entry does not say", 0, 100, true, false}, {"report does not say", 100, 0, true, false},
+		{"same incarnation", 100, 100, true, false},
+		{"later incarnation", 100, 200, false, true},
+		{"earlier incarnation", 200, 100, false, false},
+		{"no start time in the entry", 0, 100, true, false},
+		{"no start time in the report", 100, 0, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			body := fmt.Sprintf(`{"Running":3,"Born":%d}`, test.report)
@@ -35,10 +38,10 @@
 			handle := replica.NewHandle(replica.Info{ID: "a", Service: "s", Address: address, Slots: 8, Born: test.entry})
 			err := replica.NewClient(network, replicatest.Headers).Ask(t.Context(), handle, replica.LoadReport{Path: "/load", Parse: parseBorn})
 			if (err == nil) != test.isNoted {
-				t.Errorf("the report is noted: %v, want %t", err, test.isNoted)
+				t.Errorf("Ask returned error %v, want report recorded %t", err, test.isNoted)
 			}
 			if ended := handle.Down(time.Now()); ended != test.hasEnded {
-				t.Errorf("the replica is down: %t, want %t", ended, test.hasEnded)
+				t.Errorf("replica is down: %t, want %t", ended, test.hasEnded)
 			}
 		})
 	}
--- a/internal/replica/send.go
+++ b/internal/replica/send.go
@@ -6,13 +6,14 @@
 	"strconv"
 )
 
-// inlineBodyBytes is the size up to which a body is written before the answer is read.
+// inlineBodyBytes is the size up to which a body is written before the response is awaited.
 const inlineBodyBytes = 16 << 10
 
-// sending is a request whose body may still be on its way.
-type sending struct{ finished chan error }
+// pendingWrite is a request whose body may still be being written.
+type pendingWrite struct{ finished chan error }
 
-func (s *sending) done() bool {
+// done reports whether the request was written completely and without an error.
+func (s *pendingWrite) done() bool {
 	select {
 	case err := <-s.finished:
 		s.finished <- err
@@ -22,11 +23,12 @@
 	}
 }
 
-// send writes call. A long body is written while the answer is awaited, since the answer may come before it is read.
-func send(used *connection, call Call) (*sending, error) {
+// send writes call. A body longer than inlineBodyBytes is written in the background, since the replica may respond before it has read
+// the whole body.
+func send(used *connection, call Call) (*pendingWrite, error) {
 	var buffer bytes.Buffer
 	writeHead(&buffer, call)
-	result := &sending{finished: make(chan error, 1)}
+	result := &pendingWrite{finished: make(chan error, 1)}
 	if len(call.Body) <= inlineBodyBytes {
 		buffer.Write(call.Body)
 		_, err := used.net.Write(buffer.Bytes())
@@ -50,7 +52,7 @@
 	buffer.WriteString(" HTTP/1.1\r\nHost: ")
 	buffer.WriteString(call.Host)
 	buffer.WriteString("\r\n")
-	// A buffer in memory takes all that is written.
+	// Writes to a bytes.Buffer do not fail.
 	_ = call.Header.Write(buffer)
 	if len(call.Body) > 0 || (call.Method != http.MethodGet && call.Method != http.MethodHead) {
 		buffer.WriteString("Content-Length: ")
--- a/internal/replica/work_time_test.go
+++ b/internal/replica/work_time_test.go
@@ -27,23 +27,23 @@
 	}
 }
 
-// TestSlowdownFades: what a replica reports of the time that work takes holds for a moment, and a report without it changes nothing.
+// TestSlowdownFades checks that a reported work time decays by its half-life, and that a report without one does not change it.
 func TestSlowdownFades(t *testing.T) {
 	now := time.Unix(1000, 0)
 	handle := NewHandle(Info{ID: "a", Slots: 8})
 	if slowdown := handle.Slowdown(now); slowdown != 0 {
-		t.Errorf("%f before any report", slowdown)
+		t.Errorf("slowdown %f before any report, want 0", slowdown)
 	}
 	handle.NoteLoad(Load{Slots: 8, WorkTime: 300}, now)
 	if slowdown := handle.Slowdown(now); slowdown != 2 {
-		t.Errorf("%f right after a report of three times the usual time, want 2", slowdown)
+		t.Errorf("slowdown %f right after a report of three times the usual time, want 2", slowdown)
 	}
 	handle.NoteLoad(Load{Slots: 8}, now)
 	if slowdown := handle.Slowdown(now.Add(workTimeHalfLife)); slowdown != 1 {
-		t.Errorf("%f after one half-life, want 1", slowdown)
+		t.Errorf("slowdown %f after one half-life, want 1", slowdown)
 	}
 	handle.NoteLoad(Load{Slots: 8, WorkTime: 60}, now)
 	if slowdown := handle.Slowdown(now); slowdown != 0 {
-		t.Errorf("%f where work takes less than usual", slowdown)
+		t.Errorf("slowdown %f when work takes less than its usual time, want 0", slowdown)
 	}
 }
