--- a/internal/fleet/cache_watch.go
+++ b/internal/fleet/cache_watch.go
@@ -17,29 +17,33 @@
 	cacheCleared = "cleared"
 )
 
-// maxCacheBlocks bounds the hashes in one message to the zone; what is left out is a gap.
+// maxCacheBlocks limits the block hashes in one message to the zone. Leaving out evictions marks the message as a gap.
 const maxCacheBlocks = 256
 
-// CacheChange is what cache events tell of one replica. Gap: earlier events were lost.
+// CacheChange is the combined effect of cache events of one replica.
 type CacheChange struct {
 	Replica string
+	// Stored and Evicted are block hashes.
 	Stored  []uint64
 	Evicted []uint64
+	// Cleared is true if the cache was emptied before the other changes.
 	Cleared bool
-	Gap     bool
+	// Gap is true if events were lost.
+	Gap bool
 }
 
-// cacheWatch follows the cache events of homed replicas and spreads evictions to the zone.
+// cacheWatch follows the cache events of the replicas that this node is home to and sends them to the zone.
 type cacheWatch struct {
 	service *Service
-	// mutex guards next and listeners.
-	mutex     sync.Mutex
-	next      map[string]uint64
-	listeners []func(CacheChange)
+	// mutex guards nextSequence and listeners.
+	mutex sync.Mutex
+	// nextSequence is the sequence of the next cache event to read, by replica.
+	nextSequence map[string]uint64
+	listeners    []func(CacheChange)
 }
 
 func newCacheWatch(service *Service) *cacheWatch {
-	return &cacheWatch{service: service, next: make(map[string]uint64)}
+	return &cacheWatch{service: service, nextSequence: make(map[string]uint64)}
 }
 
 // SubscribeCache calls notify with changes of replicas' caches, from any goroutine,
@@ -50,40 +54,40 @@
 	s.cache.listeners = append(s.cache.listeners, notify)
 }
 
-// poll asks one engine; a failure is left to the load poll to judge.
+// poll reads the new cache events of one engine. Errors are ignored: the load poll detects unreachable engines.
 func (c *cacheWatch) poll(ctx context.Context, endpoint engine.Endpoint) {
 	callContext, cancel := context.WithTimeout(ctx, c.service.options.PollTimeout)
 	defer cancel()
 	c.mutex.Lock()
-	from := c.next[endpoint.Replica]
+	from := c.nextSequence[endpoint.Replica]
 	c.mutex.Unlock()
 	page, err := c.service.engines.CacheEvents(callContext, endpoint, from)
 	if err != nil || len(page.Events) == 0 {
 		return
 	}
 	c.mutex.Lock()
-	c.next[endpoint.Replica] = page.Next
+	c.nextSequence[endpoint.Replica] = page.Next
 	c.mutex.Unlock()
-	change := changeOf(endpoint.Replica, from, page)
+	change := foldEvents(endpoint.Replica, from, page)
 	c.notify(change)
-	c.spread(change)
+	c.sendToZone(change)
 }
 
-// restarted forgets what an engine that started anew had cached; its events begin again.
-func (c *cacheWatch) restarted(replica string) {
+// engineRestarted drops the cache state of an engine that has restarted; its event sequence starts again.
+func (c *cacheWatch) engineRestarted(replica string) {
 	c.mutex.Lock()
-	delete(c.next, replica)
+	delete(c.nextSequence, replica)
 	c.mutex.Unlock()
 	change := CacheChange{Replica: replica, Cleared: true}
 	c.notify(change)
-	c.spread(change)
+	c.sendToZone(change)
 }
 
-// changeOf folds a page of events into one change.
-func changeOf(replica string, from uint64, page engine.CacheEvents) CacheChange {
+// foldEvents folds a page of events into one change.
+func foldEvents(replica string, from uint64, page engine.CacheEvents) CacheChange {
 	change := CacheChange{Replica: replica}
 	expected := from
-	held := make(map[uint64]bool)
+	storedByBlock := make(map[uint64]bool)
 	for _, event := range page.Events {
 		if expected != 0 && event.Sequence != expected {
 			change.Gap = true
@@ -92,14 +96,14 @@
 		switch event.Kind {
 		case cacheStored, cacheEvicted:
 			for _, block := range event.Blocks {
-				held[block] = event.Kind == cacheStored
+				storedByBlock[block] = event.Kind == cacheStored
 			}
 		case cacheCleared:
 			change.Cleared = true
-			clear(held)
+			clear(storedByBlock)
 		}
 	}
-	for block, stored := range held {
+	for block, stored := range storedByBlock {
 		if stored {
 			change.Stored = append(change.Stored, block)
 		} else {
@@ -118,8 +122,9 @@
 	}
 }
 
-// spread tells the zone. Blocks beyond the bound are left out and marked as a gap.
-func (c *cacheWatch) spread(change CacheChange) {
+// sendToZone sends a change to the other nodes of the zone. Blocks beyond maxCacheBlocks are left out, evictions last, since a message
+// without some of them has to be marked as a gap.
+func (c *cacheWatch) sendToZone(change CacheChange) {
 	delta := &fleetpb.CacheDelta{
 		Replica: HashReplica(change.Replica), Stored: change.Stored, Evicted: change.Evicted,
 		Cleared: change.Cleared, Gap: change.Gap,
@@ -127,12 +132,12 @@
 	if len(delta.Evicted) > maxCacheBlocks {
 		delta.Evicted, delta.Gap = delta.Evicted[:maxCacheBlocks], true
 	}
-	if room := maxCacheBlocks - len(delta.Evicted); len(delta.Stored) > room {
-		delta.Stored = delta.Stored[:room]
+	if remaining := maxCacheBlocks - len(delta.Evicted); len(delta.Stored) > remaining {
+		delta.Stored = delta.Stored[:remaining]
 	}
 	view := c.service.viewer.View()
 	for _, to := range zonePeers(view, c.service.settings.Zone) {
-		_ = c.service.caller.Send(to, methodCacheDelta, delta) // best effort: a loss only lowers the hit rate
+		_ = c.service.caller.Send(to, methodCacheDelta, delta) // best effort: a loss only lowers the cache hit rate
 	}
 }
 
@@ -146,8 +151,8 @@
 	return peers
 }
 
-// received takes a change from another home node.
-func (c *cacheWatch) received(delta *fleetpb.CacheDelta) {
+// onDelta passes a cache change received from another node to the listeners.
+func (c *cacheWatch) onDelta(delta *fleetpb.CacheDelta) {
 	directory := c.service.Directory()
 	for index := range directory.Replicas {
 		if id := directory.Replicas[index].ID; HashReplica(id) == delta.GetReplica() {
--- a/internal/fleet/cache_watch_test.go
+++ b/internal/fleet/cache_watch_test.go
@@ -19,10 +19,10 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// cachingEngine is one engine in one zone with two nodes; it stores a block before each poll of events.
+// cachingEngine fakes a machine list with one replica and its engine, which stores a block before each poll of cache events.
 type cachingEngine struct {
-	engine.Client // only the calls below are used
-	// mutex guards all below.
+	engine.Client // only the methods below are used
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	sequence uint64
 	events   uint64
@@ -57,7 +57,7 @@
 	e.sequence, e.events = 0, 0
 }
 
-// fixedView is a membership.Viewer of two nodes of a zone.
+// fixedView is a membership.Viewer whose view never changes.
 type fixedView struct{ members []membership.Member }
 
 func (v fixedView) View() *membership.View { return &membership.View{Members: v.members} }
@@ -66,7 +66,7 @@
 
 func TestCacheEventsReachTheZoneAndSurviveARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, one := memory.NewNetwork(1), &cachingEngine{}
+		network, cachingReplica := memory.NewNetwork(1), &cachingEngine{}
 		network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
 			return memory.Conditions{Delay: time.Millisecond}
 		})
@@ -80,14 +80,14 @@
 		var mutex sync.Mutex
 		var stored, cleared [2]int
 		var services []*Service
-		var ends []*memory.Transport
+		var transports []*memory.Transport
 		for index, member := range view.members {
-			end, err := memory.NewTransport(network, member.PeerAddress, prometheus.NewRegistry())
+			nodeTransport, err := memory.NewTransport(network, member.PeerAddress, prometheus.NewRegistry())
 			if err != nil {
 				t.Fatal(err)
 			}
-			service := NewService(DefaultOptions(), settings.Settings{Node: string(member.ID), Zone: "z1"}, one, view, one, end, zerolog.Nop())
-			service.Register(end)
+			service := NewService(DefaultOptions(), settings.Settings{Node: string(member.ID), Zone: "z1"}, cachingReplica, view, cachingReplica, nodeTransport, zerolog.Nop())
+			service.Register(nodeTransport)
 			service.SubscribeCache(func(change CacheChange) {
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -96,23 +96,23 @@
 					cleared[index]++
 				}
 			})
-			services, ends = append(services, service), append(ends, end)
-			end.Start()
+			services, transports = append(services, service), append(transports, nodeTransport)
+			nodeTransport.Start()
 			service.Start()
 		}
 		time.Sleep(3 * time.Second)
-		one.restart()
+		cachingReplica.restart()
 		time.Sleep(3 * time.Second)
 		for _, service := range services {
 			service.Stop()
 		}
 		time.Sleep(time.Second)
-		for _, end := range ends {
+		for _, end := range transports {
 			end.Stop()
 		}
 		for index := range 2 {
 			if stored[index] < 20 || cleared[index] == 0 {
-				t.Errorf("node %d heard of %d blocks and %d restarts", index, stored[index], cleared[index])
+				t.Errorf("node %d was notified of %d stored blocks and %d restarts, want at least 20 and 1", index, stored[index], cleared[index])
 			}
 		}
 	})
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// NewDirectory returns a Directory of the given replicas; it takes over the slice.
+// NewDirectory returns a Directory of the given replicas. It sorts and keeps the slice.
 func NewDirectory(version uint64, replicas []Replica) *Directory {
 	sort.Slice(replicas, func(i, j int) bool { return replicas[i].ID < replicas[j].ID })
 	byService := make(map[string][]int)
@@ -28,9 +28,10 @@
 	return nil
 }
 
-// Home returns the member that asks a replica for its load and grants its credits:
+// Home returns the member that polls a replica for its load and grants its credits:
 // the one with the highest rendezvous hash among the live members of the replica's
-// zone, or among all live members where the zone has none.
+// zone, or among all live members if the zone has none. It returns false if there is
+// no live member.
 func Home(members []membership.Member, replica, zone string) (membership.Member, bool) {
 	if home, ok := highestHash(members, replica, func(m *membership.Member) bool { return m.Zone == zone }); ok {
 		return home, true
@@ -43,7 +44,7 @@
 	var bestHash uint64
 	for index := range members {
 		member := &members[index]
-		if !lives(member) || !eligible(member) {
+		if !isLive(member) || !eligible(member) {
 			continue
 		}
 		hash := xxhash.Sum64String(string(member.ID) + "\x00" + key)
@@ -57,5 +58,5 @@
 	return members[best], true
 }
 
-// HashReplica is the short name of a replica in messages between nodes.
+// HashReplica returns the XXH64 of a replica's id, which identifies it in messages between nodes.
 func HashReplica(id string) uint64 { return xxhash.Sum64String(id) }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,7 +1,8 @@
-// Package fleet is this node's directory of replicas: the machine list joined
-// with load reports, cache events and own evidence, as immutable snapshots.
+// Package fleet is this node's directory of replicas, as immutable snapshots. It
+// joins the machine list with load reports, cache events and the outcome of this
+// node's own calls.
 //
-// For each replica one home node of its zone (rendezvous hash over live members)
-// asks the engine for its load; the others of the zone hear it as deltas, other
-// zones hear summaries.
+// For each replica one home node of its zone, chosen by rendezvous hashing over the
+// live members, polls the engine for its load. The other nodes of the zone receive
+// the changes as deltas; other zones receive summaries.
 package fleet
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -13,26 +13,26 @@
 // event is an input of state.step.
 type event interface{ isEvent() }
 
-// machinesListed is an answer of the platform.
+// machinesListed is a new machine list from the platform.
 type machinesListed struct{ listing platform.MachineListing }
 
-// viewChanged is a new view of the members.
+// viewChanged is a new membership view.
 type viewChanged struct{ view *membership.View }
 
-// loadPolled is the answer of an engine that this node asked; failed where there was none.
+// loadPolled is the result of polling an engine for its load; failed is true if the poll failed.
 type loadPolled struct {
 	replica string
 	report  engine.LoadReport
 	failed  bool
 }
 
-// deltaReceived is news of another home node.
+// deltaReceived is a message with loads from another home node.
 type deltaReceived struct{ delta *fleetpb.LoadDelta }
 
-// noticeReceived names replicas that another node found leaving.
+// noticeReceived is a message naming replicas that another node found to be leaving.
 type noticeReceived struct{ notice *fleetpb.LeavingNotice }
 
-// evidenceKind is what an own call found.
+// evidenceKind is the outcome of a call of this node to a replica.
 type evidenceKind int
 
 const (
@@ -41,27 +41,27 @@
 	evidenceLeaving
 )
 
-// evidenceGiven is what an own call found.
-type evidenceGiven struct {
+// evidenceReported is the outcome of a call of this node to a replica.
+type evidenceReported struct {
 	replica string
 	kind    evidenceKind
 }
 
-// ticked is the passing of time.
+// ticked is a tick of the control goroutine's timer.
 type ticked struct{}
 
-func (machinesListed) isEvent() {}
-func (viewChanged) isEvent()    {}
-func (loadPolled) isEvent()     {}
-func (deltaReceived) isEvent()  {}
-func (noticeReceived) isEvent() {}
-func (evidenceGiven) isEvent()  {}
-func (ticked) isEvent()         {}
+func (machinesListed) isEvent()   {}
+func (viewChanged) isEvent()      {}
+func (loadPolled) isEvent()       {}
+func (deltaReceived) isEvent()    {}
+func (noticeReceived) isEvent()   {}
+func (evidenceReported) isEvent() {}
+func (ticked) isEvent()           {}
 
 // action is an output of state.step.
 type action interface{ isAction() }
 
-// publishDirectory makes a Directory the present one.
+// publishDirectory makes a Directory the current one.
 type publishDirectory struct{ directory *Directory }
 
 // sendDelta sends loads to members.
@@ -70,13 +70,13 @@
 	delta *fleetpb.LoadDelta
 }
 
-// sendNotice tells members of leaving replicas.
+// sendNotice notifies members of leaving replicas.
 type sendNotice struct {
 	to     []netip.AddrPort
 	notice *fleetpb.LeavingNotice
 }
 
-// setPolls replaces the set of replicas that this node is home to.
+// setPolls replaces the set of replicas that this node polls, because it is their home.
 type setPolls struct {
 	endpoints map[string]engine.Endpoint
 	interval  time.Duration
--- a/internal/fleet/fx.go
+++ b/internal/fleet/fx.go
@@ -49,7 +49,7 @@
 	return service
 }
 
-// Register registers the handlers of messages from other nodes.
+// Register registers the handlers for messages from other nodes.
 func (s *Service) Register(registrar transport.Registrar) {
 	empty := &fleetpb.LeavingNotice{}
 	transport.Handle(registrar, methodLoadDelta, func() *fleetpb.LoadDelta { return &fleetpb.LoadDelta{} },
@@ -64,7 +64,7 @@
 		})
 	transport.Handle(registrar, methodCacheDelta, func() *fleetpb.CacheDelta { return &fleetpb.CacheDelta{} },
 		func(_ context.Context, _ netip.AddrPort, delta *fleetpb.CacheDelta) (*fleetpb.LeavingNotice, error) {
-			s.cache.received(delta)
+			s.cache.onDelta(delta)
 			return empty, nil
 		})
 }
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Options are the rates of the fleet slice. Intervals grow with the size of the
-// fleet so that what a node sends and hears stays within the byte budgets.
+// Options configures the intervals and byte budgets of the fleet slice. Intervals grow
+// with the size of the fleet so that a node's traffic stays within the byte budgets.
 type Options struct {
-	// ListInterval is the least time between two reads of the machine list.
+	// ListInterval is the minimum time between two reads of the machine list.
 	ListInterval time.Duration
-	// PollInterval is the least time between two load polls of one replica.
+	// PollInterval is the minimum time between two load polls of one replica.
 	PollInterval time.Duration
-	// PollTimeout bounds one poll; PollFailures in a row make a replica unreachable.
+	// PollTimeout bounds one poll. A replica is unreachable after PollFailures
+	// consecutive failed polls.
 	PollTimeout  time.Duration
 	PollFailures int
-	// SummaryInterval is the least time between two summaries to other zones.
+	// SummaryInterval is the minimum time between two summaries to other zones.
 	SummaryInterval time.Duration
-	// RefreshInterval is the time after which an unchanged load is sent all the same.
+	// RefreshInterval is the time after which an unchanged load is sent again.
 	RefreshInterval time.Duration
-	// PublishInterval bounds how often a Directory without urgent changes is published.
+	// PublishInterval is the minimum time between two Directories without urgent changes.
 	PublishInterval time.Duration
-	// FailureBackoff is how long one failed call keeps a replica out; it doubles up to
-	// MaxFailureBackoff with each further failure.
+	// FailureBackoff is how long a replica counts as failed after a failed call. It
+	// doubles with each consecutive failure, up to MaxFailureBackoff.
 	FailureBackoff    time.Duration
 	MaxFailureBackoff time.Duration
-	// ListBytesPerSecond, PollBytesPerSecond and DeltaBytesPerSecond are a node's budgets.
+	// ListBytesPerSecond, PollBytesPerSecond and DeltaBytesPerSecond are the node's
+	// traffic budgets for reading the machine list, for load polls and for deltas.
 	ListBytesPerSecond  int
 	PollBytesPerSecond  int
 	DeltaBytesPerSecond int
-	// CachePoll is the time between two polls of a replica's cache events; 0 is never.
+	// CachePoll is the minimum time between two polls of a replica's cache events; 0 disables them.
 	CachePoll time.Duration
 }
 
-// DefaultOptions returns the options of a node in service.
+// DefaultOptions returns the options for production.
 func DefaultOptions() Options {
 	return Options{
 		ListInterval:        500 * time.Millisecond,
@@ -49,7 +51,7 @@
 	}
 }
 
-// Sizes in bytes, as measured on the wire, that intervals are worked out from.
+// Sizes on the wire in bytes, from which intervals are computed.
 const (
 	machineBytes   = 160
 	pollBytes      = 700
@@ -57,8 +59,9 @@
 	summaryBytes   = 26
 )
 
-// within returns the interval at which count messages of size bytes stay in budget, at least least.
-func within(least time.Duration, count, size, bytesPerSecond int) time.Duration {
+// intervalWithin returns the interval, at least minimum, at which count messages of size bytes each stay within
+// bytesPerSecond.
+func intervalWithin(minimum time.Duration, count, size, bytesPerSecond int) time.Duration {
 	needed := time.Duration(count*size) * time.Second / time.Duration(max(1, bytesPerSecond))
-	return max(least, needed)
+	return max(minimum, needed)
 }
--- a/internal/fleet/poll_set.go
+++ b/internal/fleet/poll_set.go
@@ -27,7 +27,7 @@
 	return &pollSet{service: service, polls: make(map[string]pollHandle)}
 }
 
-// set starts and stops goroutines so that they match the wanted set.
+// set starts and stops goroutines to match the wanted set.
 func (p *pollSet) set(wanted setPolls) {
 	changed := p.interval != wanted.interval
 	p.interval = wanted.interval
@@ -51,7 +51,7 @@
 	}
 }
 
-// stop ends all goroutines; the control goroutine has ended before.
+// stop stops all goroutines and waits for them. It must be called after the control goroutine has ended.
 func (p *pollSet) stop() {
 	for _, handle := range p.polls {
 		handle.cancel()
@@ -59,16 +59,17 @@
 	p.running.Wait()
 }
 
+// poll polls one engine until ctx ends. A load sequence below the previous one shows that the engine has restarted.
 func (p *pollSet) poll(ctx context.Context, endpoint engine.Endpoint, interval time.Duration) {
 	cacheAt := time.Now()
 	var sequence uint64
 	for {
-		latest := p.pollLoad(ctx, endpoint, sequence)
-		if latest < sequence {
-			p.service.cache.restarted(endpoint.Replica)
+		reported := p.pollLoad(ctx, endpoint, sequence)
+		if reported < sequence {
+			p.service.cache.engineRestarted(endpoint.Replica)
 		}
-		sequence = latest
-		if every := p.service.options.CachePoll; every > 0 && time.Since(cacheAt) >= max(every, interval) {
+		sequence = reported
+		if cachePoll := p.service.options.CachePoll; cachePoll > 0 && time.Since(cacheAt) >= max(cachePoll, interval) {
 			cacheAt = time.Now()
 			p.service.cache.poll(ctx, endpoint)
 		}
@@ -78,8 +79,8 @@
 	}
 }
 
-// pollLoad asks once and returns the sequence of the report, or the one before where there is none.
-func (p *pollSet) pollLoad(ctx context.Context, endpoint engine.Endpoint, before uint64) uint64 {
+// pollLoad polls the engine's load once and returns the sequence of the report, or previous if the poll failed.
+func (p *pollSet) pollLoad(ctx context.Context, endpoint engine.Endpoint, previous uint64) uint64 {
 	callContext, cancel := context.WithTimeout(ctx, p.service.options.PollTimeout)
 	defer cancel()
 	report, err := p.service.engines.Load(callContext, endpoint)
@@ -87,7 +88,7 @@
 		p.service.push(loadPolled{replica: endpoint.Replica, report: report, failed: err != nil})
 	}
 	if err != nil {
-		return before
+		return previous
 	}
 	return report.Sequence
 }
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -14,17 +14,18 @@
 	Region   string
 	Zone     string
 	Endpoint engine.Endpoint
-	// Leaving is true from the first sign of any source that the replica is going.
+	// Leaving is true once any source has reported that the replica is leaving; it is never reset.
 	Leaving bool
-	// Failed is true while own calls find the replica unreachable.
+	// Failed is true during the backoff after this node's calls found the replica unreachable.
 	Failed bool
-	// Load is the last report; HasLoad is false before the first one.
+	// Load is the latest report; HasLoad is false before the first one and while the
+	// replica is unreachable.
 	Load    engine.LoadReport
 	HasLoad bool
-	// HeardAt is this node's time of the last report.
+	// HeardAt is the time, by this node's clock, at which a report was last received.
 	HeardAt time.Time
-	// Home is the member that asks the replica for its load and grants its credits; empty
-	// where no member lives.
+	// Home is the member that polls the replica for its load and grants its credits; empty
+	// if there is no live member.
 	Home membership.NodeID
 }
 
@@ -36,7 +37,7 @@
 	ByService map[string][]int
 }
 
-// Source gives the present directory; it is safe for concurrent use.
+// Source provides the current directory; it is safe for concurrent use.
 type Source interface {
 	Directory() *Directory
 	// Subscribe calls notify after each change until the returned function is called.
@@ -44,19 +45,19 @@
 	Subscribe(notify func(*Directory)) (unsubscribe func())
 }
 
-// Reporter takes evidence from calls to replicas; it is safe for concurrent use.
+// Reporter receives the outcomes of calls to replicas; it is safe for concurrent use.
 type Reporter interface {
-	// ReportFailure notes that a call found the replica unreachable.
+	// ReportFailure reports that a call found the replica unreachable.
 	ReportFailure(replica string)
-	// ReportSuccess notes that a call got an answer.
+	// ReportSuccess reports that a call got a response.
 	ReportSuccess(replica string)
-	// ReportLeaving notes that the replica said it is leaving.
+	// ReportLeaving reports that the replica announced that it is leaving.
 	ReportLeaving(replica string)
 }
 
-// RoleDraining is the engine role of a replica that serves out what it has and takes
-// nothing new, so that its models can be changed.
+// RoleDraining is the engine role of a replica that finishes its requests and takes no
+// new ones, so that its models can be changed.
 const RoleDraining = "draining"
 
-// Draining says whether the replica takes nothing new for now.
+// Draining reports whether the replica's latest report has RoleDraining.
 func (r *Replica) Draining() bool { return r.HasLoad && r.Load.Role == RoleDraining }
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	eventQueue   = 1024
-	tickInterval = 20 * time.Millisecond
+	eventQueueLength = 1024
+	tickInterval     = 20 * time.Millisecond
 )
 
 // Service keeps the directory of replicas. It implements Source and Reporter.
@@ -49,11 +49,11 @@
 	cache     *cacheWatch
 
 	subscribers   subscription.List[*Directory]
-	loadListeners subscription.List[heardLoad]
+	loadListeners subscription.List[polledLoad]
 }
 
-// heardLoad is a report of a replica that this node is home to.
-type heardLoad struct {
+// polledLoad is a load report of a replica that this node is home to, received at the given time.
+type polledLoad struct {
 	replica string
 	report  engine.LoadReport
 	at      time.Time
@@ -65,7 +65,7 @@
 	service := &Service{
 		options: options, settings: own, machines: machines, viewer: viewer, engines: engines, caller: caller,
 		logger:  logger.With().Str(logging.FieldSlice, "fleet").Logger(),
-		events:  make(chan event, eventQueue),
+		events:  make(chan event, eventQueueLength),
 		stopped: make(chan struct{}),
 	}
 	service.directory.Store(NewDirectory(0, nil))
@@ -89,7 +89,7 @@
 	}()
 }
 
-// Stop ends the goroutines and waits for them.
+// Stop stops the goroutines and waits for them.
 func (s *Service) Stop() {
 	if s.cancel == nil {
 		return
@@ -100,35 +100,35 @@
 	s.polls.stop()
 }
 
-// Directory returns the present directory.
+// Directory returns the current directory.
 func (s *Service) Directory() *Directory { return s.directory.Load() }
 
-// Subscribe calls notify on the control goroutine after each change.
+// Subscribe calls notify on the control goroutine after each change until unsubscribe is called. notify must not block.
 func (s *Service) Subscribe(notify func(*Directory)) (unsubscribe func()) {
 	return s.subscribers.Add(notify)
 }
 
-// SubscribeLoad calls notify with each report of a replica that this node is home to,
-// on the control goroutine. notify must not block.
+// SubscribeLoad calls notify, on the control goroutine, with each load report of the
+// replicas that this node is home to. notify must not block.
 func (s *Service) SubscribeLoad(notify func(replica string, report engine.LoadReport, at time.Time)) (unsubscribe func()) {
-	return s.loadListeners.Add(func(heard heardLoad) { notify(heard.replica, heard.report, heard.at) })
+	return s.loadListeners.Add(func(heard polledLoad) { notify(heard.replica, heard.report, heard.at) })
 }
 
-// ReportFailure notes that a call found the replica unreachable.
+// ReportFailure reports that a call found the replica unreachable.
 func (s *Service) ReportFailure(replica string) {
-	s.push(evidenceGiven{replica: replica, kind: evidenceFailure})
+	s.push(evidenceReported{replica: replica, kind: evidenceFailure})
 }
 
-// ReportSuccess notes that a call got an answer. It costs nothing for a replica in good standing.
+// ReportSuccess reports that a call got a response. It queues no event unless the replica counts as failed.
 func (s *Service) ReportSuccess(replica string) {
 	if known := s.Directory().Find(replica); known != nil && known.Failed {
-		s.push(evidenceGiven{replica: replica, kind: evidenceSuccess})
+		s.push(evidenceReported{replica: replica, kind: evidenceSuccess})
 	}
 }
 
-// ReportLeaving notes that the replica said it is leaving.
+// ReportLeaving reports that the replica announced that it is leaving.
 func (s *Service) ReportLeaving(replica string) {
-	s.push(evidenceGiven{replica: replica, kind: evidenceLeaving})
+	s.push(evidenceReported{replica: replica, kind: evidenceLeaving})
 }
 
 func (s *Service) push(input event) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// control owns the state.
+// control runs the control goroutine, which owns the state.
 func (s *Service) control(ctx context.Context) {
 	state := newState(s.options, membership.NodeID(s.settings.Node), s.settings.Zone)
 	views := make(chan *membership.View, 1)
@@ -168,7 +168,7 @@
 	}
 }
 
-// replaceLatest puts a value into a channel of one place, in place of an unread one.
+// replaceLatest puts value into a channel of capacity 1 and discards an unread older one.
 func replaceLatest[T any](channel chan T, value T) {
 	for {
 		select {
@@ -184,7 +184,7 @@
 }
 
 func (s *Service) notifyLoad(polled loadPolled, now time.Time) {
-	s.loadListeners.Notify(heardLoad{replica: polled.replica, report: polled.report, at: now})
+	s.loadListeners.Notify(polledLoad{replica: polled.replica, report: polled.report, at: now})
 }
 
 func (s *Service) perform(output action) {
@@ -194,19 +194,19 @@
 		s.subscribers.Notify(typed.directory)
 	case sendDelta:
 		for _, to := range typed.to {
-			_ = s.caller.Send(to, methodLoadDelta, typed.delta) // best effort: a refresh follows
+			_ = s.caller.Send(to, methodLoadDelta, typed.delta) // best effort: RefreshInterval repeats it
 		}
 	case sendNotice:
 		s.logger.Info().Int("replicas", len(typed.notice.GetReplicas())).Msg("replicas leaving")
 		for _, to := range typed.to {
-			_ = s.caller.Send(to, methodLeavingNotice, typed.notice) // best effort: the machine list tells too
+			_ = s.caller.Send(to, methodLeavingNotice, typed.notice) // best effort: the machine list names them too
 		}
 	case setPolls:
 		s.polls.set(typed)
 	}
 }
 
-// listMachines reads the machine list; the interval grows with its length.
+// listMachines reads the machine list at an interval that grows with its length.
 func (s *Service) listMachines(ctx context.Context) {
 	failing := false
 	for {
@@ -218,7 +218,7 @@
 			failing = err != nil
 			s.logger.Warn().Err(err).Bool("failing", failing).Msg("machine list")
 		}
-		interval := within(s.options.ListInterval, len(listing.Machines), machineBytes, s.options.ListBytesPerSecond)
+		interval := intervalWithin(s.options.ListInterval, len(listing.Machines), machineBytes, s.options.ListBytesPerSecond)
 		if !pause.Sleep(ctx, interval) {
 			return
 		}
--- a/internal/fleet/spread.go
+++ b/internal/fleet/spread.go
@@ -11,26 +11,27 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// spread sends the loads of homed replicas: to the own zone those that changed, to
-// other zones a slower summary. Intervals follow from the byte budget of a receiver.
-func (s *state) spread(now time.Time) []action {
+// sendLoads sends the changed loads of the replicas that this node is home to: deltas to
+// its own zone, and summaries, less often, to other zones. The intervals follow from a
+// receiver's byte budget.
+func (s *state) sendLoads(now time.Time) []action {
 	var actions []action
-	zoneInterval := within(s.options.PollInterval, s.inZone, loadDeltaBytes, s.options.DeltaBytesPerSecond)
+	zoneInterval := intervalWithin(s.options.PollInterval, s.replicasInZone, loadDeltaBytes, s.options.DeltaBytesPerSecond)
 	if now.Sub(s.deltaAt) >= zoneInterval {
 		s.deltaAt = now
-		delta := s.collect(now, func(replica *entry) bool {
+		delta := s.buildDelta(now, func(replica *entry) bool {
 			changed := replica.changedForZone
 			replica.changedForZone = false
 			return changed
 		}, true)
 		actions = appendDelta(actions, s, delta, true)
 	}
-	summaryInterval := within(s.options.SummaryInterval, s.elsewhere, summaryBytes, s.options.DeltaBytesPerSecond)
+	summaryInterval := intervalWithin(s.options.SummaryInterval, s.replicasInOtherZones, summaryBytes, s.options.DeltaBytesPerSecond)
 	if now.Sub(s.summaryAt) >= summaryInterval {
 		s.summaryAt = now
-		delta := s.collect(now, func(replica *entry) bool {
-			changed := replica.changedForOther
-			replica.changedForOther = false
+		delta := s.buildDelta(now, func(replica *entry) bool {
+			changed := replica.changedForOtherZones
+			replica.changedForOtherZones = false
 			return changed
 		}, false)
 		actions = appendDelta(actions, s, delta, false)
@@ -49,26 +50,27 @@
 	return append(actions, sendDelta{to: to, delta: delta})
 }
 
-// collect builds the message of homed replicas that changed. For the own zone a load
-// equal to the last one sent is left out until RefreshInterval has passed.
-func (s *state) collect(now time.Time, changed func(*entry) bool, ownZone bool) *fleetpb.LoadDelta {
+// buildDelta builds the message with the loads of homed replicas for which changed returns
+// true. For this node's own zone, a load equal to the one last sent is left out until
+// RefreshInterval has passed.
+func (s *state) buildDelta(now time.Time, changed func(*entry) bool, ownZone bool) *fleetpb.LoadDelta {
 	delta := &fleetpb.LoadDelta{}
 	for _, replica := range s.replicas {
-		if !replica.homed || !changed(replica) {
+		if !replica.isHome || !changed(replica) {
 			continue
 		}
 		if !ownZone {
-			delta.Loads = append(delta.Loads, summaryOf(now, replica))
+			delta.Loads = append(delta.Loads, newSummary(now, replica))
 			continue
 		}
-		load := messageOf(replica)
+		load := newLoadMessage(replica)
 		refresh := now.Sub(replica.sentAt) >= s.options.RefreshInterval
 		if !refresh && !replica.detailChanged && sameCounts(load, replica.sent) {
 			continue
 		}
 		replica.sent = proto.Clone(load).(*fleetpb.ReplicaLoad)
 		if refresh || replica.detailChanged {
-			load.Detail = detailOf(&replica.Load)
+			load.Detail = newDetail(&replica.Load)
 			replica.detailChanged = false
 			replica.sentAt = now
 		}
@@ -77,11 +79,12 @@
 	return delta
 }
 
-// detailInterval is how often other zones hear again what changes seldom.
+// detailInterval is how often unchanged details are sent to other zones again.
 const detailInterval = 30 * time.Second
 
-// summaryOf is what other zones hear: enough to weigh a replica against one of their own.
-func summaryOf(now time.Time, replica *entry) *fleetpb.ReplicaLoad {
+// newSummary returns the load message for other zones, with enough to compare a replica
+// with their own. Details are included if they changed or detailInterval has passed.
+func newSummary(now time.Time, replica *entry) *fleetpb.ReplicaLoad {
 	report := &replica.Load
 	summary := &fleetpb.ReplicaLoad{
 		Replica: HashReplica(replica.ID), Sequence: report.Sequence,
@@ -89,9 +92,9 @@
 		Waiting: uint32(report.Waiting), WaitingBatch: uint32(report.WaitingBatch), MaxRunning: uint32(report.MaxRunning),
 		Leaving: replica.Leaving, Unreachable: replica.unreachable,
 	}
-	if !sameModels(replica.summarized, report.Models) || replica.summarizedRole != report.Role || now.Sub(replica.summarizedAt) >= detailInterval {
-		replica.summarized, replica.summarizedRole, replica.summarizedAt = report.Models, report.Role, now
-		summary.Detail = detailOf(report)
+	if !sameModels(replica.summarizedModels, report.Models) || replica.summarizedRole != report.Role || now.Sub(replica.summarizedAt) >= detailInterval {
+		replica.summarizedModels, replica.summarizedRole, replica.summarizedAt = report.Models, report.Role, now
+		summary.Detail = newDetail(report)
 		summary.StepMicros, summary.FenceToken = uint32(report.StepMicros), report.FenceToken
 	}
 	return summary
@@ -104,7 +107,7 @@
 		a.GetUnreachable() == b.GetUnreachable() && a.GetFenceToken() == b.GetFenceToken()
 }
 
-func messageOf(replica *entry) *fleetpb.ReplicaLoad {
+func newLoadMessage(replica *entry) *fleetpb.ReplicaLoad {
 	report := &replica.Load
 	return &fleetpb.ReplicaLoad{
 		Replica:          HashReplica(replica.ID),
@@ -125,7 +128,7 @@
 	}
 }
 
-func detailOf(report *engine.LoadReport) *fleetpb.ReplicaDetail {
+func newDetail(report *engine.LoadReport) *fleetpb.ReplicaDetail {
 	detail := &fleetpb.ReplicaDetail{Role: report.Role}
 	for _, loaded := range report.Models {
 		detail.Models = append(detail.Models, &fleetpb.LoadedModel{
@@ -142,8 +145,8 @@
 	loadedLoading = "loading"
 )
 
-// reportOf decodes a load; without detail, models and role stay as before.
-func reportOf(load *fleetpb.ReplicaLoad, before *engine.LoadReport) engine.LoadReport {
+// decodeReport decodes a load message. Models and role are taken from previous if the message has no detail.
+func decodeReport(load *fleetpb.ReplicaLoad, previous *engine.LoadReport) engine.LoadReport {
 	report := engine.LoadReport{
 		Sequence:      load.GetSequence(),
 		MeasuredAt:    time.UnixMicro(int64(load.GetMeasuredAtMicros())),
@@ -158,22 +161,22 @@
 		QueuedPrefill: int(load.GetQueuedPrefill()),
 		FenceToken:    load.GetFenceToken(),
 		Leaving:       load.GetLeaving(),
-		Models:        before.Models,
-		Role:          before.Role,
+		Models:        previous.Models,
+		Role:          previous.Role,
 	}
-	if load.GetMeasuredAtMicros() == 0 { // a summary, which leaves out what changes seldom or matters little
-		report.MeasuredAt = before.MeasuredAt
-		report.StepMicros = max(report.StepMicros, before.StepMicros)
-		report.FenceToken = max(report.FenceToken, before.FenceToken)
+	if load.GetMeasuredAtMicros() == 0 { // a summary, which omits fields that rarely change or matter little
+		report.MeasuredAt = previous.MeasuredAt
+		report.StepMicros = max(report.StepMicros, previous.StepMicros)
+		report.FenceToken = max(report.FenceToken, previous.FenceToken)
 	}
 	if detail := load.GetDetail(); detail != nil {
 		report.Role = detail.GetRole()
-		report.Models = modelsOf(detail)
+		report.Models = decodeModels(detail)
 	}
 	return report
 }
 
-func modelsOf(detail *fleetpb.ReplicaDetail) []engine.Loaded {
+func decodeModels(detail *fleetpb.ReplicaDetail) []engine.Loaded {
 	models := make([]engine.Loaded, 0, len(detail.GetModels()))
 	for _, loaded := range detail.GetModels() {
 		state := loadedLoading
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -20,18 +20,18 @@
 	failedUntil  time.Time
 	pollFailures int
 	unreachable  bool
-	// homed: this node polls the replica.
-	homed bool
-	// sent is the load last sent to the zone, sentAt when.
+	// isHome is true if this node is the replica's home and polls it.
+	isHome bool
+	// sent is the load last sent to the zone; sentAt is when its detail was last included.
 	sent   *fleetpb.ReplicaLoad
 	sentAt time.Time
-	// summarized, with role and time, is the detail that other zones last heard.
-	summarized      []engine.Loaded
-	summarizedRole  string
-	summarizedAt    time.Time
-	changedForZone  bool
-	changedForOther bool
-	detailChanged   bool
+	// summarizedModels and summarizedRole are the details last sent to other zones, at summarizedAt.
+	summarizedModels     []engine.Loaded
+	summarizedRole       string
+	summarizedAt         time.Time
+	changedForZone       bool
+	changedForOtherZones bool
+	detailChanged        bool
 }
 
 // state is the fleet's control state; it belongs to one goroutine.
@@ -42,26 +42,28 @@
 	members  []membership.Member
 	replicas map[string]*entry
 	byHash   map[uint64]*entry
-	// sorted and byService index the replicas for directories; nil until they are built anew.
+	// sorted and byService are the index for directories; sorted is nil when it has to be rebuilt.
 	sorted      []*entry
 	byService   map[string][]int
 	failed      map[*entry]bool
 	listVersion int64
 	listed      bool
-	// leavingHashes are notices of replicas that are not listed here yet.
+	// leavingHashes holds the leaving replicas, by hash, that this node's machine list does not contain yet.
 	leavingHashes map[uint64]bool
 
-	// inZone and elsewhere count replicas of the own and of other zones.
-	inZone, elsewhere int
+	// replicasInZone counts the replicas of this node's own zone, replicasInOtherZones all others.
+	replicasInZone, replicasInOtherZones int
 
-	dirty       bool
-	urgent      bool
-	homesDirty  bool
-	version     uint64
-	publishedAt time.Time
-	deltaAt     time.Time
-	summaryAt   time.Time
-	newlyLeft   []uint64
+	// dirty is true if the directory has unpublished changes, urgent if they must be published at once.
+	dirty  bool
+	urgent bool
+	// homesDirty is true if homes have to be assigned again.
+	homesDirty   bool
+	version      uint64
+	publishedAt  time.Time
+	deltaAt      time.Time
+	summaryAt    time.Time
+	newlyLeaving []uint64
 }
 
 func newState(options Options, self membership.NodeID, zone string) *state {
@@ -74,7 +76,7 @@
 	}
 }
 
-// step takes one event at the given time.
+// step applies one event at the given time and returns the resulting actions.
 func (s *state) step(now time.Time, input event) []action {
 	switch typed := input.(type) {
 	case machinesListed:
@@ -87,19 +89,19 @@
 		s.onDelta(now, typed.delta)
 	case noticeReceived:
 		s.onNotice(typed.notice)
-	case evidenceGiven:
+	case evidenceReported:
 		s.onEvidence(now, typed)
 	case ticked:
 		s.expireFailures(now)
 	}
-	return s.finish(now)
+	return s.collectActions(now)
 }
 
-// onView takes the members. Homes, and what changes seldom for a new member, are worked out
-// anew only where the members that live did change, since views change with every news.
+// onView stores the members. Only if the set of live members changed are homes assigned again
+// and full details sent for new members: views change with every membership update.
 func (s *state) onView(view *membership.View) {
 	same := slices.EqualFunc(s.members, view.Members, func(a, b membership.Member) bool {
-		return a.ID == b.ID && a.Zone == b.Zone && a.Incarnation == b.Incarnation && lives(&a) == lives(&b)
+		return a.ID == b.ID && a.Zone == b.Zone && a.Incarnation == b.Incarnation && isLive(&a) == isLive(&b)
 	})
 	s.members = view.Members
 	if same {
@@ -111,20 +113,20 @@
 	}
 }
 
-func lives(member *membership.Member) bool {
+func isLive(member *membership.Member) bool {
 	return member.State == membership.Alive || member.State == membership.Suspect
 }
 
-// finish collects what follows from the changes of one step.
-func (s *state) finish(now time.Time) []action {
+// collectActions returns the actions that follow from the changes of one step.
+func (s *state) collectActions(now time.Time) []action {
 	var actions []action
 	if s.homesDirty {
 		s.homesDirty = false
 		actions = append(actions, s.assignHomes())
 	}
-	if len(s.newlyLeft) > 0 {
-		notice := &fleetpb.LeavingNotice{Replicas: s.newlyLeft}
-		s.newlyLeft = nil
+	if len(s.newlyLeaving) > 0 {
+		notice := &fleetpb.LeavingNotice{Replicas: s.newlyLeaving}
+		s.newlyLeaving = nil
 		if to := s.peers(func(*membership.Member) bool { return true }); len(to) > 0 {
 			actions = append(actions, sendNotice{to: to, notice: notice})
 		}
@@ -132,11 +134,11 @@
 	if s.urgent || s.dirty && now.Sub(s.publishedAt) >= s.publishInterval() {
 		actions = append(actions, publishDirectory{directory: s.directory(now)})
 	}
-	return append(actions, s.spread(now)...)
+	return append(actions, s.sendLoads(now)...)
 }
 
-// publishPerReplica is how much each replica adds to the interval between two directories,
-// so that copying stays a small part of the node's time.
+// publishPerReplica is the part of the publish interval per replica. It keeps the cost of
+// copying the directory a small part of the node's processor time.
 const publishPerReplica = 50 * time.Microsecond
 
 func (s *state) publishInterval() time.Duration {
@@ -165,7 +167,7 @@
 	}
 }
 
-// listReplica takes one machine of the list. Another address under the same id is another machine.
+// listReplica applies one entry of the machine list. The same id with another address is a new machine.
 func (s *state) listReplica(machine platform.Machine) {
 	known := s.replicas[machine.ID]
 	if known == nil || known.Endpoint.Address != machine.Address {
@@ -191,16 +193,17 @@
 	}
 }
 
-// markLeaving is final for a machine: a lagging source can't take it back.
-func (s *state) markLeaving(replica *entry, tell bool) {
+// markLeaving marks a machine as leaving for good, so that a lagging source cannot undo it. With announce, other nodes
+// are notified.
+func (s *state) markLeaving(replica *entry, announce bool) {
 	if replica.Leaving {
 		return
 	}
 	replica.Leaving = true
-	replica.changedForZone, replica.changedForOther = true, true
+	replica.changedForZone, replica.changedForOtherZones = true, true
 	s.dirty, s.urgent = true, true
-	if tell {
-		s.newlyLeft = append(s.newlyLeft, HashReplica(replica.ID))
+	if announce {
+		s.newlyLeaving = append(s.newlyLeaving, HashReplica(replica.ID))
 	}
 }
 
@@ -214,7 +217,7 @@
 		if replica.pollFailures >= s.options.PollFailures && !replica.unreachable {
 			replica.unreachable = true
 			replica.HasLoad = false
-			replica.changedForZone, replica.changedForOther = true, true
+			replica.changedForZone, replica.changedForOtherZones = true, true
 			s.fail(now, replica)
 			s.dirty, s.urgent = true, true
 		}
@@ -223,12 +226,12 @@
 	replica.pollFailures = 0
 	replica.unreachable = false
 	s.clearFailure(replica)
-	s.takeReport(now, replica, polled.report)
-	replica.changedForZone, replica.changedForOther = true, true
+	s.applyReport(now, replica, polled.report)
+	replica.changedForZone, replica.changedForOtherZones = true, true
 }
 
-// takeReport stores a report unless a later one is known.
-func (s *state) takeReport(now time.Time, replica *entry, report engine.LoadReport) bool {
+// applyReport stores a report and returns true, unless a later one is known.
+func (s *state) applyReport(now time.Time, replica *entry, report engine.LoadReport) bool {
 	if replica.HasLoad && report.Sequence <= replica.Load.Sequence && !report.MeasuredAt.After(replica.Load.MeasuredAt) {
 		replica.HeardAt = now
 		return false
@@ -256,7 +259,7 @@
 		if load.GetLeaving() {
 			s.markLeaving(replica, false)
 		}
-		if replica.homed {
+		if replica.isHome {
 			continue
 		}
 		if load.GetUnreachable() {
@@ -267,9 +270,9 @@
 			continue
 		}
 		if load.GetMeasuredAtMicros() == 0 && load.GetSequence() < replica.Load.Sequence {
-			replica.HasLoad = false // a summary of an engine that has started anew
+			replica.HasLoad = false // a summary of an engine that has restarted
 		}
-		s.takeReport(now, replica, reportOf(load, &replica.Load))
+		s.applyReport(now, replica, decodeReport(load, &replica.Load))
 	}
 }
 
@@ -283,7 +286,7 @@
 	}
 }
 
-func (s *state) onEvidence(now time.Time, evidence evidenceGiven) {
+func (s *state) onEvidence(now time.Time, evidence evidenceReported) {
 	replica := s.replicas[evidence.replica]
 	if replica == nil {
 		return
@@ -317,7 +320,7 @@
 	}
 }
 
-// expireFailures lets failed replicas be tried again after their backoff.
+// expireFailures makes failed replicas eligible again after their backoff.
 func (s *state) expireFailures(now time.Time) {
 	for replica := range s.failed {
 		if !replica.Failed || !now.Before(replica.failedUntil) {
@@ -328,34 +331,35 @@
 	}
 }
 
-// assignHomes works out which replicas this node polls.
+// assignHomes computes the home of each replica and with it the set that this node polls.
 func (s *state) assignHomes() action {
 	endpoints := make(map[string]engine.Endpoint)
-	s.inZone, s.elsewhere = 0, 0
+	s.replicasInZone, s.replicasInOtherZones = 0, 0
 	for id, replica := range s.replicas {
 		if replica.Zone == s.zone {
-			s.inZone++
+			s.replicasInZone++
 		} else {
-			s.elsewhere++
+			s.replicasInOtherZones++
 		}
 		home, _ := Home(s.members, id, replica.Zone)
 		if replica.Home != home.ID {
 			replica.Home = home.ID
 			s.dirty, s.urgent = true, true
 		}
-		replica.homed = home.ID == s.self && home.ID != ""
-		if replica.homed {
+		replica.isHome = home.ID == s.self && home.ID != ""
+		if replica.isHome {
 			endpoints[id] = replica.Endpoint
 		}
 	}
-	interval := within(s.options.PollInterval, len(endpoints), pollBytes, s.options.PollBytesPerSecond)
+	interval := intervalWithin(s.options.PollInterval, len(endpoints), pollBytes, s.options.PollBytesPerSecond)
 	return setPolls{endpoints: endpoints, interval: interval}
 }
 
-// directory copies the replicas; the index is shared between directories until the list changes.
+// directory returns a new Directory with copies of the replicas. The index is shared between directories until the
+// machine list changes.
 func (s *state) directory(now time.Time) *Directory {
 	if s.sorted == nil {
-		s.index()
+		s.buildIndex()
 	}
 	replicas := make([]Replica, len(s.sorted))
 	for index, replica := range s.sorted {
@@ -366,7 +370,7 @@
 	return &Directory{Version: s.version, Replicas: replicas, ByService: s.byService}
 }
 
-func (s *state) index() {
+func (s *state) buildIndex() {
 	s.sorted = slices.SortedFunc(maps.Values(s.replicas), func(a, b *entry) int { return strings.Compare(a.ID, b.ID) })
 	s.byService = make(map[string][]int)
 	for index, replica := range s.sorted {
@@ -374,7 +378,7 @@
 	}
 }
 
-// peers returns the addresses of other live members that match.
+// peers returns the addresses of the other members that match and are not dead.
 func (s *state) peers(match func(*membership.Member) bool) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for index := range s.members {
