--- a/internal/changefeed/doc.go
+++ b/internal/changefeed/doc.go
@@ -1,5 +1,7 @@
-// Package changefeed brings the changes below some prefixes of the key-value service to all nodes, though only a few watch it: each call to
-// the service is priced and bounded for all nodes together. The watchers pass on the newest state of each key that changed, and their
-// positions; a node that misses something, by the revision of the change before or by a position, lists again, and a node that hears of no
-// watcher watches by itself.
+// Package changefeed distributes the changes below some prefixes of the key-value service to all nodes, while only a few nodes, the
+// watchers, watch the service: each call to it costs money, and the rate of calls of all nodes together is limited.
+//
+// The watchers forward the latest state of each changed key, and heartbeats with their position (the revision of the newest change) for
+// each prefix. A node detects a missed change by the revision of the preceding change or by a position, and lists the prefix again. A node
+// that receives nothing from any watcher watches the service itself.
 package changefeed
--- a/internal/changefeed/fake_test.go
+++ b/internal/changefeed/fake_test.go
@@ -14,23 +14,23 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// countingStore is a key-value service whose watches are held calls, as the platform's are.
+// countingStore is a fake key-value service that, like the platform's, serves watches by held calls, and counts listings and open watches.
 type countingStore struct {
 	platform.KeyValue
 	mutex   sync.Mutex
 	changes []platform.WatchEvent
 	down    bool
 	open    int
-	// mute leaves held calls without an answer.
-	mute bool
-	// lists counts the listings; changes up to compacted are forgotten.
+	// unresponsive leaves held calls without a response.
+	unresponsive bool
+	// lists counts the listings; the history up to the revision compacted is dropped.
 	lists     int
 	compacted int64
-	// changed is closed, and made anew, at each change.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-// firstRevision is that of the service before any change.
+// firstRevision is the store's revision before any change.
 const firstRevision = 1
 
 func newCountingStore() *countingStore { return &countingStore{changed: make(chan struct{})} }
@@ -84,16 +84,16 @@
 	s.open--
 }
 
-// hold answers one held call.
+// hold answers one held call with the changes after since, and returns the revision up to which they are complete.
 func (s *countingStore) hold(ctx context.Context, since int64) ([]platform.WatchEvent, int64) {
 	s.mutex.Lock()
-	changed, quiet, mute := s.changed, s.revision() == since, s.mute
+	changed, unchanged, unresponsive := s.changed, s.revision() == since, s.unresponsive
 	s.mutex.Unlock()
-	if mute {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, since
 	}
-	if quiet {
+	if unchanged {
 		select {
 		case <-changed:
 		case <-time.After(watcherHold):
@@ -115,10 +115,10 @@
 	return append(answer, platform.WatchEvent{Revision: s.revision()}), s.revision()
 }
 
-// put changes key and tells the held calls.
+// put changes key and wakes the held calls.
 func (s *countingStore) put(key string) { s.putValue(key, nil) }
 
-// putValue writes value to key, tells the held calls, and returns the revision.
+// putValue writes value to key, wakes the held calls, and returns the revision.
 func (s *countingStore) putValue(key string, value []byte) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -130,8 +130,9 @@
 	return revision
 }
 
-// putAndForget writes value to one key, removes another and forgets all history, before any watch is answered. It returns the revision.
-func (s *countingStore) putAndForget(key string, value []byte, removed string) int64 {
+// putAndCompact writes value to key, deletes the key removed and drops all history before any watch is answered. It returns the revision
+// of the write.
+func (s *countingStore) putAndCompact(key string, value []byte, removed string) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	revision := s.revision() + 1
@@ -145,7 +146,7 @@
 	return revision
 }
 
-func (s *countingStore) listed() int {
+func (s *countingStore) listCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lists
@@ -159,10 +160,10 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *countingStore) setMute(mute bool) {
+func (s *countingStore) setUnresponsive(unresponsive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.mute = mute
+	s.unresponsive = unresponsive
 }
 
 func (s *countingStore) watching() int {
@@ -171,38 +172,38 @@
 	return s.open
 }
 
-// fabric carries messages between the feeds of one process.
-type fabric struct {
+// fakeNetwork carries messages between the feeds of one process.
+type fakeNetwork struct {
 	mutex    sync.Mutex
 	handlers map[netip.AddrPort]map[transport.Method]transport.Handler
-	// lose says which messages are lost; cut whose messages are.
-	lose func(to netip.AddrPort, method transport.Method) bool
+	// drop, if set, reports whether a message is lost.
+	drop func(to netip.AddrPort, method transport.Method) bool
 }
 
-// port is one node's access to the fabric.
-type port struct {
-	fabric *fabric
-	self   netip.AddrPort
+// fakeTransport is one node's access to the network.
+type fakeTransport struct {
+	network *fakeNetwork
+	self    netip.AddrPort
 }
 
-func (p port) Handle(method transport.Method, _ func() proto.Message, handler transport.Handler) {
-	p.fabric.mutex.Lock()
-	defer p.fabric.mutex.Unlock()
-	if p.fabric.handlers[p.self] == nil {
-		p.fabric.handlers[p.self] = map[transport.Method]transport.Handler{}
+func (p fakeTransport) Handle(method transport.Method, _ func() proto.Message, handler transport.Handler) {
+	p.network.mutex.Lock()
+	defer p.network.mutex.Unlock()
+	if p.network.handlers[p.self] == nil {
+		p.network.handlers[p.self] = map[transport.Method]transport.Handler{}
 	}
-	p.fabric.handlers[p.self][method] = handler
+	p.network.handlers[p.self][method] = handler
 }
 
-func (p port) Call(context.Context, netip.AddrPort, transport.Method, proto.Message, proto.Message) error {
-	panic("the feed makes no calls")
+func (p fakeTransport) Call(context.Context, netip.AddrPort, transport.Method, proto.Message, proto.Message) error {
+	panic("fakeTransport: Call is not supported")
 }
 
-func (p port) Send(to netip.AddrPort, method transport.Method, message proto.Message) error {
-	p.fabric.mutex.Lock()
-	handler := p.fabric.handlers[to][method]
-	lost := p.fabric.lose != nil && p.fabric.lose(to, method)
-	p.fabric.mutex.Unlock()
+func (p fakeTransport) Send(to netip.AddrPort, method transport.Method, message proto.Message) error {
+	p.network.mutex.Lock()
+	handler := p.network.handlers[to][method]
+	lost := p.network.drop != nil && p.network.drop(to, method)
+	p.network.mutex.Unlock()
 	if handler != nil && !lost {
 		_, _ = handler(context.Background(), p.self, proto.Clone(message))
 	}
--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -21,19 +21,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// clusterOfFeeds is some feeds that hold each other alive, and what each has taken of prefix "k".
-type clusterOfFeeds struct {
-	store  *countingStore
-	fabric *fabric
-	views  []*settableViewer
-	feeds  []*Feed
-	cancel context.CancelFunc
-	mutex  sync.Mutex
-	taken  []map[string]int
-	// newest is the newest change that each node has taken.
-	newest []int64
-	listed []int
-	failed []error
+// feedCluster runs the feeds of several nodes that consider each other alive, and records what each delivers for prefix "k".
+type feedCluster struct {
+	store     *countingStore
+	network   *fakeNetwork
+	views     []*settableViewer
+	feeds     []*Feed
+	cancel    context.CancelFunc
+	mutex     sync.Mutex
+	delivered []map[string]int
+	// newestRevision holds, for each node, the newest change delivered.
+	newestRevision []int64
+	listings       []int
+	lastErr        []error
 }
 
 type settableViewer struct {
@@ -58,10 +58,10 @@
 	v.view.Members = members
 }
 
-func startFeeds(count int) *clusterOfFeeds {
-	c := &clusterOfFeeds{
-		store: newCountingStore(), fabric: &fabric{handlers: map[netip.AddrPort]map[transport.Method]transport.Handler{}},
-		taken: make([]map[string]int, count), newest: make([]int64, count), listed: make([]int, count), failed: make([]error, count),
+func startFeeds(count int) *feedCluster {
+	c := &feedCluster{
+		store: newCountingStore(), network: &fakeNetwork{handlers: map[netip.AddrPort]map[transport.Method]transport.Handler{}},
+		delivered: make([]map[string]int, count), newestRevision: make([]int64, count), listings: make([]int, count), lastErr: make([]error, count),
 	}
 	var members []membership.Member
 	for index := range count {
@@ -74,52 +74,52 @@
 	c.cancel = cancel
 	for index, member := range members {
 		viewer := &settableViewer{view: membership.View{Self: member.ID, Members: members}}
-		access := port{fabric: c.fabric, self: member.PeerAddress}
+		access := fakeTransport{network: c.network, self: member.PeerAddress}
 		feed := New(c.store, access, access, viewer, zerolog.Nop())
 		feed.Start()
-		c.views, c.feeds, c.taken[index] = append(c.views, viewer), append(c.feeds, feed), map[string]int{}
+		c.views, c.feeds, c.delivered[index] = append(c.views, viewer), append(c.feeds, feed), map[string]int{}
 		go platform.Follow(ctx, feed, "k", platform.Follower{
 			Replace: func(listing platform.Listing) {
 				c.mutex.Lock()
 				defer c.mutex.Unlock()
-				c.listed[index]++
-				c.note(index, listing.Entries)
-				if c.listed[index] > 1 {
-					clear(c.taken[index])
+				c.listings[index]++
+				c.recordNewest(index, listing.Entries)
+				if c.listings[index] > 1 {
+					clear(c.delivered[index])
 					for _, entry := range listing.Entries {
-						c.taken[index][entry.Key] = 1
+						c.delivered[index][entry.Key] = 1
 					}
 				}
 			},
 			Update: func(_ int64, changed []platform.Entry, deleted []string) {
 				c.mutex.Lock()
 				defer c.mutex.Unlock()
-				c.note(index, changed)
+				c.recordNewest(index, changed)
 				for _, key := range deleted {
-					c.taken[index][key] = 0
+					c.delivered[index][key] = 0
 				}
 				for _, entry := range changed {
-					c.taken[index][entry.Key]++
+					c.delivered[index][entry.Key]++
 				}
 			},
 			Failed: func(err error) {
 				c.mutex.Lock()
 				defer c.mutex.Unlock()
-				c.failed[index] = err
+				c.lastErr[index] = err
 			},
 		})
 	}
 	return c
 }
 
-// note keeps the newest change that a node has taken. The mutex is held.
-func (c *clusterOfFeeds) note(index int, entries []platform.Entry) {
+// recordNewest records the newest change delivered to a node. The mutex must be held.
+func (c *feedCluster) recordNewest(index int, entries []platform.Entry) {
 	for _, entry := range entries {
-		c.newest[index] = max(c.newest[index], entry.ModRevision)
+		c.newestRevision[index] = max(c.newestRevision[index], entry.ModRevision)
 	}
 }
 
-func (c *clusterOfFeeds) stop() {
+func (c *feedCluster) stop() {
 	c.cancel()
 	for _, feed := range c.feeds {
 		feed.Stop()
@@ -127,31 +127,31 @@
 	synctest.Wait()
 }
 
-// loseChangesTo has what watchers pass on not come to a node; heartbeats do.
-func (c *clusterOfFeeds) loseChangesTo(node int) {
+// dropChangesTo loses the changes, but not the heartbeats, that watchers send to a node.
+func (c *feedCluster) dropChangesTo(node int) {
 	address := c.views[node].View().Members[node].PeerAddress
-	c.setLoss(func(to netip.AddrPort, method transport.Method) bool { return to == address && method == methodChanges })
+	c.setDrop(func(to netip.AddrPort, method transport.Method) bool { return to == address && method == methodChanges })
 }
 
-// setLoss says which messages are lost; nil is none.
-func (c *clusterOfFeeds) setLoss(lose func(to netip.AddrPort, method transport.Method) bool) {
-	c.fabric.mutex.Lock()
-	defer c.fabric.mutex.Unlock()
-	c.fabric.lose = lose
+// setDrop sets which messages are lost; nil loses none.
+func (c *feedCluster) setDrop(drop func(to netip.AddrPort, method transport.Method) bool) {
+	c.network.mutex.Lock()
+	defer c.network.mutex.Unlock()
+	c.network.drop = drop
 }
 
-// loseAll loses all messages.
-func loseAll(netip.AddrPort, transport.Method) bool { return true }
+// dropAll is for setDrop and loses all messages.
+func dropAll(netip.AddrPort, transport.Method) bool { return true }
 
-// wantTaken checks how often each node took key.
-func (c *clusterOfFeeds) wantTaken(t *testing.T, key string, want int) {
+// wantDelivered checks how many changes of key were delivered to each node.
+func (c *feedCluster) wantDelivered(t *testing.T, key string, want int) {
 	t.Helper()
 	synctest.Wait()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for index, taken := range c.taken {
+	for index, taken := range c.delivered {
 		if taken[key] != want {
-			t.Errorf("node %d took %s %d times, want %d", index, key, taken[key], want)
+			t.Errorf("node %d: key %s delivered %d times, want %d", index, key, taken[key], want)
 		}
 	}
 }
@@ -160,18 +160,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(8)
 		time.Sleep(2 * time.Second)
-		if watching := c.store.watching(); watching != watchers {
-			t.Errorf("%d nodes watch", watching)
+		if watching := c.store.watching(); watching != watcherCount {
+			t.Errorf("%d nodes watch the service, want only the watchers", watching)
 		}
 		c.store.put("k1")
 		time.Sleep(10 * time.Millisecond)
-		c.wantTaken(t, "k1", 1)
+		c.wantDelivered(t, "k1", 1)
 		for index := range 5 {
 			c.store.put(fmt.Sprint("burst", index))
 		}
-		time.Sleep(2 * gatherWait)
-		c.wantTaken(t, "burst0", 1)
-		c.wantTaken(t, "burst4", 1)
+		time.Sleep(2 * batchDelay)
+		c.wantDelivered(t, "burst0", 1)
+		c.wantDelivered(t, "burst4", 1)
 		c.stop()
 	})
 }
@@ -184,61 +184,61 @@
 			view.setState(0, membership.Suspect)
 			view.setState(1, membership.Suspect)
 		}
-		time.Sleep(2 * turnInterval)
+		time.Sleep(2 * roleCheckInterval)
 		c.store.put("k1")
 		time.Sleep(10 * time.Millisecond)
-		c.wantTaken(t, "k1", 1)
+		c.wantDelivered(t, "k1", 1)
 		c.stop()
 	})
 }
 
-// TestSilentWatchersAreDoneWithout: nodes that hear no watcher, though they hold some alive, watch by themselves, and cease to once one is
-// heard again.
+// TestSilentWatchersAreDoneWithout checks that nodes that receive nothing from the watchers, though these are alive by their view, watch
+// the service themselves, and stop doing so once they receive messages again.
 func TestSilentWatchersAreDoneWithout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
 		time.Sleep(2 * time.Second)
-		c.setLoss(loseAll)
-		time.Sleep(silence + 2*turnInterval)
+		c.setDrop(dropAll)
+		time.Sleep(watcherTimeout + 2*roleCheckInterval)
 		c.store.put("k1")
 		time.Sleep(10 * time.Millisecond)
-		c.wantTaken(t, "k1", 1)
+		c.wantDelivered(t, "k1", 1)
 		if watching := c.store.watching(); watching != 6 {
-			t.Errorf("%d nodes watch, 6 hear nobody", watching)
+			t.Errorf("%d nodes watch the service while all messages are lost, want 6", watching)
 		}
-		c.setLoss(nil)
+		c.setDrop(nil)
 		c.store.put("k2")
 		time.Sleep(time.Second)
-		c.wantTaken(t, "k2", 1)
-		if watching := c.store.watching(); watching != watchers {
-			t.Errorf("%d nodes watch, though watchers are heard", watching)
+		c.wantDelivered(t, "k2", 1)
+		if watching := c.store.watching(); watching != watcherCount {
+			t.Errorf("%d nodes watch the service after messages arrive again, want only the watchers", watching)
 		}
 		c.stop()
 	})
 }
 
-// TestMissedChangeIsNoticed: a node to which one change did not come lists anew when the next does.
+// TestMissedChangeIsNoticed checks that a node that missed a change lists again when it receives the next one.
 func TestMissedChangeIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
 		time.Sleep(2 * time.Second)
-		c.loseChangesTo(5)
+		c.dropChangesTo(5)
 		c.store.put("k1")
-		time.Sleep(gatherWait)
-		c.setLoss(nil)
+		time.Sleep(batchDelay)
+		c.setDrop(nil)
 		c.store.put("k2")
 		time.Sleep(time.Second)
 		c.mutex.Lock()
-		if c.listed[5] != 2 || !errorx.IsOfType(c.failed[5], platform.KindCompacted) {
-			t.Errorf("listed %d times, last error %v", c.listed[5], c.failed[5])
+		if c.listings[5] != 2 || !errorx.IsOfType(c.lastErr[5], platform.KindCompacted) {
+			t.Errorf("listed %d times, want 2; last error %v, want KindCompacted", c.listings[5], c.lastErr[5])
 		}
 		c.mutex.Unlock()
 		c.stop()
 	})
 }
 
-// TestForgottenHistoryIsListedByWatchersOnly: where the service forgets its history the nodes that watch it list anew and pass on what
-// they find; the others need no call.
+// TestForgottenHistoryIsListedByWatchersOnly checks that after the service compacts its history only the watchers list again; they forward
+// the differences, so that the other nodes make no call.
 func TestForgottenHistoryIsListedByWatchersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 8
@@ -247,33 +247,34 @@
 		c.store.put("k1")
 		c.store.put("k2")
 		time.Sleep(2 * time.Second)
-		c.store.putAndForget("k3", nil, "k1")
+		c.store.putAndCompact("k3", nil, "k1")
 		time.Sleep(2 * time.Second)
-		c.wantTaken(t, "k1", 0)
-		c.wantTaken(t, "k2", 1)
-		c.wantTaken(t, "k3", 1)
+		c.wantDelivered(t, "k1", 0)
+		c.wantDelivered(t, "k2", 1)
+		c.wantDelivered(t, "k3", 1)
 		c.store.put("k4")
 		time.Sleep(2 * time.Second)
-		c.wantTaken(t, "k4", 1)
-		if lists := c.store.listed(); lists > nodes+watchers {
-			t.Errorf("%d listings, want %d at the starts and %d after the history was gone", lists, nodes, watchers)
+		c.wantDelivered(t, "k4", 1)
+		if lists := c.store.listCount(); lists > nodes+watcherCount {
+			t.Errorf("%d listings, want %d at the start and %d after the compaction", lists, nodes, watcherCount)
 		}
 		c.stop()
 	})
 }
 
-// TestUnansweredWatchersAreDoneWithout: watchers that the service refuses send no heartbeats, so that the others ask it themselves.
+// TestUnansweredWatchersAreDoneWithout checks that changes are delivered after an outage of the service. Watchers without responses send
+// no heartbeats, so that the other nodes watch the service themselves.
 func TestUnansweredWatchersAreDoneWithout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(4)
 		time.Sleep(2 * time.Second)
 		c.store.setDown(true)
-		time.Sleep(2 * silence)
+		time.Sleep(2 * watcherTimeout)
 		c.store.setDown(false)
 		time.Sleep(2 * time.Second)
 		c.store.put("k1")
 		time.Sleep(10 * time.Millisecond)
-		c.wantTaken(t, "k1", 1)
+		c.wantDelivered(t, "k1", 1)
 		c.stop()
 	})
 }
@@ -306,13 +307,13 @@
 		{"behind a dead one", view("b", "a!@1", "b@1", "c@2"), true},
 	} {
 		if watches := Watches(test.view); watches != test.want {
-			t.Errorf("%s: %t", test.name, watches)
+			t.Errorf("%s: node is a watcher: %t", test.name, watches)
 		}
 	}
 }
 
-// TestNodeWithoutWatchersAsksOften: a watch that the service cuts without a word is noticed at its end, by a node that watches for itself
-// as soon as by a watcher.
+// TestNodeWithoutWatchersAsksOften checks that a node that receives no heartbeats uses the watchers' short hold time. A watch that was cut
+// without a reset is noticed only when its hold time is over.
 func TestNodeWithoutWatchersAsksOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
@@ -325,18 +326,18 @@
 		}
 		others := 0
 		for _, hold := range holds() {
-			if hold == otherHold {
+			if hold == followerHold {
 				others++
 			}
 		}
-		if others != len(c.feeds)-watchers {
-			t.Errorf("holds are %v while the watchers are heard", holds())
+		if others != len(c.feeds)-watcherCount {
+			t.Errorf("hold times are %v while heartbeats arrive", holds())
 		}
-		c.setLoss(loseAll)
-		time.Sleep(silence + 2*turnInterval)
+		c.setDrop(dropAll)
+		time.Sleep(watcherTimeout + 2*roleCheckInterval)
 		for index, hold := range holds() {
 			if hold != watcherHold {
-				t.Errorf("node %d, which hears no watcher, has its watch held for %s", index, hold)
+				t.Errorf("node %d receives no heartbeats and has hold time %s, want watcherHold", index, hold)
 			}
 		}
 		c.stop()
--- a/internal/changefeed/pass_on.go
+++ b/internal/changefeed/forward.go
@@ -14,8 +14,8 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// merge joins the changes of one answer of the service, in their order, into one that leaves each key as the last of them does. What
-// lies between is needed by nobody: eleven versions of a configuration of 8 KB are over maxPassedOn, the last one is not.
+// merge combines the changes of one response, in their order, into a single event with the final state of each key. Intermediate versions
+// are not needed, and would be too large: eleven versions of an 8 KB configuration exceed maxForwardedBytes, the last one does not.
 func merge(answer []platform.WatchEvent) platform.WatchEvent {
 	var merged platform.WatchEvent
 	changed := map[string]platform.Entry{}
@@ -42,18 +42,19 @@
 	return merged
 }
 
-// passOn notes that the service answered with change, which may be empty, and sends it to the other nodes where this node is a watcher.
-func (f *Feed) passOn(prefix string, change platform.WatchEvent, now time.Time) {
+// forwardChange records that the service answered with change, which may be empty, and sends it to the other nodes if this node is a
+// watcher.
+func (f *Feed) forwardChange(prefix string, change platform.WatchEvent, now time.Time) {
 	f.mutex.Lock()
-	f.answered = now
+	f.lastAnswer = now
 	if len(change.Changed)+len(change.Deleted) == 0 {
 		f.mutex.Unlock()
 		return
 	}
 	encoded := encodeChange(change)
 	state := f.state(prefix)
-	message := &changefeedpb.Changes{Prefix: prefix, Previous: state.newest, Changes: []*changefeedpb.Change{encoded}}
-	state.takeChange(encoded)
+	message := &changefeedpb.Changes{Prefix: prefix, Previous: state.newestRevision, Changes: []*changefeedpb.Change{encoded}}
+	state.applyChange(encoded)
 	f.mutex.Unlock()
 	if !f.watchesAlone(prefix) {
 		f.sendChanges(message)
@@ -72,66 +73,67 @@
 	return &changefeedpb.Entry{Key: entry.Key, Value: entry.Value, CreateRevision: entry.CreateRevision, ModRevision: entry.ModRevision}
 }
 
-// sendChanges sends changes to the other nodes, where this node is a watcher. The positions in their place, where they are too large,
-// have the others read them at once; without, they found out by membership and had them 1.6 to 2.9 s late.
+// sendChanges sends changes to the other nodes if this node is a watcher. If they exceed maxForwardedBytes, it sends a heartbeat instead,
+// whose positions make the other nodes list at once. Without it they would learn of the changes only through membership, 1.6 to 2.9 s late.
 func (f *Feed) sendChanges(message *changefeedpb.Changes) {
 	view := f.viewer.View()
-	if !f.isWatcher(view) || f.joining(clock.Now()) {
+	if !f.isWatcher(view) || f.isJoining(clock.Now()) {
 		return
 	}
-	if size := proto.Size(message); size > maxPassedOn {
-		f.logger.Info().Str(logging.FieldPrefix, message.Prefix).Int("bytes", size).Int("limit_bytes", maxPassedOn).Msg("changes_not_passed_on")
+	if size := proto.Size(message); size > maxForwardedBytes {
+		f.logger.Info().Str(logging.FieldPrefix, message.Prefix).Int("bytes", size).Int("limit_bytes", maxForwardedBytes).Msg("changes_not_passed_on")
 		f.sendHeartbeat(view)
 		return
 	}
 	f.sendToAll(view, methodChanges, message)
 }
 
-// beat sends a heartbeat where this node is a watcher that the service answers.
-func (f *Feed) beat(now time.Time) {
+// heartbeatIfWatcher sends a heartbeat if this node is a watcher and the service answers it.
+func (f *Feed) heartbeatIfWatcher(now time.Time) {
 	view := f.viewer.View()
 	f.mutex.Lock()
-	answered := now.Sub(f.answered) < answeredWithin
+	answered := now.Sub(f.lastAnswer) < answeredWithin
 	f.mutex.Unlock()
-	if answered && f.isWatcher(view) && !f.joining(now) {
+	if answered && f.isWatcher(view) && !f.isJoining(now) {
 		f.sendHeartbeat(view)
 	}
 }
 
-// sendHeartbeat sends a heartbeat with the position of each prefix, by which nodes notice what did not come to them.
+// sendHeartbeat sends a heartbeat with the position of each prefix, by which the other nodes detect missed changes.
 func (f *Feed) sendHeartbeat(view *membership.View) {
 	heartbeat := &changefeedpb.Heartbeat{}
 	f.mutex.Lock()
 	for prefix, state := range f.prefixes {
-		most, bounded := f.mostKept[prefix]
+		limit, bounded := f.maxKeys[prefix]
 		heartbeat.Positions = append(heartbeat.Positions, &changefeedpb.Position{
-			Prefix: prefix, Revision: state.newest, Long: bounded && len(state.revisions) > most,
+			Prefix: prefix, Revision: state.newestRevision, Long: bounded && len(state.revisions) > limit,
 		})
 	}
 	f.mutex.Unlock()
 	f.sendToAll(view, methodHeartbeat, heartbeat)
 }
 
-// takeHeartbeat takes a watcher's heartbeat.
-func (f *Feed) takeHeartbeat(heartbeat *changefeedpb.Heartbeat, now time.Time) {
+// onHeartbeat applies a watcher's heartbeat and relays it to the zone if requested.
+func (f *Feed) onHeartbeat(heartbeat *changefeedpb.Heartbeat, now time.Time) {
 	f.mutex.Lock()
-	f.noteHeartbeat(now)
+	f.recordHeartbeat(now)
 	for _, position := range heartbeat.Positions {
-		f.state(position.Prefix).takePosition(position, now)
+		f.state(position.Prefix).applyPosition(position, now)
 	}
 	f.mutex.Unlock()
-	if heartbeat.GetPassOn() && f.zone.takesHeartbeat(heartbeat, now) {
+	if heartbeat.GetPassOn() && f.relayed.acceptHeartbeat(heartbeat, now) {
 		f.sendToZone(methodHeartbeat, &changefeedpb.Heartbeat{Positions: heartbeat.Positions})
 	}
 }
 
-// take queues what a watcher passed on. Where the queue is full the reader finds a gap and lists again.
-func (f *Feed) take(changes *changefeedpb.Changes, now time.Time) {
-	if changes.GetPassOn() && f.zone.takesChanges(changes) {
+// onChanges queues changes that a watcher forwarded and relays them to the zone if requested. If the queue is full they are dropped; the
+// reader then detects a gap and lists again.
+func (f *Feed) onChanges(changes *changefeedpb.Changes, now time.Time) {
+	if changes.GetPassOn() && f.relayed.acceptChanges(changes) {
 		f.sendToZone(methodChanges, &changefeedpb.Changes{Prefix: changes.Prefix, Previous: changes.Previous, Changes: changes.Changes})
 	}
 	f.mutex.Lock()
-	f.noteHeartbeat(now)
+	f.recordHeartbeat(now)
 	inbox := f.state(changes.Prefix).inbox
 	f.mutex.Unlock()
 	select {
@@ -141,9 +143,9 @@
 	}
 }
 
-// noteHeartbeat notes that a watcher has sent something; what comes right after the start does not shorten the wait for watchers that start as
-// well. The mutex is held.
-func (f *Feed) noteHeartbeat(now time.Time) {
+// recordHeartbeat records that a watcher has sent something. It never moves lastHeartbeat back, so that messages right after the start do
+// not shorten startupWatcherTimeout. The mutex must be held.
+func (f *Feed) recordHeartbeat(now time.Time) {
 	if now.After(f.lastHeartbeat) {
 		f.lastHeartbeat = now
 	}
--- a/internal/changefeed/prefix_state.go
+++ b/internal/changefeed/prefix_state.go
@@ -7,37 +7,38 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// prefixState is what is known of one prefix.
+// prefixState is what this node knows of one prefix.
 type prefixState struct {
-	// newest is the revision of the newest change known.
-	newest int64
-	// revisions are those of the last changes of the keys present at newest; nil before the first listing.
+	// newestRevision is the revision of the newest known change.
+	newestRevision int64
+	// revisions holds, by key, the revision of the last change of each key present at newestRevision; nil before the first listing.
 	revisions map[string]int64
-	// inbox holds what watchers passed on.
+	// inbox queues the changes that watchers forwarded.
 	inbox chan *changefeedpb.Changes
-	// position is the newest of the watchers' positions, positionTaken when it came.
-	position      int64
-	positionTaken time.Time
-	// long says that by that position there are too many keys for each node to keep all.
-	long bool
+	// position is the highest position of a watcher, received at positionAt.
+	position   int64
+	positionAt time.Time
+	// tooManyKeys is true if, by the latest position received, there are too many keys for every node to keep all of them.
+	tooManyKeys bool
 }
 
-// takePosition takes in a watcher's position.
-func (s *prefixState) takePosition(position *changefeedpb.Position, now time.Time) {
+// applyPosition records a watcher's position.
+func (s *prefixState) applyPosition(position *changefeedpb.Position, now time.Time) {
 	if revision := position.GetRevision(); revision > s.position {
-		s.position, s.positionTaken = revision, now
+		s.position, s.positionAt = revision, now
 	}
-	s.long = position.GetLong()
+	s.tooManyKeys = position.GetLong()
 }
 
-// missed says that a reader who knows all changes up to known did not get what watchers passed on.
-func (s *prefixState) missed(known int64, now time.Time) bool {
-	return s.position > known && now.Sub(s.positionTaken) >= arrivalSlack
+// hasMissed reports whether a reader that knows all changes up to known has missed one, because a watcher's position has been higher for
+// at least arrivalSlack.
+func (s *prefixState) hasMissed(known int64, now time.Time) bool {
+	return s.position > known && now.Sub(s.positionAt) >= arrivalSlack
 }
 
-// takeChange takes in a change.
-func (s *prefixState) takeChange(change *changefeedpb.Change) {
-	s.newest = max(s.newest, change.Revision)
+// applyChange updates the state by a change.
+func (s *prefixState) applyChange(change *changefeedpb.Change) {
+	s.newestRevision = max(s.newestRevision, change.Revision)
 	for _, entry := range change.Changed {
 		if s.revisions != nil {
 			s.revisions[entry.Key] = entry.ModRevision
@@ -48,7 +49,7 @@
 	}
 }
 
-// deletedBy returns the keys that a change removes.
+// deletedBy returns the keys that a change removes. A change from a listing removes the known keys that it does not name as present.
 func (s *prefixState) deletedBy(change *changefeedpb.Change) []string {
 	if !change.Listed {
 		return change.Deleted
@@ -66,34 +67,35 @@
 	return gone
 }
 
-// takeListing takes in a listing and returns what it shows that was not known, as one change; nil where that is nothing, or where
-// nothing was known before.
-func (f *Feed) takeListing(prefix string, listing platform.Listing) *changefeedpb.Changes {
+// applyListing replaces the state by a listing and returns the differences as one change; nil if there are none or if this is the first
+// listing.
+func (f *Feed) applyListing(prefix string, listing platform.Listing) *changefeedpb.Changes {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	state := f.state(prefix)
-	previous, known := state.newest, state.revisions
+	previous, known := state.newestRevision, state.revisions
 	state.revisions = make(map[string]int64, len(listing.Entries))
 	for _, entry := range listing.Entries {
-		state.newest = max(state.newest, entry.ModRevision)
+		state.newestRevision = max(state.newestRevision, entry.ModRevision)
 		state.revisions[entry.Key] = entry.ModRevision
 	}
 	if known == nil {
 		return nil
 	}
-	missed := missedChange(known, listing)
+	missed := diffListing(known, listing)
 	if len(missed.Changed) == 0 && len(missed.Present) == len(known) {
 		return nil
 	}
-	if stillPresent(known, listing) < len(known) {
-		// When a key went is not known. Else the newest change is that of an entry: a later position would have all others list.
-		state.newest = max(state.newest, listing.Revision)
+	if countPresent(known, listing) < len(known) {
+		// The revision of a deletion is not known, so that the listing's revision is used. Without a deletion, the newest change is that
+		// of an entry; a higher position would make all other nodes list.
+		state.newestRevision = max(state.newestRevision, listing.Revision)
 	}
 	return &changefeedpb.Changes{Prefix: prefix, Previous: previous, Changes: []*changefeedpb.Change{missed}}
 }
 
-// stillPresent returns how many of the keys known a listing has.
-func stillPresent(known map[string]int64, listing platform.Listing) int {
+// countPresent returns how many of the known keys a listing contains.
+func countPresent(known map[string]int64, listing platform.Listing) int {
 	count := 0
 	for _, entry := range listing.Entries {
 		if _, present := known[entry.Key]; present {
@@ -103,8 +105,8 @@
 	return count
 }
 
-// missedChange is what a listing shows beyond the keys known, by their revisions.
-func missedChange(known map[string]int64, listing platform.Listing) *changefeedpb.Change {
+// diffListing returns the change that leads from the known keys and revisions to a listing.
+func diffListing(known map[string]int64, listing platform.Listing) *changefeedpb.Change {
 	missed := &changefeedpb.Change{Revision: listing.Revision, Listed: true}
 	for _, entry := range listing.Entries {
 		missed.Present = append(missed.Present, entry.Key)
--- a/internal/changefeed/unanswered_test.go
+++ b/internal/changefeed/unanswered_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestUnanswered: no node says so while the watchers are answered, all do once the service has answered nobody for long, and none once it
-// answers again.
+// TestUnanswered checks that Unanswered is false while the service answers the watchers, true at all nodes after it has answered nobody
+// for long enough, and false again after it recovers.
 func TestUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
@@ -15,7 +15,7 @@
 			t.Helper()
 			for index, feed := range c.feeds {
 				if feed.Unanswered() != unanswered {
-					t.Errorf("node %d says %t", index, !unanswered)
+					t.Errorf("node %d: Unanswered is %t", index, !unanswered)
 				}
 			}
 		}
@@ -24,7 +24,7 @@
 			want(false)
 		}
 		c.store.setDown(true)
-		time.Sleep(answeredWithin + silence + heartbeatInterval)
+		time.Sleep(answeredWithin + watcherTimeout + heartbeatInterval)
 		want(true)
 		c.store.setDown(false)
 		time.Sleep(2 * time.Second)
--- a/internal/changefeed/watch.go
+++ b/internal/changefeed/watch.go
@@ -11,21 +11,21 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// Watch delivers changes as the service's own watch does, from the service or from the nodes that watch it, whichever is this node's
-// turn. An event of KindCompacted says that changes were missed.
+// Watch delivers changes like the service's own watch, either from the service or from the watchers, depending on whether this node
+// currently has to watch the service. An event with an error of KindCompacted means that changes were missed.
 func (f *Feed) Watch(ctx context.Context, prefix string, fromRevision int64) (<-chan platform.WatchEvent, error) {
 	events := make(chan platform.WatchEvent)
-	watch := &watch{feed: f, prefix: prefix, known: fromRevision - 1, events: events}
+	watch := &watch{feed: f, prefix: prefix, delivered: fromRevision - 1, events: events}
 	go func() {
 		defer close(events)
 		for ctx.Err() == nil {
-			goOn := false
-			if f.watchesNow(prefix, clock.Now()) {
-				goOn = watch.service(ctx)
+			open := false
+			if f.shouldWatch(prefix, clock.Now()) {
+				open = watch.watchService(ctx)
 			} else {
-				goOn = watch.follow(ctx)
+				open = watch.followWatchers(ctx)
 			}
-			if !goOn {
+			if !open {
 				return
 			}
 		}
@@ -37,15 +37,15 @@
 type watch struct {
 	feed   *Feed
 	prefix string
-	// known is the revision up to which all changes are delivered.
-	known  int64
-	events chan<- platform.WatchEvent
-	// ahead is what watchers passed on while this node asked the service, in their order; what the service did not bring before the turn
-	// to ask ended is taken then.
-	ahead []*changefeedpb.Changes
+	// delivered is the revision up to which all changes have been delivered.
+	delivered int64
+	events    chan<- platform.WatchEvent
+	// buffered holds, in order, the changes that watchers forwarded while this node watched the service itself. Those that the service
+	// has not delivered by the end of that are applied afterwards.
+	buffered []*changefeedpb.Changes
 }
 
-// deliver hands on an event; false where the watch has ended, by it or before.
+// deliver sends an event to the reader. It returns false if the watch has ended, by an error in the event or by ctx.
 func (w *watch) deliver(ctx context.Context, event platform.WatchEvent) bool {
 	select {
 	case w.events <- event:
@@ -55,17 +55,17 @@
 	}
 }
 
-// service watches the service until it is no longer this node's turn; false where the watch has ended.
-func (w *watch) service(ctx context.Context) bool {
-	own, cancel := context.WithCancel(ctx)
+// watchService delivers changes from the service until this node no longer has to watch it. It returns false if the watch has ended.
+func (w *watch) watchService(ctx context.Context) bool {
+	watchContext, cancel := context.WithCancel(ctx)
 	defer cancel()
-	events, err := w.feed.KeyValue.Watch(own, w.prefix, w.known+1)
+	events, err := w.feed.KeyValue.Watch(watchContext, w.prefix, w.delivered+1)
 	if err != nil {
-		w.feed.notAnswered()
+		w.feed.recordFailure()
 		return w.deliver(ctx, platform.WatchEvent{Err: err})
 	}
 	inbox := w.feed.inbox(w.prefix)
-	ticker := time.NewTicker(turnInterval)
+	ticker := time.NewTicker(roleCheckInterval)
 	defer ticker.Stop()
 	var answer []platform.WatchEvent
 	for {
@@ -78,36 +78,36 @@
 			if event.More {
 				continue
 			}
-			if !w.takeAnswer(ctx, answer) {
+			if !w.handleAnswer(ctx, answer) {
 				return false
 			}
 			answer = nil
-			if !w.feed.watchesNow(w.prefix, clock.Now()) {
+			if !w.feed.shouldWatch(w.prefix, clock.Now()) {
 				return true
 			}
 		case <-ticker.C:
 			now := clock.Now()
-			if !w.feed.watchesNow(w.prefix, now) {
+			if !w.feed.shouldWatch(w.prefix, now) {
 				return true
 			}
 		case changes := <-inbox:
-			w.keep(changes)
+			w.buffer(changes)
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// keep keeps what a watcher passed on, and drops what the service has brought by now. Of more than the inbox holds the oldest goes; the
-// reader then finds a gap.
-func (w *watch) keep(changes *changefeedpb.Changes) {
-	w.ahead = slices.DeleteFunc(append(w.ahead, changes), func(kept *changefeedpb.Changes) bool { return lastRevision(kept) <= w.known })
-	if len(w.ahead) > inboxLength {
-		w.ahead = w.ahead[1:]
+// buffer stores changes that a watcher forwarded and drops those that the service has delivered by now. Beyond inboxLength messages the
+// oldest is dropped; the reader then detects a gap.
+func (w *watch) buffer(changes *changefeedpb.Changes) {
+	w.buffered = slices.DeleteFunc(append(w.buffered, changes), func(kept *changefeedpb.Changes) bool { return lastRevision(kept) <= w.delivered })
+	if len(w.buffered) > inboxLength {
+		w.buffered = w.buffered[1:]
 	}
 }
 
-// lastRevision is that of the last of changes; 0 where there are none.
+// lastRevision returns the revision of the last change; 0 if there are none.
 func lastRevision(changes *changefeedpb.Changes) int64 {
 	if len(changes.Changes) == 0 {
 		return 0
@@ -115,48 +115,49 @@
 	return changes.Changes[len(changes.Changes)-1].Revision
 }
 
-// takeAnswer passes on and delivers one answer of the service, and waits for more changes where it had some; false where the watch has
-// ended.
-func (w *watch) takeAnswer(ctx context.Context, answer []platform.WatchEvent) bool {
+// handleAnswer forwards and delivers one response of the service, and waits for batchDelay if it had changes. It returns false if the
+// watch has ended.
+func (w *watch) handleAnswer(ctx context.Context, answer []platform.WatchEvent) bool {
 	if last := answer[len(answer)-1]; last.Err != nil {
-		w.feed.notAnswered()
+		w.feed.recordFailure()
 		return w.deliver(ctx, last)
 	}
 	change := merge(answer)
-	w.feed.passOn(w.prefix, change, clock.Now())
-	// The reader need not gather either.
+	w.feed.forwardChange(w.prefix, change, clock.Now())
+	// Changes are batched here, so that the reader need not batch them as well.
 	change.More = true
 	if !w.deliver(ctx, change) {
 		return false
 	}
-	w.known = max(w.known, change.Revision)
+	w.delivered = max(w.delivered, change.Revision)
 	changed := len(change.Changed)+len(change.Deleted) > 0
-	return !changed || pause.Sleep(ctx, gatherWait)
+	return !changed || pause.Sleep(ctx, batchDelay)
 }
 
-// follow takes what watchers pass on until it is this node's turn to watch; false where the watch has ended.
-func (w *watch) follow(ctx context.Context) bool {
-	for _, changes := range w.ahead {
-		if !w.take(ctx, changes) {
+// followWatchers delivers the changes that watchers forward until this node has to watch the service. It returns false if the watch has
+// ended.
+func (w *watch) followWatchers(ctx context.Context) bool {
+	for _, changes := range w.buffered {
+		if !w.applyChanges(ctx, changes) {
 			return false
 		}
 	}
-	w.ahead = nil
+	w.buffered = nil
 	inbox := w.feed.inbox(w.prefix)
-	ticker := time.NewTicker(turnInterval)
+	ticker := time.NewTicker(roleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case changes := <-inbox:
-			if !w.take(ctx, changes) {
+			if !w.applyChanges(ctx, changes) {
 				return false
 			}
 		case <-ticker.C:
 			now := clock.Now()
-			if w.feed.watchesNow(w.prefix, now) {
+			if w.feed.shouldWatch(w.prefix, now) {
 				return true
 			}
-			if err := w.feed.missed(w.prefix, w.known, now); err != nil {
+			if err := w.feed.gapError(w.prefix, w.delivered, now); err != nil {
 				return w.deliver(ctx, platform.WatchEvent{Err: err})
 			}
 		case <-ctx.Done():
@@ -165,16 +166,17 @@
 	}
 }
 
-// take delivers what is new of changes; where the change before them is not known, it ends the watch.
-func (w *watch) take(ctx context.Context, changes *changefeedpb.Changes) bool {
-	if lastRevision(changes) <= w.known {
+// applyChanges delivers those of the changes that are new. If the change before them has not been delivered, it ends the watch. It returns
+// false if the watch has ended.
+func (w *watch) applyChanges(ctx context.Context, changes *changefeedpb.Changes) bool {
+	if lastRevision(changes) <= w.delivered {
 		return true
 	}
-	if changes.Previous > w.known {
-		return w.deliver(ctx, platform.WatchEvent{Err: platform.KindCompacted.New("a change was not passed on")})
+	if changes.Previous > w.delivered {
+		return w.deliver(ctx, platform.WatchEvent{Err: platform.KindCompacted.New("a change from the watchers was missed")})
 	}
 	fresh := changes.Changes
-	for len(fresh) > 0 && fresh[0].Revision <= w.known {
+	for len(fresh) > 0 && fresh[0].Revision <= w.delivered {
 		fresh = fresh[1:]
 	}
 	for _, change := range fresh {
@@ -187,8 +189,8 @@
 		if !w.deliver(ctx, event) {
 			return false
 		}
-		w.known = change.Revision
-		w.feed.note(w.prefix, change)
+		w.delivered = change.Revision
+		w.feed.recordChange(w.prefix, change)
 	}
 	return true
 }
@@ -199,35 +201,36 @@
 	return f.state(prefix).inbox
 }
 
-// missed returns why a reader who knows all changes up to known is to learn of the others in another way; nil where none are missing.
-func (f *Feed) missed(prefix string, known int64, now time.Time) error {
+// gapError returns the error that ends the watch of a reader that knows all changes up to known and has missed later ones; nil if it has
+// missed none.
+func (f *Feed) gapError(prefix string, known int64, now time.Time) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	state := f.state(prefix)
-	if !state.missed(known, now) {
+	if !state.hasMissed(known, now) {
 		return nil
 	}
-	if most, bounded := f.mostKept[prefix]; bounded && state.long {
-		return platform.KindTooLong.New("a watcher knows more than %d keys", most)
+	if limit, bounded := f.maxKeys[prefix]; bounded && state.tooManyKeys {
+		return platform.KindTooLong.New("the prefix has more than %d keys by a watcher's position", limit)
 	}
-	return platform.KindCompacted.New("a watcher's position is ahead of what came")
+	return platform.KindCompacted.New("a watcher's position is ahead of the changes received")
 }
 
-// notAnswered notes that the service failed this node, which then is no use as a watcher.
-func (f *Feed) notAnswered() {
+// recordFailure records that the service failed to answer this node, which therefore stops sending heartbeats as a watcher.
+func (f *Feed) recordFailure() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.answered = time.Time{}
+	f.lastAnswer = time.Time{}
 }
 
-// note keeps what a change that a watcher passed on says of the prefix.
-func (f *Feed) note(prefix string, change *changefeedpb.Change) {
+// recordChange updates the state of the prefix by a change that a watcher forwarded.
+func (f *Feed) recordChange(prefix string, change *changefeedpb.Change) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.state(prefix).takeChange(change)
+	f.state(prefix).applyChange(change)
 }
 
-// deletedBy returns the keys that a change removes from what this node knows.
+// deletedBy returns the keys that a change removes from those known to this node.
 func (f *Feed) deletedBy(prefix string, change *changefeedpb.Change) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/changefeed/watchers.go
+++ b/internal/changefeed/watchers.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	// watchers is how many nodes watch the service for all.
-	watchers = 2
-	// watcherHold is how long the service holds a watch of a node that follows it, otherHold that of a node that does not, for prefixes
-	// that do not hurry. A watch that the service has cut without a word is noticed at its end.
-	watcherHold = time.Second
-	otherHold   = 20 * time.Second
+	// watcherCount is the number of nodes that watch the service for all nodes.
+	watcherCount = 2
+	// watcherHold is how long the service holds a watch call of a node that watches for changes, followerHold that of other nodes, for
+	// prefixes that are not urgent. A watch that was cut without a reset is noticed only when this time is over.
+	watcherHold  = time.Second
+	followerHold = 20 * time.Second
 )
 
-// Hold returns how long this node has the key-value service hold a watch: short for a watcher, for a node that gets no
-// heartbeats, and for one that watches a prefix for itself.
+// Hold returns how long this node asks the key-value service to hold a watch call: watcherHold for a watcher, for a node that receives no
+// heartbeats, and for one that watches a prefix only for itself; followerHold otherwise.
 func (f *Feed) Hold() time.Duration {
 	if f.isWatcher(f.viewer.View()) || f.watchersSilent(clock.Now()) || f.watchesAnyAlone() {
 		return watcherHold
 	}
-	return otherHold
+	return followerHold
 }
 
-// isWatcher is Watches, worked out once for each view.
+// isWatcher is Watches, computed once for each view.
 func (f *Feed) isWatcher(view *membership.View) bool {
 	return f.watcher.Of(view, Watches)
 }
 
-// Watches tells whether this node is one of the watchers by its own view: the first live members, of as many zones as there are. A node
-// that knows no other watches.
+// Watches reports whether this node is a watcher by its own view. The watchers are the first live members by ID, spread over as many zones
+// as possible. A node that is not in its own view is a watcher.
 func Watches(view *membership.View) bool {
 	self, found := view.Find(view.Self)
 	if !found || self.State != membership.Alive {
 		return !found
 	}
-	return slices.Contains(chosen(view), view.Self)
+	return slices.Contains(chooseWatchers(view), view.Self)
 }
 
-// chosen returns the watchers.
-func chosen(view *membership.View) []membership.NodeID {
+// chooseWatchers returns the IDs of the watchers.
+func chooseWatchers(view *membership.View) []membership.NodeID {
 	type candidate struct {
 		id membership.NodeID
-		// turn is the number of live members of the same zone before it.
-		turn int
+		// rankInZone is the number of live members of the same zone that precede this one.
+		rankInZone int
 	}
 	var candidates []candidate
-	seen := map[string]int{}
+	aliveInZone := map[string]int{}
 	for _, member := range view.Members {
 		if member.State == membership.Alive {
-			candidates = append(candidates, candidate{id: member.ID, turn: seen[member.Zone]})
-			seen[member.Zone]++
+			candidates = append(candidates, candidate{id: member.ID, rankInZone: aliveInZone[member.Zone]})
+			aliveInZone[member.Zone]++
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.rankInZone, b.rankInZone), cmp.Compare(a.id, b.id))
 	})
 	var ids []membership.NodeID
-	for _, each := range candidates[:min(watchers, len(candidates))] {
-		ids = append(ids, each.id)
+	for _, selected := range candidates[:min(watcherCount, len(candidates))] {
+		ids = append(ids, selected.id)
 	}
 	return ids
 }
--- a/internal/changefeed/zones.go
+++ b/internal/changefeed/zones.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// directFanout is the number of members up to which a watcher sends to each itself. Beyond it the relays of each zone send on, so that a
-	// watcher's link and the links between zones carry each change a few times, however many nodes there are.
+	// directFanout is the number of members up to which a watcher sends directly to every node. Beyond it the relays of each zone
+	// distribute the message, so that a watcher's link and the links between zones carry each change a few times only, regardless of the
+	// number of nodes.
 	directFanout = 400
-	// heartbeatsApart is the least time between two heartbeats that a relay sends on, unless one brings news: two watchers send them.
-	heartbeatsApart = heartbeatInterval * 9 / 10
+	// minRelayInterval is the minimum time between two heartbeats that a relay sends to its zone, unless a heartbeat has a newer position.
+	// Every watcher sends heartbeats, and one per interval is enough.
+	minRelayInterval = heartbeatInterval * 9 / 10
 )
 
-// sendToAll has a message of a watcher reach all other nodes.
+// sendToAll sends a watcher's message to all other nodes, directly or through the relays.
 func (f *Feed) sendToAll(view *membership.View, method transport.Method, message proto.Message) {
 	if len(view.Members) <= directFanout {
 		f.send(view, method, message, func(membership.Member) bool { return true })
@@ -43,7 +45,7 @@
 	f.send(view, method, message, func(member membership.Member) bool { return member.Zone == self.Zone })
 }
 
-// withPassOn returns a copy of a message that has its receivers send it on.
+// withPassOn returns a copy of a message that asks its receivers to relay it to their zone.
 func withPassOn(message proto.Message) proto.Message {
 	copied := proto.Clone(message)
 	switch typed := copied.(type) {
@@ -55,68 +57,72 @@
 	return copied
 }
 
-// send queues message for the other nodes that are wanted. A node whose queue refuses it finds out by the next message or by a heartbeat.
-func (f *Feed) send(view *membership.View, method transport.Method, message proto.Message, wanted func(membership.Member) bool) {
-	refused := 0
-	var last error
+// send queues message for the other nodes for which include returns true. A node for which it cannot be queued detects the gap by the
+// next message or heartbeat.
+func (f *Feed) send(view *membership.View, method transport.Method, message proto.Message, include func(membership.Member) bool) {
+	failed := 0
+	var lastErr error
 	for _, member := range view.Members {
-		if member.ID == view.Self || member.State == membership.Dead || !wanted(member) {
+		if member.ID == view.Self || member.State == membership.Dead || !include(member) {
 			continue
 		}
 		if err := f.caller.Send(member.PeerAddress, method, message); err != nil {
-			refused++
-			last = err
+			failed++
+			lastErr = err
 		}
 	}
-	if refused > 0 {
-		f.logger.Warn().Err(last).Str("method", string(method)).Int("nodes", refused).Msg("message_not_queued")
+	if failed > 0 {
+		f.logger.Warn().Err(lastErr).Str("method", string(method)).Int("nodes", failed).Msg("message_not_queued")
 	}
 }
 
-// zoneState is what a relay has sent on to its zone. It is safe for concurrent use.
-type zoneState struct {
+// relayState tracks what a relay has sent to its zone. It is safe for concurrent use.
+type relayState struct {
 	mutex sync.Mutex
-	// changes are the revisions up to which changes were sent on, positions those of heartbeats, by prefix.
-	changes     map[string]int64
-	positions   map[string]int64
-	heartbeatAt time.Time
+	// sentRevisions holds, by prefix, the revision up to which changes were relayed, sentPositions the position last relayed in a
+	// heartbeat, and heartbeatAt is when that was.
+	sentRevisions map[string]int64
+	sentPositions map[string]int64
+	heartbeatAt   time.Time
 }
 
-func newZoneState() *zoneState {
-	return &zoneState{changes: map[string]int64{}, positions: map[string]int64{}}
+func newRelayState() *relayState {
+	return &relayState{sentRevisions: map[string]int64{}, sentPositions: map[string]int64{}}
 }
 
-// takesChanges says that changes are to be sent on: both watchers send the same, and what has a gap before it would have each receiver list.
-func (z *zoneState) takesChanges(changes *changefeedpb.Changes) bool {
+// acceptChanges reports whether changes are to be relayed, and records them as relayed. Changes that the other watcher has already sent
+// are not, nor are changes after a gap, which would make every receiver list.
+func (z *relayState) acceptChanges(changes *changefeedpb.Changes) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	sent, known := z.changes[changes.GetPrefix()]
+	sent, known := z.sentRevisions[changes.GetPrefix()]
 	if lastRevision(changes) <= sent || known && changes.GetPrevious() > sent {
 		return false
 	}
-	z.changes[changes.GetPrefix()] = lastRevision(changes)
+	z.sentRevisions[changes.GetPrefix()] = lastRevision(changes)
 	return true
 }
 
-// takesHeartbeat says that a heartbeat is to be sent on: it brings a newer position, or the last one was a while ago.
-func (z *zoneState) takesHeartbeat(heartbeat *changefeedpb.Heartbeat, now time.Time) bool {
+// acceptHeartbeat reports whether a heartbeat is to be relayed, and records it as relayed. It is if it has a newer position or if the last
+// one was relayed at least minRelayInterval ago.
+func (z *relayState) acceptHeartbeat(heartbeat *changefeedpb.Heartbeat, now time.Time) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	news := false
+	newer := false
 	for _, position := range heartbeat.GetPositions() {
-		if position.GetRevision() > z.positions[position.GetPrefix()] {
-			z.positions[position.GetPrefix()] = position.GetRevision()
-			news = true
+		if position.GetRevision() > z.sentPositions[position.GetPrefix()] {
+			z.sentPositions[position.GetPrefix()] = position.GetRevision()
+			newer = true
 		}
 	}
-	if !news && now.Sub(z.heartbeatAt) < heartbeatsApart {
+	if !newer && now.Sub(z.heartbeatAt) < minRelayInterval {
 		return false
 	}
 	z.heartbeatAt = now
-	// What a gap held up is read by the nodes themselves now.
-	for prefix, position := range z.positions {
-		if sent, known := z.changes[prefix]; known && position > sent {
-			z.changes[prefix] = position
+	// Nodes list the changes up to the position themselves, so that a gap before it no longer blocks later changes.
+	for prefix, position := range z.sentPositions {
+		if sent, known := z.sentRevisions[prefix]; known && position > sent {
+			z.sentRevisions[prefix] = position
 		}
 	}
 	return true
