--- a/internal/discovery/bounded_store_test.go
+++ b/internal/discovery/bounded_store_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// boundedPage is the number of entries of a page of a boundedStore, entryBytes what one takes on its link, boundedLatency the time of a call.
-	boundedPage    = 200
+	// entriesPerPage is the page size of a boundedStore, entryBytes the size of an entry on its link, callLatency the latency of a call.
+	entriesPerPage = 200
 	entryBytes     = 340
-	boundedLatency = 4 * time.Millisecond
+	callLatency    = 4 * time.Millisecond
 )
 
-// boundedStore is a key-value service whose answers pass one link of bounded rate, one after the other, and which takes so many reading
-// calls a second.
+// boundedStore is a fake key-value service that sends its responses one after the other over a link of limited bandwidth, and limits the
+// rate of calls.
 type boundedStore struct {
 	platform.KeyValue
 	bytesPerSecond float64
@@ -31,26 +31,30 @@
 	entries  map[string]platform.Entry
 	history  []platform.WatchEvent
 	changed  chan struct{}
-	// linkFree is when the link has sent all answers; second counts the calls of the present second, calls all.
-	linkFree time.Time
-	second   map[int64]int
-	calls    int
-	refused  int
-	// down refuses all calls.
+	// linkFree is when the link has sent all responses; callsBySecond counts the calls by Unix second, calls all of them.
+	linkFree      time.Time
+	callsBySecond map[int64]int
+	calls         int
+	rateLimited   int
+	// down makes all calls fail.
 	down bool
-	// forgotten is the revision up to which the history is dropped.
-	forgotten int64
+	// compacted is the revision up to which the history has been dropped.
+	compacted int64
 }
 
 func newBoundedStore(bytesPerSecond float64, readsPerSecond int) *boundedStore {
 	return &boundedStore{
-		bytesPerSecond: bytesPerSecond, readsPerSecond: readsPerSecond, entries: map[string]platform.Entry{}, changed: make(chan struct{}),
-		second: map[int64]int{}, revision: 1,
+		bytesPerSecond: bytesPerSecond,
+		readsPerSecond: readsPerSecond,
+		entries:        map[string]platform.Entry{},
+		changed:        make(chan struct{}),
+		callsBySecond:  map[int64]int{},
+		revision:       1,
 	}
 }
 
-// take admits a call.
-func (s *boundedStore) take() error {
+// admit counts a call, and refuses it if the store is down or the rate limit is exceeded.
+func (s *boundedStore) admit() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls++
@@ -58,15 +62,15 @@
 		return platform.KindUnavailable.New("down")
 	}
 	now := time.Now().Unix()
-	s.second[now]++
-	if s.second[now] > s.readsPerSecond {
-		s.refused++
+	s.callsBySecond[now]++
+	if s.callsBySecond[now] > s.readsPerSecond {
+		s.rateLimited++
 		return platform.KindRateLimited.New("status 429")
 	}
 	return nil
 }
 
-// send waits until an answer with so many entries has come.
+// send waits until a response with the given number of entries has been transferred.
 func (s *boundedStore) send(ctx context.Context, entries int) error {
 	s.mutex.Lock()
 	now := time.Now()
@@ -74,7 +78,7 @@
 		s.linkFree = now
 	}
 	s.linkFree = s.linkFree.Add(time.Duration(float64(entries*entryBytes) / s.bytesPerSecond * float64(time.Second)))
-	wait := s.linkFree.Sub(now) + boundedLatency
+	wait := s.linkFree.Sub(now) + callLatency
 	s.mutex.Unlock()
 	select {
 	case <-time.After(wait):
@@ -88,14 +92,14 @@
 	var listing platform.Listing
 	after := ""
 	for {
-		if err := s.take(); err != nil {
+		if err := s.admit(); err != nil {
 			return platform.Listing{}, err
 		}
-		page, at, more := s.page(prefix, after)
+		page, revision, more := s.page(prefix, after)
 		if err := s.send(ctx, len(page)); err != nil {
 			return platform.Listing{}, err
 		}
-		listing.Revision = cmp.Or(listing.Revision, at)
+		listing.Revision = cmp.Or(listing.Revision, revision)
 		listing.Entries = append(listing.Entries, page...)
 		if !more {
 			return listing, nil
@@ -107,14 +111,14 @@
 	}
 }
 
-func (s *boundedStore) page(prefix, after string) (page []platform.Entry, at int64, more bool) {
+func (s *boundedStore) page(prefix, after string) (page []platform.Entry, revision int64, more bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(s.entries)) {
 		if !strings.HasPrefix(key, prefix) || key <= after {
 			continue
 		}
-		if len(page) == boundedPage {
+		if len(page) == entriesPerPage {
 			return page, s.revision, true
 		}
 		page = append(page, s.entries[key])
@@ -128,7 +132,7 @@
 		defer close(events)
 		since := from - 1
 		for ctx.Err() == nil {
-			answer, at, err := s.hold(ctx, prefix, since)
+			answer, upTo, err := s.hold(ctx, prefix, since)
 			if err != nil {
 				answer = []platform.WatchEvent{{Err: err}}
 			}
@@ -142,37 +146,37 @@
 			if err != nil {
 				return
 			}
-			since = at
+			since = upTo
 		}
 	}()
 	return events, nil
 }
 
-// hold answers one held call.
+// hold answers one held call with the changes after since, and returns the revision up to which they are complete.
 func (s *boundedStore) hold(ctx context.Context, prefix string, since int64) ([]platform.WatchEvent, int64, error) {
-	if err := s.take(); err != nil {
+	if err := s.admit(); err != nil {
 		return nil, 0, err
 	}
-	if s.hasForgotten(since) {
+	if s.isCompacted(since) {
 		return nil, 0, platform.KindCompacted.New("status 410")
 	}
-	over := time.After(time.Second)
-	answer, at, changed := s.since(prefix, since)
-	for held := true; held && len(answer) == 0; answer, at, changed = s.since(prefix, since) {
+	holdExpired := time.After(time.Second)
+	answer, upTo, changed := s.since(prefix, since)
+	for waiting := true; waiting && len(answer) == 0; answer, upTo, changed = s.since(prefix, since) {
 		select {
 		case <-changed:
-		case <-over:
-			held = false
+		case <-holdExpired:
+			waiting = false
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		}
 	}
 	err := s.send(ctx, len(answer))
-	return append(answer, platform.WatchEvent{Revision: at}), at, err
+	return append(answer, platform.WatchEvent{Revision: upTo}), upTo, err
 }
 
-// since returns the changes below prefix behind a revision, the present revision, and a channel that is closed at the next change.
-func (s *boundedStore) since(prefix string, revision int64) (answer []platform.WatchEvent, at int64, changed <-chan struct{}) {
+// since returns the changes below prefix after a revision, the current revision, and a channel that is closed at the next change.
+func (s *boundedStore) since(prefix string, revision int64) (answer []platform.WatchEvent, current int64, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, event := range s.history {
@@ -191,7 +195,7 @@
 	return slices.ContainsFunc(event.Deleted, func(key string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// put writes a key, or removes it where value is empty.
+// put writes a key, or deletes it if value is empty.
 func (s *boundedStore) put(key, value string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -209,17 +213,17 @@
 	s.changed = make(chan struct{})
 }
 
-// forget drops the history.
-func (s *boundedStore) forget() {
+// compact drops the history.
+func (s *boundedStore) compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgotten = s.revision
+	s.compacted = s.revision
 }
 
-func (s *boundedStore) hasForgotten(since int64) bool {
+func (s *boundedStore) isCompacted(since int64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return since < s.forgotten
+	return since < s.compacted
 }
 
 func (s *boundedStore) setDown(down bool) {
--- a/internal/discovery/copied_keys_test.go
+++ b/internal/discovery/copied_keys_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// keyedTranslator reads values that are a version and, behind a blank each, the keys that it allows.
+// keyedTranslator decodes configurations of the form "version key key ...", with the API keys that are allowed.
 type keyedTranslator struct{ plainTranslator }
 
 func (t keyedTranslator) Table(value []byte) (*route.Table, error) {
@@ -25,8 +25,8 @@
 	return table, err
 }
 
-// TestRevokedKeyOfACopy: a key that a copy still has is taken until a newer configuration, of another copy or of the store, revokes it; an
-// older copy that comes late does not bring it back.
+// TestRevokedKeyOfACopy checks that an API key in a copy is valid until a newer configuration, from another copy or the store, revokes it,
+// and that a late older copy does not make it valid again.
 func TestRevokedKeyOfACopy(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -45,8 +45,8 @@
 				store.down = true
 				routes := route.NewHolder()
 				service := New(Options{
-					Store: store, Translator: keyedTranslator{}, Routes: routes, Directory: replica.NewDirectory(), Viewer: &fixedViewer{},
-					Reporter: &reportedRevisions{}, Copies: copies, Logger: zerolog.Nop(),
+					Store: store, Translator: keyedTranslator{}, Routes: routes, Directory: replica.NewDirectory(),
+					Viewer: &fixedViewer{}, Reporter: &revisionRecorder{}, Copies: copies, Logger: zerolog.Nop(),
 				})
 				service.Start()
 				allowed := func(key string) bool {
@@ -55,12 +55,12 @@
 				}
 				copies["op/"](copyOf(1, "op/config", "3 kept revoked"))
 				if !allowed("kept") || !allowed("revoked") {
-					t.Error("keys of the copy are refused")
+					t.Error("API keys of the copy are refused")
 				}
 				test.revoke(store, copies)
 				copies["op/"](copyOf(1, "op/config", "3 kept revoked"))
 				if !allowed("kept") || allowed("revoked") {
-					t.Error("the newer configuration does not hold")
+					t.Error("API keys are not those of the newer configuration")
 				}
 				service.Stop()
 			})
--- a/internal/discovery/copies.go
+++ b/internal/discovery/copies.go
@@ -4,32 +4,34 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// takeCopiedOperators puts a configuration in force that was known some time ago, unless one of its version or a higher one is, and requests of
-// that time. It is no news for other nodes, which may know a newer one, and the store is still asked.
-func (s *Service) takeCopiedOperators(copied platform.Listing) {
+// applyOperatorsCopy applies an older copy of what operators write: the configuration, unless one of the same or a higher version is in
+// force, and the requests for those followers that take copies. It is not reported to other nodes, which may know a newer state, and the
+// store is still asked.
+func (s *Service) applyOperatorsCopy(copied platform.Listing) {
 	for _, follower := range s.followers {
-		if takes, is := follower.(CopyFollower); is {
-			takes.ReplaceByCopy(copied)
+		if copyFollower, ok := follower.(CopyFollower); ok {
+			copyFollower.ReplaceByCopy(copied)
 		}
 	}
-	s.takeConfiguration(copied.Entries)
+	s.applyConfiguration(copied.Entries)
 }
 
-// newsOf returns the newest change that a listing shows, of which read has found news and the directory that some replicas are gone. When
-// these went is not known. Behind a copy, which was no news, all of the listing is.
-func (s *Service) newsOf(listing platform.Listing, news int64, gone int) int64 {
-	if gone > 0 {
-		news = listing.Revision
+// newestChange returns the revision of the newest change in a listing, to be reported to other nodes; 0 if there is none. newest is that of
+// the changed entries, removed the number of removed replicas. The revision of a removal is not known, so that the listing's is used. If the
+// directory held a copy, which was not reported, all entries of the listing count as changed.
+func (s *Service) newestChange(listing platform.Listing, newest int64, removed int) int64 {
+	if removed > 0 {
+		newest = listing.Revision
 	}
-	if !s.replicasByCopy {
-		return news
+	if !s.directoryIsCopy {
+		return newest
 	}
-	s.replicasByCopy = false
-	return max(news, newestOf(listing.Entries))
+	s.directoryIsCopy = false
+	return max(newest, newestRevision(listing.Entries))
 }
 
-// newestOf returns the newest revision at which one of entries was written; 0 where there are none.
-func newestOf(entries []platform.Entry) int64 {
+// newestRevision returns the highest revision at which one of entries was written; 0 if there are none.
+func newestRevision(entries []platform.Entry) int64 {
 	newest := int64(0)
 	for _, entry := range entries {
 		newest = max(newest, entry.ModRevision)
--- a/internal/discovery/evacuation_property_test.go
+++ b/internal/discovery/evacuation_property_test.go
@@ -11,8 +11,8 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// TestEvacuationsAreFollowedWhateverHappens: requests come and go while watches are mute or cut, history is forgotten, the service is down and
-// the node starts again; once the service answers, the node knows what is asked within the bound.
+// TestEvacuationsAreFollowedWhateverHappens makes random evacuation requests while watches stall or are cut, history is compacted, the
+// service goes down and the node restarts. Once the service answers again, the node must know the requested evacuations within the bound.
 func TestEvacuationsAreFollowedWhateverHappens(t *testing.T) {
 	const bound = 4 * time.Second
 	seed := rand.Uint64()
@@ -27,18 +27,18 @@
 				node = disturb(t, random, store, node)
 				time.Sleep(time.Duration(random.IntN(900)) * time.Millisecond)
 			}
-			store.set(func() { store.down, store.mute, store.compacted = false, false, store.revision })
+			store.set(func() { store.down, store.stalled, store.compacted = false, false, store.revision })
 			store.cut(platform.KindUnavailable.New("cut"))
 			time.Sleep(bound)
-			if got, want := node.evacuated(), asked(store); got != want {
-				t.Errorf("%q evacuated, %q asked", got, want)
+			if got, want := node.evacuated(), requestedZones(store); got != want {
+				t.Errorf("zones %q are evacuated, want %q", got, want)
 			}
 			node.Stop()
 		})
 	}
 }
 
-// disturb does one thing; it returns the node, which may be a new one.
+// disturb makes one random request or fault. It returns the node, which is a new one after a restart.
 func disturb(t *testing.T, random *rand.Rand, store *scriptedStore, node *nodeUnderTest) *nodeUnderTest {
 	key := evacuationPrefix + []string{"east", "west"}[random.IntN(2)]
 	switch random.IntN(9) {
@@ -47,7 +47,7 @@
 	case 3, 4:
 		store.put(key, "")
 	case 5:
-		store.set(func() { store.mute = !store.mute })
+		store.set(func() { store.stalled = !store.stalled })
 	case 6:
 		store.set(func() { store.compacted = store.revision })
 		store.cut(platform.KindCompacted.New("gone"))
@@ -56,7 +56,7 @@
 		store.cut(platform.KindUnavailable.New("down"))
 	default:
 		if random.IntN(2) == 0 {
-			node.viewer.tell(membership.Revisions{Configuration: store.revision})
+			node.viewer.publish(membership.Revisions{Configuration: store.revision})
 			return node
 		}
 		node.Stop()
@@ -66,8 +66,8 @@
 	return node
 }
 
-// asked are the zones that operators ask to evacuate, as nodeUnderTest.evacuated has them.
-func asked(store *scriptedStore) string {
+// requestedZones returns the zones whose evacuation is requested, in the form of nodeUnderTest.evacuated.
+func requestedZones(store *scriptedStore) string {
 	var zones []string
 	for _, zone := range []string{"east", "west"} {
 		if _, found := store.entries[evacuationPrefix+zone]; found {
--- a/internal/discovery/evacuation_test.go
+++ b/internal/discovery/evacuation_test.go
@@ -23,14 +23,14 @@
 	return strings.CutPrefix(key, evacuationPrefix)
 }
 
-// zonedTranslator reads replicas that lie in the zone named by their value.
+// zonedTranslator decodes replica entries whose value is the replica's zone.
 type zonedTranslator struct{ plainTranslator }
 
 func (t zonedTranslator) Replica(key string, value []byte) (replica.Info, error) {
 	return replica.Info{ID: t.ReplicaID(key), Service: "s", Zone: string(value)}, nil
 }
 
-// nodeUnderTest follows a store, with evacuations.
+// nodeUnderTest is a Service that follows a store and applies evacuations.
 type nodeUnderTest struct {
 	*Service
 	store     *scriptedStore
@@ -43,8 +43,8 @@
 	t.Helper()
 	node := &nodeUnderTest{store: store, viewer: &fixedViewer{}, routes: route.NewHolder(), directory: replica.NewDirectory()}
 	node.Service = New(Options{
-		Store: store, Translator: zonedTranslator{}, Routes: node.routes, Directory: node.directory, Viewer: node.viewer, Reporter: node.viewer,
-		Logger: zerolog.Nop(),
+		Store: store, Translator: zonedTranslator{}, Routes: node.routes, Directory: node.directory,
+		Viewer: node.viewer, Reporter: node.viewer, Logger: zerolog.Nop(),
 	})
 	metrics, err := evacuation.NewMetrics(prometheus.NewRegistry())
 	if err != nil {
@@ -54,7 +54,7 @@
 	return node
 }
 
-// evacuated says whether the replicas of both zones are, as "east west".
+// evacuated returns the zones whose replica is evacuated, such as "east west".
 func (n *nodeUnderTest) evacuated() string {
 	var zones []string
 	for _, id := range []string{"east", "west"} {
@@ -74,65 +74,66 @@
 }
 
 func TestEvacuationIsLearnt(t *testing.T) {
-	const asked = evacuationPrefix + "east"
+	const eastKey = evacuationPrefix + "east"
 	for _, test := range []struct {
 		name string
-		// before happens before the node starts, after when it has what there is.
+		// before runs before the node starts, after once it has the initial content. The evacuation must be in force as wanted within
+		// the given time after that.
 		before, after func(store *scriptedStore, viewer *fixedViewer)
-		most          time.Duration
+		within        time.Duration
 		want          string
 	}{
-		{"a watch tells", nil, func(store *scriptedStore, _ *fixedViewer) { store.put(asked, "{}") }, time.Second, "east"},
-		{"it is taken back", nil, func(store *scriptedStore, _ *fixedViewer) {
-			store.put(asked, "{}")
+		{"by a watch", nil, func(store *scriptedStore, _ *fixedViewer) { store.put(eastKey, "{}") }, time.Second, "east"},
+		{"one is ended", nil, func(store *scriptedStore, _ *fixedViewer) {
+			store.put(eastKey, "{}")
 			store.put(evacuationPrefix+"west", "{}")
 			time.Sleep(time.Second)
-			store.put(asked, "")
+			store.put(eastKey, "")
 		}, time.Second, "west"},
-		{"taken back and asked again", nil, func(store *scriptedStore, _ *fixedViewer) {
-			store.put(asked, "{}")
-			store.put(asked, "")
-			store.put(asked, "{}")
+		{"ended and requested again", nil, func(store *scriptedStore, _ *fixedViewer) {
+			store.put(eastKey, "{}")
+			store.put(eastKey, "")
+			store.put(eastKey, "{}")
 		}, time.Second, "east"},
 		{"both zones", nil, func(store *scriptedStore, _ *fixedViewer) {
-			store.put(asked, "{}")
+			store.put(eastKey, "{}")
 			store.put(evacuationPrefix+"west", "{}")
 		}, time.Second, "east west"},
-		{"asked before the start", func(store *scriptedStore, _ *fixedViewer) { store.put(asked, "{}") }, nil, time.Second, "east"},
-		{"the first listing comes late", func(store *scriptedStore, _ *fixedViewer) {
+		{"requested before the start", func(store *scriptedStore, _ *fixedViewer) { store.put(eastKey, "{}") }, nil, time.Second, "east"},
+		{"the first listing is late", func(store *scriptedStore, _ *fixedViewer) {
 			store.set(func() { store.down = true })
 		}, func(store *scriptedStore, _ *fixedViewer) {
-			store.put(asked, "{}")
+			store.put(eastKey, "{}")
 			time.Sleep(5 * time.Second)
 			store.set(func() { store.down = false })
 		}, time.Second, "east"},
 		{"the watch is cut", nil, func(store *scriptedStore, _ *fixedViewer) {
-			store.set(func() { store.mute = true })
-			store.put(asked, "{}")
-			store.set(func() { store.mute, store.compacted = false, store.revision })
+			store.set(func() { store.stalled = true })
+			store.put(eastKey, "{}")
+			store.set(func() { store.stalled, store.compacted = false, store.revision })
 			store.cut(platform.KindUnavailable.New("cut"))
 		}, 2 * time.Second, "east"},
-		{"history is gone, and it was taken back meanwhile", func(store *scriptedStore, _ *fixedViewer) {
+		{"history is compacted, and another one ended meanwhile", func(store *scriptedStore, _ *fixedViewer) {
 			store.put(evacuationPrefix+"west", "{}")
 		}, func(store *scriptedStore, _ *fixedViewer) {
-			store.set(func() { store.mute = true })
-			store.put(asked, "{}")
+			store.set(func() { store.stalled = true })
+			store.put(eastKey, "{}")
 			store.put(evacuationPrefix+"west", "")
 			store.cut(platform.KindCompacted.New("gone"))
-			store.set(func() { store.mute = false })
+			store.set(func() { store.stalled = false })
 		}, 2 * time.Second, "east"},
-		{"a mute watch, and another node knows", nil, func(store *scriptedStore, viewer *fixedViewer) {
-			store.set(func() { store.mute = true })
-			store.put(asked, "{}")
-			viewer.tell(membership.Revisions{Configuration: store.revision})
+		{"the watch stalls, and another node knows", nil, func(store *scriptedStore, viewer *fixedViewer) {
+			store.set(func() { store.stalled = true })
+			store.put(eastKey, "{}")
+			viewer.publish(membership.Revisions{Configuration: store.revision})
 		}, time.Second, "east"},
-		{"asked just before the service goes away", nil, func(store *scriptedStore, _ *fixedViewer) {
-			store.set(func() { store.mute = true })
-			store.put(asked, "{}")
+		{"requested just before an outage of the service", nil, func(store *scriptedStore, _ *fixedViewer) {
+			store.set(func() { store.stalled = true })
+			store.put(eastKey, "{}")
 			store.set(func() { store.down = true })
 			store.cut(platform.KindUnavailable.New("down"))
 			time.Sleep(10 * time.Second)
-			store.set(func() { store.down, store.mute, store.compacted = false, false, store.revision })
+			store.set(func() { store.down, store.stalled, store.compacted = false, false, store.revision })
 		}, 2500 * time.Millisecond, "east"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -148,22 +149,22 @@
 				if test.after != nil {
 					test.after(store, node.viewer)
 				}
-				for began := time.Now(); node.evacuated() != test.want; time.Sleep(10 * time.Millisecond) {
-					if time.Since(began) > test.most {
-						t.Fatalf("%q evacuated after %s, want %q", node.evacuated(), test.most, test.want)
+				for start := time.Now(); node.evacuated() != test.want; time.Sleep(10 * time.Millisecond) {
+					if time.Since(start) > test.within {
+						t.Fatalf("zones %q are evacuated after %s, want %q", node.evacuated(), test.within, test.want)
 					}
 				}
 				time.Sleep(time.Minute)
 				if node.evacuated() != test.want {
-					t.Errorf("%q evacuated a minute later, want %q", node.evacuated(), test.want)
+					t.Errorf("zones %q are evacuated a minute later, want %q", node.evacuated(), test.want)
 				}
 			})
 		})
 	}
 }
 
-// TestEvacuationsAreInForceBeforeTheConfiguration: a node serves once it knows a configuration and replicas; it knows then which zones are
-// evacuated.
+// TestEvacuationsAreInForceBeforeTheConfiguration checks that evacuations are in force when the configuration takes effect, since a node
+// starts serving as soon as it has a configuration and replicas.
 func TestEvacuationsAreInForceBeforeTheConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := storeWithTwoZones()
@@ -176,12 +177,13 @@
 		defer node.Stop()
 		synctest.Wait()
 		if evacuated != "east" {
-			t.Errorf("%q evacuated as the configuration came in force, want east", evacuated)
+			t.Errorf("zones %q are evacuated when the configuration takes effect, want east", evacuated)
 		}
 	})
 }
 
-// TestAllThatOperatorsWriteIsOneWatch: evacuations and retirements cost no call beyond those of the configuration and the replicas.
+// TestAllThatOperatorsWriteIsOneWatch checks that evacuations and retirements cost no calls beyond those for the configuration and the
+// replicas.
 func TestAllThatOperatorsWriteIsOneWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := storeWithTwoZones()
@@ -190,12 +192,12 @@
 		defer node.Stop()
 		synctest.Wait()
 		if len(store.watches) != 2 || store.lists != 2 {
-			t.Errorf("%d watches and %d listings, want one each of operators and replicas", len(store.watches), store.lists)
+			t.Errorf("%d watches and %d listings, want one of each for operators and replicas", len(store.watches), store.lists)
 		}
 	})
 }
 
-// recordingReporter holds the newest revision of what operators write that this node reported.
+// recordingReporter records the newest revision of the operators' prefix that the node reported.
 type recordingReporter struct {
 	mutex  sync.Mutex
 	newest int64
@@ -215,27 +217,27 @@
 	return r.newest
 }
 
-// TestRequestsAreReportedByTheirOwnRevision: so that a node whose watch is mute lists. What was only read again, or moved on without a
-// change of the operators, is not reported: each node would list.
+// TestRequestsAreReportedByTheirOwnRevision checks that a request is reported by the revision at which it was written, so that a node whose
+// watch stalls lists. A higher revision without a change by operators, or a deletion, is not reported, as it would make every node list.
 func TestRequestsAreReportedByTheirOwnRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, reporter := storeWithTwoZones(), &recordingReporter{}
 		node := New(Options{
-			Store: store, Translator: zonedTranslator{}, Routes: route.NewHolder(), Directory: replica.NewDirectory(), Viewer: &fixedViewer{},
-			Reporter: reporter, Logger: zerolog.Nop(),
+			Store: store, Translator: zonedTranslator{}, Routes: route.NewHolder(), Directory: replica.NewDirectory(),
+			Viewer: &fixedViewer{}, Reporter: reporter, Logger: zerolog.Nop(),
 		})
 		node.Start()
 		defer node.Stop()
 		for _, step := range []struct {
 			name       string
 			key, value string
-			// reported says that the revision of this step is reported.
+			// reported is true if the revision of this step must be reported.
 			reported bool
 		}{
 			{"a zone is evacuated", evacuationPrefix + "east", "{}", true},
 			{"a replica changes", "replicas/east", "west", false},
-			{"the zone is taken back", evacuationPrefix + "east", "", false},
-			{"it is asked again", evacuationPrefix + "east", "{}", true},
+			{"the evacuation is ended", evacuationPrefix + "east", "", false},
+			{"it is requested again", evacuationPrefix + "east", "{}", true},
 		} {
 			before := reporter.reported()
 			store.put(step.key, step.value)
@@ -245,7 +247,7 @@
 				want = store.revision
 			}
 			if got := reporter.reported(); got != want {
-				t.Errorf("%s at %d: %d is reported, want %d", step.name, store.revision, got, want)
+				t.Errorf("%s at revision %d: reported revision is %d, want %d", step.name, store.revision, got, want)
 			}
 		}
 	})
--- a/internal/discovery/fleet_harness_test.go
+++ b/internal/discovery/fleet_harness_test.go
@@ -26,10 +26,10 @@
 	"github.com/sloelift/sloelift/internal/zonerelay"
 )
 
-// fleetDelay is one way between two nodes.
+// fleetDelay is the one-way delay between two nodes.
 const fleetDelay = time.Millisecond
 
-// fleetTranslator reads values "service zone", with an optional "!" for draining.
+// fleetTranslator decodes replica entries of the form "service zone", with an optional "!" for draining.
 type fleetTranslator struct{ plainTranslator }
 
 func (t fleetTranslator) Replica(key string, value []byte) (replica.Info, error) {
@@ -56,29 +56,31 @@
 	transport *memory.Transport
 	feed      *changefeed.Feed
 	service   *Service
-	// copies is nil unless the fleet has copies.
+	// copies is nil unless testFleet.withCopies is set.
 	copies *snapshotcache.Cache
-	// registry holds the figures of transport.
+	// registry holds the metrics of transport.
 	registry *prometheus.Registry
 	running  bool
 }
 
-// testFleet is a number of nodes before one store. All know each other from the start.
+// testFleet runs several nodes against one store. All know each other from the start.
 type testFleet struct {
 	t       *testing.T
 	store   platform.KeyValue
 	network *memory.Network
 	nodes   []*fleetNode
-	// listings are those that nodes asked the store for, so that a test that fails says who asked for what.
+	// listings logs the listings that nodes requested from the store, for the output of a failed test.
 	listings listingLog
-	// withCopies has each node keep what it follows, and the first relay read long lists for the others.
+	// withCopies gives each node a cache of what it follows, and makes the first relay read long lists for the others.
 	withCopies bool
 }
 
-// newTestFleet returns nodes that have not been started: every fifth has a data folder.
+// newTestFleet returns a fleet of nodes that are not started. Every fifth node has a data folder.
 func newTestFleet(t *testing.T, store platform.KeyValue, count int) *testFleet {
 	fleet := &testFleet{t: t, store: store, network: memory.NewNetwork(1)}
-	fleet.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions { return memory.Conditions{Delay: fleetDelay} })
+	fleet.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
+		return memory.Conditions{Delay: fleetDelay}
+	})
 	for number := range count {
 		fleet.nodes = append(fleet.nodes, &fleetNode{
 			id:      membership.NodeID(fmt.Sprintf("node-%04d", number)),
@@ -88,11 +90,13 @@
 	return fleet
 }
 
-// members are all nodes, the lost ones dead.
+// members returns all nodes as members; those that were stopped are dead.
 func (f *testFleet) members() []membership.Member {
 	var members []membership.Member
 	for number, node := range f.nodes {
-		member := membership.Member{ID: node.id, Zone: fleetZones[number%len(fleetZones)], PeerAddress: node.address, Store: number%5 == 0}
+		member := membership.Member{
+			ID: node.id, Zone: fleetZones[number%len(fleetZones)], PeerAddress: node.address, Store: number%5 == 0,
+		}
 		if node.transport != nil && !node.running {
 			member.State = membership.Dead
 		}
@@ -120,7 +124,8 @@
 	}
 	node.viewer = membershiptest.NewViewer(&membership.View{Self: node.id, Members: members})
 	node.directory = replica.NewDirectory()
-	node.feed = changefeed.New(loggedStore{KeyValue: f.store, node: node.id, log: &f.listings}, node.transport, node.transport, node.viewer, zerolog.Nop())
+	node.feed = changefeed.New(loggedStore{KeyValue: f.store, node: node.id, log: &f.listings},
+		node.transport, node.transport, node.viewer, zerolog.Nop())
 	all, keeper := roster.New(), roster.NewKeeper(node.directory)
 	options := Options{
 		Store: node.feed, Translator: fleetTranslator{}, Routes: route.NewHolder(), Directory: node.directory, Viewer: node.viewer,
@@ -128,13 +133,13 @@
 	}
 	node.feed.WatchAlone("replicas/", roster.MostKeptByEach, all.Long)
 	roster.NewRelay(all, func() bool { return !node.feed.Answered() }, node.transport)
-	following := roster.FollowerOptions{
+	followerOptions := roster.FollowerOptions{
 		Node: node.id, Zone: zone, Caller: node.transport, Viewer: node.viewer, Keeper: keeper, Logger: zerolog.Nop(),
 	}
 	if !hasStore(members, node.id) {
-		following.Seeds = f.seeds()
+		followerOptions.Seeds = f.seeds()
 	}
-	options.Relays = roster.NewFollower(following)
+	options.Relays = roster.NewFollower(followerOptions)
 	if f.withCopies {
 		node.copies = f.copiesOf(node)
 		options.Store, options.Copies = node.copies, node.copies
@@ -148,7 +153,7 @@
 	node.service.Start()
 }
 
-// copiesOf returns what a node keeps of what it follows.
+// copiesOf returns a cache of what a node follows.
 func (f *testFleet) copiesOf(node *fleetNode) *snapshotcache.Cache {
 	copies, err := snapshotcache.New(snapshotcache.Options{
 		Lister: func() (snapshotcache.Lister, bool) {
@@ -156,7 +161,8 @@
 			return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == node.id}, found
 		},
 		MostShort: roster.MostKeptByEach, Store: node.feed, Caller: node.transport, Registrar: node.transport, Viewer: node.viewer,
-		Join: func(netip.AddrPort) {}, Unanswered: node.feed.Unanswered, Seeds: f.seeds(), Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
+		Join: func(netip.AddrPort) {}, Unanswered: node.feed.Unanswered, Seeds: f.seeds(),
+		Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -164,7 +170,7 @@
 	return copies
 }
 
-// seeds are the first nodes with a data folder.
+// seeds returns the addresses of the first three nodes with a data folder.
 func (f *testFleet) seeds() []netip.AddrPort {
 	return []netip.AddrPort{f.nodes[0].address, f.nodes[5].address, f.nodes[10].address}
 }
@@ -181,7 +187,7 @@
 	}
 }
 
-// stopNode ends a node without a word; the others are not shown that it is gone.
+// stopNode stops a node without a leaving message. It stays alive in the other nodes' views until publishLosses.
 func (f *testFleet) stopNode(node *fleetNode) {
 	node.running = false
 	node.service.Stop()
@@ -192,8 +198,8 @@
 	node.transport.Stop()
 }
 
-// showLost shows the nodes that run which ones do not.
-func (f *testFleet) showLost() {
+// publishLosses updates the views of the running nodes, in which the stopped ones become dead.
+func (f *testFleet) publishLosses() {
 	members := f.members()
 	for _, node := range f.nodes {
 		if node.running {
@@ -202,8 +208,8 @@
 	}
 }
 
-// enter has replicas from one number up to another enter themselves, so many a second.
-func enter(store *boundedStore, from, to, perSecond int) {
+// registerReplicas writes the entries of the replicas with numbers from from up to but not including to, perSecond of them per second.
+func registerReplicas(store *boundedStore, from, to, perSecond int) {
 	const step = 100 * time.Millisecond
 	for number := from; number < to; {
 		for range max(1, perSecond/int(time.Second/step)) {
@@ -220,7 +226,7 @@
 
 func replicaValue(number int) string { return "s " + fleetZones[number%len(fleetZones)] }
 
-// usable counts the replicas that a node may send requests to.
+// usable returns the number of replicas to which a node may send requests.
 func (n *fleetNode) usable() int {
 	count := 0
 	for handle := range n.directory.View().All() {
@@ -231,21 +237,23 @@
 	return count
 }
 
-// cut has nothing pass between a node and the others.
-func (f *testFleet) cut(node *fleetNode) {
+// isolate drops all messages between a node and the others.
+func (f *testFleet) isolate(node *fleetNode) {
 	f.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: fleetDelay, Cut: from == node.address || to == node.address}
 	})
 }
 
-// heal ends all cuts.
+// heal ends the isolation of all nodes.
 func (f *testFleet) heal() {
-	f.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions { return memory.Conditions{Delay: fleetDelay} })
+	f.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
+		return memory.Conditions{Delay: fleetDelay}
+	})
 }
 
-// questions counts the questions for parts that all nodes have sent.
-func (f *testFleet) questions() int {
-	asked := 0.0
+// partRequests returns the number of requests for parts that all nodes have sent to relays.
+func (f *testFleet) partRequests() int {
+	frames := 0.0
 	for _, node := range f.nodes {
 		families, err := node.registry.Gather()
 		if err != nil {
@@ -258,22 +266,22 @@
 			for _, metric := range family.GetMetric() {
 				labels := fmt.Sprint(metric.GetLabel())
 				if strings.Contains(labels, "roster.follow") && strings.Contains(labels, transport.DirectionSent) {
-					asked += metric.GetCounter().GetValue()
+					frames += metric.GetCounter().GetValue()
 				}
 			}
 		}
 	}
-	// A relay's answers are counted as sent too.
-	return int(asked / 2)
+	// The relays' responses are counted as sent frames too.
+	return int(frames / 2)
 }
 
-// noCaller reaches nobody.
-type noCaller struct{}
+// unreachableCaller is a transport.Caller that reaches no node.
+type unreachableCaller struct{}
 
-func (noCaller) Call(context.Context, netip.AddrPort, transport.Method, proto.Message, proto.Message) error {
+func (unreachableCaller) Call(context.Context, netip.AddrPort, transport.Method, proto.Message, proto.Message) error {
 	return transport.KindNotSent.New("nobody is reached")
 }
 
-func (noCaller) Send(netip.AddrPort, transport.Method, proto.Message) error {
+func (unreachableCaller) Send(netip.AddrPort, transport.Method, proto.Message) error {
 	return transport.KindNotSent.New("nobody is reached")
 }
--- a/internal/discovery/forgotten_history_test.go
+++ b/internal/discovery/forgotten_history_test.go
@@ -9,59 +9,61 @@
 )
 
 const (
-	// forgets is how often the store forgets its history, forgetInterval how far apart, and drainsEach how many replicas drain before each.
-	forgets        = 10
-	forgetInterval = time.Second
-	drainsEach     = 60
-	// drainKnownWithin is the platform's least bound at the sizes at which the list is long.
+	// compactions is how often the store compacts its history, compactionInterval the time between two compactions, and drainsPerCompaction
+	// the number of replicas that start draining before each.
+	compactions         = 10
+	compactionInterval  = time.Second
+	drainsPerCompaction = 60
+	// drainKnownWithin is the platform's shortest bound at fleet sizes with a long list.
 	drainKnownWithin = 5 * time.Second
 )
 
-// startFleetWithCopies is startFleet of nodes that keep what they follow.
+// startFleetWithCopies is startFleet with withCopies set.
 func startFleetWithCopies(t *testing.T, nodes int) (*testFleet, *boundedStore) {
-	store := newBoundedStore(fleetBytesPerSecond, fleetReads)
+	store := newBoundedStore(fleetBytesPerSecond, fleetReadsPerSecond)
 	fleet := newTestFleet(t, store, nodes)
 	fleet.withCopies = true
-	return startedFleet(fleet, store)
+	return startWithReplicas(fleet, store)
 }
 
-// drainAndForget has replicas drain, each of them once, while the store forgets its history again and again.
-func drainAndForget(store *boundedStore) {
+// drainAndCompact makes replicas drain, each of them once, while the store compacts its history repeatedly.
+func drainAndCompact(store *boundedStore) {
 	number := 0
-	for range forgets {
-		for range drainsEach {
+	for range compactions {
+		for range drainsPerCompaction {
 			store.put(replicaKey(number), replicaValue(number)+"!")
 			number += 2
-			time.Sleep(forgetInterval / drainsEach)
+			time.Sleep(compactionInterval / drainsPerCompaction)
 		}
-		store.forget()
+		store.compact()
 	}
 }
 
-// TestForgottenHistoryDrawsFewCalls: where the store forgets its history again and again while replicas change, the whole list is read by one node
-// for all that keep it, and all know what has changed.
+// TestForgottenHistoryDrawsFewCalls checks that if the store compacts its history repeatedly while replicas change, a single node reads the
+// whole list for all nodes that keep it, and all nodes learn of the changes.
 func TestForgottenHistoryDrawsFewCalls(t *testing.T) {
 	for _, nodes := range []int{60, 120} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet, store := startFleetWithCopies(t, nodes)
 			before := store.callsMade()
-			drainAndForget(store)
+			drainAndCompact(store)
 			time.Sleep(drainKnownWithin)
-			fleet.checkDrainedTo(2 * forgets * drainsEach)
+			fleet.checkDrainedBelow(2 * compactions * drainsPerCompaction)
 			relays := zonerelay.PerZone * len(fleetZones)
-			wholeList := fleetReplicas/boundedPage + 1
-			seconds := int((forgets*forgetInterval + drainKnownWithin) / time.Second)
-			// Each relay and the two that watch what operators write ask about twice a second at most, and once more for each history that is gone.
-			most := forgets*wholeList + 2*seconds*(relays+2) + 2*forgets*(relays+2)
-			if calls := store.callsMade() - before; calls > most {
-				t.Errorf("%d nodes: %d calls of the store, want %d at most", nodes, calls, most)
+			wholeList := fleetReplicas/entriesPerPage + 1
+			seconds := int((compactions*compactionInterval + drainKnownWithin) / time.Second)
+			// Each relay and the two watchers of the operators' prefix make at most about two calls per second, and more for each compaction.
+			maxCalls := compactions*wholeList + 2*seconds*(relays+2) + 2*compactions*(relays+2)
+			if calls := store.callsMade() - before; calls > maxCalls {
+				t.Errorf("%d nodes: %d calls to the store, want at most %d", nodes, calls, maxCalls)
 			}
 			fleet.stop()
 		})
 	}
 }
 
-// TestForgottenHistoryWithoutTheLister: the same is known in time where the node that reads the list for the others is lost without a word.
+// TestForgottenHistoryWithoutTheLister checks that the changes are known in time although the node that reads the list for the others has
+// stopped without a leaving message.
 func TestForgottenHistoryWithoutTheLister(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, store := startFleetWithCopies(t, 60)
@@ -71,9 +73,9 @@
 				fleet.stopNode(node)
 			}
 		}
-		drainAndForget(store)
+		drainAndCompact(store)
 		time.Sleep(drainKnownWithin)
-		fleet.checkDrainedTo(2 * forgets * drainsEach)
+		fleet.checkDrainedBelow(2 * compactions * drainsPerCompaction)
 		fleet.stop()
 	})
 }
--- a/internal/discovery/listing_log_test.go
+++ b/internal/discovery/listing_log_test.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// listingLog records the listings of all nodes of a fleet. It is safe for concurrent use.
+// listingLog records the listings of all nodes of a testFleet. It is safe for concurrent use.
 type listingLog struct {
 	mutex sync.Mutex
 	lines []string
@@ -22,14 +22,14 @@
 	l.lines = append(l.lines, line)
 }
 
-// all returns a line for each listing that has ended, in the order of their ends.
+// all returns a line for each completed listing, in the order of completion.
 func (l *listingLog) all() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return append([]string(nil), l.lines...)
 }
 
-// loggedStore is one node's way to the store of a fleet.
+// loggedStore is a node's access to the store of a testFleet, which logs its listings.
 type loggedStore struct {
 	platform.KeyValue
 	node membership.NodeID
@@ -40,6 +40,7 @@
 func (s loggedStore) List(ctx context.Context, prefix string) (platform.Listing, error) {
 	began := time.Now()
 	listing, err := s.KeyValue.List(ctx, prefix)
-	s.log.add(fmt.Sprintf("%s: %s lists %s: %d entries after %s, %v", began.Format("05.000"), s.node, prefix, len(listing.Entries), time.Since(began).Round(time.Millisecond), err))
+	s.log.add(fmt.Sprintf("%s: %s lists %s: %d entries after %s, error %v",
+		began.Format("05.000"), s.node, prefix, len(listing.Entries), time.Since(began).Round(time.Millisecond), err))
 	return listing, err
 }
--- a/internal/discovery/replica_source.go
+++ b/internal/discovery/replica_source.go
@@ -14,115 +14,115 @@
 )
 
 const (
-	// roleInterval is how often a node that keeps a long list looks whether it is still a relay.
-	roleInterval = 500 * time.Millisecond
-	// askRelaysAfter is how long a node that starts waits for the store before it asks relays whether the list is long, and how often it does
-	// so then.
-	askRelaysAfter = 300 * time.Millisecond
-	// shortestAlone is how long a node that reaches no relay keeps the list itself before it asks relays again, longestAlone bounds that time,
-	// which doubles while none answers.
-	shortestAlone = 5 * time.Second
-	longestAlone  = 40 * time.Second
+	// roleCheckInterval is how often a node that keeps a long list checks whether it is still a relay.
+	roleCheckInterval = 500 * time.Millisecond
+	// relayQueryInterval is how long a starting node waits for the store before it asks relays whether the list is long, and the interval
+	// of further queries.
+	relayQueryInterval = 300 * time.Millisecond
+	// minDirectFollow is how long a node that reaches no relay follows the whole list at the store before it asks relays again. The time
+	// doubles, up to maxDirectFollow, while none responds.
+	minDirectFollow = 5 * time.Second
+	maxDirectFollow = 40 * time.Second
 )
 
-// followReplicas follows the replicas until ctx ends: all of them at the store while there are few, or where this node is a relay, and else
-// its part at relays.
+// followReplicas follows the replicas until ctx ends: all of them at the store if the list is short or this node is a relay, otherwise this
+// node's part of the list at relays.
 func (s *Service) followReplicas(ctx context.Context) {
 	if s.relays != nil && s.relays.LongBySeeds(ctx) {
 		s.roster.SetLong(true)
 	}
-	alone := shortestAlone
+	directFollow := minDirectFollow
 	for ctx.Err() == nil {
-		if s.keepsAll() {
+		if s.keepsWholeList() {
 			s.followAll(ctx)
 			continue
 		}
-		s.leaveList()
+		s.dropList()
 		switch s.relays.Run(ctx) {
 		case roster.EndShort:
 			s.roster.SetLong(false)
-			alone = shortestAlone
+			directFollow = minDirectFollow
 		case roster.EndAlone:
-			s.followAlone(ctx, alone)
-			alone = min(longestAlone, 2*alone)
+			s.followDirectly(ctx, directFollow)
+			directFollow = min(maxDirectFollow, 2*directFollow)
 		case roster.EndRelay, roster.EndStopped:
-			alone = shortestAlone
+			directFollow = minDirectFollow
 		}
 	}
 }
 
-// keepsAll says that this node is to keep the whole list.
-func (s *Service) keepsAll() bool {
+// keepsWholeList reports whether this node has to keep the whole list.
+func (s *Service) keepsWholeList() bool {
 	return !s.keepsPart() || s.relays.IsRelay(clock.Now()) || s.roster.Loaded() && s.relays.MayBeRelay()
 }
 
-// leaveList drops the whole list, which this node no longer keeps.
-func (s *Service) leaveList() {
+// dropList drops the whole list, which this node no longer has to keep, and ends the supply of copies of it.
+func (s *Service) dropList() {
 	s.roster.Forget()
 	if s.copies != nil {
 		s.copies.Settle(s.translator.ReplicaPrefix())
 	}
 }
 
-// followAll follows all replicas at the store for as long as this node is to keep them.
+// followAll follows all replicas at the store for as long as this node has to keep the whole list.
 func (s *Service) followAll(ctx context.Context) {
-	ctx, leave := context.WithCancel(ctx)
-	defer leave()
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
 	var running sync.WaitGroup
 	defer running.Wait()
-	follower := s.allFollower(leave)
+	follower := s.wholeListFollower(stop)
 	follower.Long = s.keepsPart()
 	if s.relays != nil {
-		running.Go(func() { s.leaveUnlessRelay(ctx, leave) })
+		running.Go(func() { s.stopUnlessListKept(ctx, stop) })
 	}
 	if s.relays != nil && !follower.Long {
 		follower.MostEntries = roster.MostKeptByEach
-		running.Go(func() { s.askRelays(ctx, leave) })
+		running.Go(func() { s.queryRelays(ctx, stop) })
 	}
 	platform.Follow(ctx, s.store, s.translator.ReplicaPrefix(), follower)
-	leave()
+	stop()
 }
 
-// leaveUnlessRelay calls leave once this node is no longer to keep the whole list.
-func (s *Service) leaveUnlessRelay(ctx context.Context, leave func()) {
-	pause.Every(ctx, roleInterval, func(time.Time) {
-		if !s.keepsAll() {
-			leave()
+// stopUnlessListKept calls stop once this node no longer has to keep the whole list.
+func (s *Service) stopUnlessListKept(ctx context.Context, stop func()) {
+	pause.Every(ctx, roleCheckInterval, func(time.Time) {
+		if !s.keepsWholeList() {
+			stop()
 		}
 	})
 }
 
-// followAlone follows all replicas at the store for a while, on a node that reaches no relay.
-func (s *Service) followAlone(ctx context.Context, span time.Duration) {
-	ctx, leave := context.WithTimeout(ctx, span)
-	defer leave()
-	follower := s.allFollower(func() {})
+// followDirectly follows all replicas at the store for the given duration, on a node that reaches no relay.
+func (s *Service) followDirectly(ctx context.Context, duration time.Duration) {
+	ctx, stop := context.WithTimeout(ctx, duration)
+	defer stop()
+	follower := s.wholeListFollower(func() {})
 	follower.Long = true
 	platform.Follow(ctx, s.store, s.translator.ReplicaPrefix(), follower)
 }
 
-// allFollower takes in all replicas; leave is called once this node is no longer to keep them.
-func (s *Service) allFollower(leave func()) platform.Follower {
-	leaveIfLong := func() {
-		if !s.keepsAll() {
-			leave()
+// wholeListFollower returns the follower of all replicas. It calls stop once this node no longer has to keep the whole list.
+func (s *Service) wholeListFollower(stop func()) platform.Follower {
+	stopUnlessListKept := func() {
+		if !s.keepsWholeList() {
+			stop()
 		}
 	}
 	return platform.Follower{
 		Replace: func(listing platform.Listing) {
 			s.replaceReplicas(listing)
-			leaveIfLong()
+			stopUnlessListKept()
 		},
 		Update: func(revision int64, changed []platform.Entry, deleted []string) {
 			s.updateReplicas(revision, changed, deleted)
-			leaveIfLong()
+			stopUnlessListKept()
 		},
 		Failed: s.replicasFailed,
 		Behind: s.replicas.behind,
 	}
 }
 
-// replicasFailed takes in why the replicas could not be followed.
+// replicasFailed handles an error in following the replicas. KindTooLong means that the list is long.
 func (s *Service) replicasFailed(err error) {
 	if errorx.IsOfType(err, platform.KindTooLong) {
 		s.roster.SetLong(true)
@@ -130,16 +130,16 @@
 	s.logger.Warn().Err(err).Msg("replicas_not_followed")
 }
 
-// askRelays asks relays whether the list is long while the store has not listed it, so that a node that starts while the store does not
-// answer gets its part; leave is called once that is known.
-func (s *Service) askRelays(ctx context.Context, leave func()) {
-	for attempt := 0; pause.Sleep(ctx, askRelaysAfter); attempt++ {
+// queryRelays asks relays whether the list is long until the store has listed it, so that a node that starts during an outage of the store
+// gets its part. It calls stop once the list is known to be long.
+func (s *Service) queryRelays(ctx context.Context, stop func()) {
+	for attempt := 0; pause.Sleep(ctx, relayQueryInterval); attempt++ {
 		if s.roster.Listed() {
 			return
 		}
 		if s.relays.LongByRelay(ctx, attempt) {
 			s.roster.SetLong(true)
-			leave()
+			stop()
 			return
 		}
 	}
--- a/internal/discovery/replicas.go
+++ b/internal/discovery/replicas.go
@@ -8,24 +8,24 @@
 	"github.com/sloelift/sloelift/internal/roster"
 )
 
-// replaceReplicas takes a listing of the store.
+// replaceReplicas applies a listing of the store.
 func (s *Service) replaceReplicas(listing platform.Listing) {
-	replicas, _, news := s.read(listing.Entries)
-	gone := s.roster.Replace(replicas, listing.Revision)
+	replicas, _, newest := s.translate(listing.Entries)
+	removed := s.roster.Replace(replicas, listing.Revision)
 	s.logger.Info().Int("replicas", len(replicas)).Int64(logging.FieldRevision, listing.Revision).Msg("replicas_listed")
-	s.replicas.saw(listing.Revision)
+	s.replicas.recordSeen(listing.Revision)
 	if s.keepsPart() {
-		s.replicasByCopy = false
+		s.directoryIsCopy = false
 		s.publishPart(false)
 		return
 	}
 	s.publishAll(replicas)
-	if news = s.newsOf(listing, news, gone); news > 0 {
-		s.replicas.tookChange(news)
+	if newest = s.newestChange(listing, newest, removed); newest > 0 {
+		s.replicas.recordChange(newest)
 	}
 }
 
-// updateReplicas takes changes that the store reports.
+// updateReplicas applies changes reported by the store.
 func (s *Service) updateReplicas(revision int64, changed []platform.Entry, deleted []string) {
 	removed := make([]string, 0, len(deleted))
 	for _, key := range deleted {
@@ -34,10 +34,10 @@
 			s.logger.Info().Str(logging.FieldReplica, s.translator.ReplicaID(key)).Msg("replica_gone")
 		}
 	}
-	replicas, unusable, _ := s.read(changed)
+	replicas, unusable, _ := s.translate(changed)
 	removed = append(removed, unusable...)
 	s.roster.Update(replicas, removed, revision)
-	s.replicas.saw(revision)
+	s.replicas.recordSeen(revision)
 	if len(changed)+len(deleted) == 0 {
 		return
 	}
@@ -46,19 +46,19 @@
 		return
 	}
 	if s.partPublished {
-		// The list was long until this change.
+		// The list was long until this change, so that the directory holds only a part of it.
 		s.publishAll(s.roster.All())
 	} else {
 		s.directory.Update(replicas, removed)
 	}
-	s.replicas.tookChange(revision)
+	s.replicas.recordChange(revision)
 }
 
-// takeCopiedReplicas makes replicas that were known some time ago the content of the directory, until the store lists them.
-func (s *Service) takeCopiedReplicas(copied platform.Listing) {
-	replicas, _, _ := s.read(copied.Entries)
+// applyReplicasCopy makes an older copy of the replicas the content of the directory, until the store lists them.
+func (s *Service) applyReplicasCopy(copied platform.Listing) {
+	replicas, _, _ := s.translate(copied.Entries)
 	s.roster.ReplaceByCopy(replicas, copied.Revision)
-	s.replicasByCopy = true
+	s.directoryIsCopy = true
 	s.logger.Info().Int("replicas", len(replicas)).Int64(logging.FieldRevision, copied.Revision).Msg("replicas_taken_from_copy")
 	if s.keepsPart() {
 		s.publishPart(true)
@@ -67,28 +67,29 @@
 	s.directory.ReplaceByCopy(replicas)
 }
 
-// read translates entries. unusable are the IDs of entries that name no replica to use: what an earlier entry said is not kept in its place.
-// news is the newest revision of those entries that say what was not known, 0 where none does.
-func (s *Service) read(entries []platform.Entry) (replicas []replica.Info, unusable []string, news int64) {
+// translate translates entries. unusable holds the IDs of entries that cannot be translated; the caller removes these replicas, so that no
+// earlier entry stays in force. newest is the highest revision of the entries of new, restarted, draining or undrained replicas, 0 if
+// there are none.
+func (s *Service) translate(entries []platform.Entry) (replicas []replica.Info, unusable []string, newest int64) {
 	replicas = make([]replica.Info, 0, len(entries))
 	for _, entry := range entries {
 		info, err := s.translator.Replica(entry.Key, entry.Value)
 		if err != nil {
 			unusable = append(unusable, s.translator.ReplicaID(entry.Key))
-			s.noteUnusable(entry, err)
+			s.recordUnusable(entry, err)
 			continue
 		}
-		known, kept := s.roster.Find(info.ID)
-		if !kept || known.Draining != info.Draining || known.Born < info.Born {
-			news = max(news, entry.ModRevision)
+		known, found := s.roster.Find(info.ID)
+		if !found || known.Draining != info.Draining || known.Born < info.Born {
+			newest = max(newest, entry.ModRevision)
 			s.logChanged(info)
 		}
 		replicas = append(replicas, info)
 	}
-	return replicas, unusable, news
+	return replicas, unusable, newest
 }
 
-// logChanged logs what an entry says that was not known; of a long list that would be more lines than anybody reads.
+// logChanged logs a changed entry, unless the list is long, which would flood the log.
 func (s *Service) logChanged(info replica.Info) {
 	if s.roster.Long() {
 		return
@@ -97,10 +98,10 @@
 		Str("replica_zone", info.Zone).Bool("draining", info.Draining).Msg("replica_changed")
 }
 
-// keepsPart says that the directory holds this node's part of the replicas.
+// keepsPart reports whether the list is long, so that the directory holds only this node's part of it.
 func (s *Service) keepsPart() bool { return s.relays != nil && s.roster.Long() }
 
-// publishPart brings this node's part of the list to the directory.
+// publishPart makes this node's part of the list the content of the directory; copied is true if the list is an older copy.
 func (s *Service) publishPart(copied bool) {
 	part := roster.Part{Node: string(s.node), Zone: s.zone, Width: s.keeper.Width(clock.Now())}
 	replicas, elsewhere := s.roster.Part(part)
--- a/internal/discovery/revisions.go
+++ b/internal/discovery/revisions.go
@@ -10,69 +10,70 @@
 	"github.com/sloelift/sloelift/internal/subscription"
 )
 
-// behindPatience is how long this node's own watch is given to bring what another node knows. The nodes that watch gather changes for
-// up to 600 ms before they pass them on (changefeed); a node that listed again sooner would know more than they do, and all others
-// would take themselves for behind in turn.
-const behindPatience = 750 * time.Millisecond
+// behindGrace is how long this node waits for its own watch to deliver a change that another node knows, before it lists again. The
+// watchers batch changes for up to 600 ms before they forward them (package changefeed); a node that listed sooner would know more than
+// they do, and all other nodes would consider themselves behind in turn.
+const behindGrace = 750 * time.Millisecond
 
-// revisions compares what this node knows of one prefix with what the other nodes know of it. It is safe for concurrent use.
+// revisions compares the revision up to which this node knows one prefix with the revisions known to the other nodes. It is safe for
+// concurrent use.
 type revisions struct {
-	// report spreads the revision of a change to the other nodes.
+	// report publishes the revision of a change to the other nodes.
 	report func(revision int64)
-	// behind asks for a listing.
+	// behind signals that a listing is needed.
 	behind chan struct{}
 	logger zerolog.Logger
 
 	mutex sync.Mutex
-	// changed is the revision of the newest change that this node knows, seen the revision up to which it knows the prefix, and
-	// newestElsewhere the newest change that another node knows; all are guarded by mutex.
-	changed         int64
-	seen            int64
-	newestElsewhere int64
-	timer           *time.Timer
+	// newestChange is the revision of the newest change known to this node, seen the revision up to which it knows the prefix, and
+	// othersNewest the revision of the newest change known to another node. All are guarded by mutex.
+	newestChange int64
+	seen         int64
+	othersNewest int64
+	timer        *time.Timer
 }
 
 func newRevisions(report func(revision int64), logger zerolog.Logger) *revisions {
 	return &revisions{report: report, behind: make(chan struct{}, 1), logger: logger}
 }
 
-// tookChange notes a change at revision, which is reported to the other nodes.
-func (r *revisions) tookChange(revision int64) {
+// recordChange records a change at revision and reports it to the other nodes if it is the newest.
+func (r *revisions) recordChange(revision int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if revision > r.changed {
-		r.changed = revision
+	if revision > r.newestChange {
+		r.newestChange = revision
 		r.report(revision)
 	}
 }
 
-// saw notes that this node knows the prefix up to revision.
-func (r *revisions) saw(revision int64) {
+// recordSeen records that this node knows the prefix up to revision.
+func (r *revisions) recordSeen(revision int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.seen = max(r.seen, revision)
 }
 
-// takeOthers takes the newest change that another node knows. Some time later it is looked whether this node knows it too.
-func (r *revisions) takeOthers(newest int64) {
+// compareWithOthers records the newest change known to another node. If this node still does not know it after behindGrace, it lists again.
+func (r *revisions) compareWithOthers(newest int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.newestElsewhere = max(r.newestElsewhere, newest)
-	if r.newestElsewhere <= r.seen || r.timer != nil {
+	r.othersNewest = max(r.othersNewest, newest)
+	if r.othersNewest <= r.seen || r.timer != nil {
 		return
 	}
-	r.timer = time.AfterFunc(behindPatience, r.askAgain)
+	r.timer = time.AfterFunc(behindGrace, r.requestListing)
 }
 
-// askAgain asks for a listing where this node is still behind.
-func (r *revisions) askAgain() {
+// requestListing signals that a listing is needed if this node is still behind.
+func (r *revisions) requestListing() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.timer = nil
-	if r.newestElsewhere <= r.seen {
+	if r.othersNewest <= r.seen {
 		return
 	}
-	r.logger.Info().Int64(logging.FieldRevision, r.seen).Int64("newest", r.newestElsewhere).Msg("behind_other_nodes")
+	r.logger.Info().Int64(logging.FieldRevision, r.seen).Int64("newest", r.othersNewest).Msg("behind_other_nodes")
 	subscription.Signal(r.behind)
 }
 
--- a/internal/discovery/revisions_test.go
+++ b/internal/discovery/revisions_test.go
@@ -8,25 +8,25 @@
 	"github.com/rs/zerolog"
 )
 
-// TestGatheringIsNoReasonToList: changes that the watching nodes gather for 600 ms come by themselves; a node that has not had them
-// for longer lists anew.
+// TestGatheringIsNoReasonToList checks that a node does not list again for a change that the watchers batch for 600 ms before they forward
+// it, but does so if the change arrives much later.
 func TestGatheringIsNoReasonToList(t *testing.T) {
 	const gather = 600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		known := newRevisions(func(int64) {}, zerolog.Nop())
-		defer known.stop()
-		known.saw(1)
-		known.takeOthers(2)
+		tracked := newRevisions(func(int64) {}, zerolog.Nop())
+		defer tracked.stop()
+		tracked.recordSeen(1)
+		tracked.compareWithOthers(2)
 		time.Sleep(gather + 50*time.Millisecond)
-		known.saw(2)
+		tracked.recordSeen(2)
 		time.Sleep(time.Minute)
-		if len(known.behind) != 0 {
-			t.Error("a node whose watch brought the change lists anew")
+		if len(tracked.behind) != 0 {
+			t.Error("a node whose watch delivered the change in time lists again")
 		}
-		known.takeOthers(3)
+		tracked.compareWithOthers(3)
 		time.Sleep(2 * gather)
-		if len(known.behind) != 1 {
-			t.Error("a node whose watch brings nothing does not list anew")
+		if len(tracked.behind) != 1 {
+			t.Error("a node whose watch delivers nothing does not list again")
 		}
 	})
 }
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -14,32 +14,32 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// Translator reads the entries of the key-value service.
+// Translator translates the keys and values of the key-value service.
 type Translator interface {
-	// OperatorPrefix is the prefix of all that operators write. ConfigurationKey, below it, is the key of the configuration; Table reads
-	// its value.
+	// OperatorPrefix is the prefix of all keys that operators write. ConfigurationKey, below it, is the key of the configuration; Table
+	// decodes its value.
 	OperatorPrefix() string
 	ConfigurationKey() string
 	Table(value []byte) (*route.Table, error)
-	// ReplicaPrefix is the prefix of the replicas' keys; ReplicaID and Replica read one.
+	// ReplicaPrefix is the prefix of the replicas' keys; ReplicaID decodes a key, and Replica an entry.
 	ReplicaPrefix() string
 	ReplicaID(key string) string
 	Replica(key string, value []byte) (replica.Info, error)
 }
 
-// OperatorFollower takes in what operators write: all of it at first and after changes were missed, then the changes. Its methods are
-// called by one goroutine. Requests come to it before a configuration of the same listing or change is in force.
+// OperatorFollower receives what operators write: a complete listing at first and after missed changes, then the changes. Its methods are
+// called by one goroutine. It receives a listing or change before a configuration in it takes effect.
 type OperatorFollower interface {
 	Replace(listing platform.Listing)
 	Update(revision int64, changed []platform.Entry, deleted []string)
 }
 
-// CopyFollower is an OperatorFollower that also takes what operators wrote some time ago, while the store cannot be asked.
+// CopyFollower is an OperatorFollower that also takes older copies while the store is unavailable.
 type CopyFollower interface {
 	ReplaceByCopy(copied platform.Listing)
 }
 
-// Service follows what operators write, the configuration among it, and the replicas.
+// Service follows what operators write, including the configuration, and the replicas.
 type Service struct {
 	store      platform.KeyValue
 	translator Translator
@@ -47,23 +47,23 @@
 	directory  *replica.Directory
 	viewer     membership.Viewer
 	copies     Copies
-	// roster is the list of replicas where this node keeps all, keeper the part of it that this node is to know where it is long, relays those
-	// that send the part; relays is nil where each node keeps all, however many there are.
+	// roster is the list of replicas if this node keeps all of them. If the list is long, keeper holds this node's part of it, which relays
+	// follows at the relays. relays is nil if every node keeps all replicas, regardless of their number.
 	roster *roster.Roster
 	keeper *roster.Keeper
 	relays *roster.Follower
 	node   membership.NodeID
 	zone   string
-	// partPublished says that the directory holds a part of the list that is kept here; it belongs to the goroutine that follows the replicas.
+	// partPublished is true if the directory holds only a part of roster; it belongs to the goroutine that follows the replicas.
 	partPublished bool
-	// followers take in what operators write; they are set before Start.
+	// followers receive what operators write; they are set before Start.
 	followers []OperatorFollower
-	// operators and replicas compare the two prefixes with what other nodes know.
+	// operators and replicas compare the revisions of the two prefixes with those of other nodes.
 	operators *revisions
 	replicas  *revisions
-	// replicasByCopy says that the directory holds a copy; copies end before the store's first listing is taken.
-	replicasByCopy bool
-	// unusable are the revisions of the unusable entries that were logged, by key.
+	// directoryIsCopy is true if the directory holds a copy. No copies are supplied any more once the store's first listing is applied.
+	directoryIsCopy bool
+	// unusable holds the revisions of the unusable entries already logged, by key.
 	unusable map[string]int64
 	metrics  *Metrics
 	logger   zerolog.Logger
@@ -73,32 +73,33 @@
 	running     sync.WaitGroup
 }
 
-// RevisionReporter reports to the other nodes the newest changes that this one knows.
+// RevisionReporter reports the revisions of the newest changes known to this node to the other nodes.
 type RevisionReporter interface {
 	SetConfigRevision(revision int64)
 	SetReplicasRevision(revision int64)
 }
 
-// Copies supplies copies of what lies below a prefix, each newer than the one before, until the prefix is listed or settled.
+// Copies supplies older copies of the keys below a prefix.
 type Copies interface {
+	// Supply calls take with copies of the prefix, each newer than the one before, until the prefix is listed or settled.
 	Supply(prefix string, take func(copied platform.Listing))
-	// Settle says that no copies are wanted, since what lies below the prefix is learnt in another way.
+	// Settle ends the supply for a prefix whose content is learned in another way.
 	Settle(prefix string)
 }
 
-// Options of a Service.
+// Options configures a Service.
 type Options struct {
 	Store      platform.KeyValue
 	Translator Translator
 	Routes     *route.Holder
 	Directory  *replica.Directory
-	// Viewer and Reporter let nodes know of each other which changes they have.
+	// Viewer and Reporter exchange the newest known revisions between nodes.
 	Viewer   membership.Viewer
 	Reporter RevisionReporter
-	// Copies supplies what was known some time ago while the store does not answer; nil where nothing does.
+	// Copies supplies older copies while the store does not answer; nil for none.
 	Copies Copies
-	// Roster is where this node keeps the list of replicas; nil stands for one of its own. Keeper and Relays bring it its part of a long list;
-	// nil where each node keeps all. Node and Zone are this one's then.
+	// Roster holds the list of replicas; nil creates one. Keeper and Relays supply this node's part of a long list, and need Node and Zone
+	// of this node; they are nil if every node keeps all replicas.
 	Roster *roster.Roster
 	Keeper *roster.Keeper
 	Relays *roster.Follower
@@ -109,19 +110,19 @@
 	Logger  zerolog.Logger
 }
 
-// mostUnusableKept bounds the unusable entries that are remembered for the log: beyond it they are logged again.
-const mostUnusableKept = 256
+// maxRememberedUnusable limits the unusable entries that are remembered as logged. Beyond it all are forgotten and logged again.
+const maxRememberedUnusable = 256
 
-// New returns a Service; nothing runs before Start.
+// New returns a Service that is not started.
 func New(options Options) *Service {
 	logger := options.Logger.With().Str(logging.FieldSlice, "discovery").Logger()
-	follows := func(prefix string) zerolog.Logger { return logger.With().Str(logging.FieldPrefix, prefix).Logger() }
+	prefixLogger := func(prefix string) zerolog.Logger { return logger.With().Str(logging.FieldPrefix, prefix).Logger() }
 	service := &Service{
 		store: options.Store, translator: options.Translator, routes: options.Routes, directory: options.Directory,
 		viewer: options.Viewer, copies: options.Copies, roster: options.Roster, keeper: options.Keeper, relays: options.Relays,
 		node: options.Node, zone: options.Zone,
-		operators: newRevisions(options.Reporter.SetConfigRevision, follows(options.Translator.OperatorPrefix())),
-		replicas:  newRevisions(options.Reporter.SetReplicasRevision, follows(options.Translator.ReplicaPrefix())),
+		operators: newRevisions(options.Reporter.SetConfigRevision, prefixLogger(options.Translator.OperatorPrefix())),
+		replicas:  newRevisions(options.Reporter.SetReplicasRevision, prefixLogger(options.Translator.ReplicaPrefix())),
 		unusable:  map[string]int64{},
 		metrics:   options.Metrics,
 		logger:    logger,
@@ -130,22 +131,22 @@
 		service.roster = roster.New()
 	}
 	if options.Copies != nil {
-		options.Copies.Supply(options.Translator.OperatorPrefix(), service.takeCopiedOperators)
-		options.Copies.Supply(options.Translator.ReplicaPrefix(), service.takeCopiedReplicas)
+		options.Copies.Supply(options.Translator.OperatorPrefix(), service.applyOperatorsCopy)
+		options.Copies.Supply(options.Translator.ReplicaPrefix(), service.applyReplicasCopy)
 	}
 	return service
 }
 
-// FollowOperators has follower take in what operators write. It is called before Start.
+// FollowOperators adds a follower of what operators write. It must be called before Start.
 func (s *Service) FollowOperators(follower OperatorFollower) {
 	s.followers = append(s.followers, follower)
 }
 
-// Start begins to follow. It does not wait.
+// Start starts following both prefixes. It does not wait for the first listing.
 func (s *Service) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.unsubscribe = s.viewer.Subscribe(s.takeMembers)
+	s.unsubscribe = s.viewer.Subscribe(s.onView)
 	s.running.Go(func() {
 		platform.Follow(ctx, s.store, s.translator.OperatorPrefix(), platform.Follower{
 			Replace: s.replaceOperators,
@@ -157,7 +158,7 @@
 	s.running.Go(func() { s.followReplicas(ctx) })
 }
 
-// Stop ends the following.
+// Stop stops following and waits for the goroutines.
 func (s *Service) Stop() {
 	s.unsubscribe()
 	s.cancel()
@@ -166,17 +167,17 @@
 	s.replicas.stop()
 }
 
-// takeMembers takes what the other members know.
-func (s *Service) takeMembers(view *membership.View) {
+// onView compares the newest revisions known to the other members with this node's.
+func (s *Service) onView(view *membership.View) {
 	var newest membership.Revisions
 	for _, member := range view.Members {
 		if member.ID != view.Self && member.State != membership.Dead {
 			newest = newest.Join(member.Revisions)
 		}
 	}
-	s.operators.takeOthers(newest.Configuration)
+	s.operators.compareWithOthers(newest.Configuration)
 	if !s.keepsPart() {
-		s.replicas.takeOthers(newest.Replicas)
+		s.replicas.compareWithOthers(newest.Replicas)
 	}
 }
 
@@ -184,36 +185,36 @@
 	for _, follower := range s.followers {
 		follower.Replace(listing)
 	}
-	s.takeConfiguration(listing.Entries)
+	s.applyConfiguration(listing.Entries)
 	s.reportNewest(listing.Entries)
-	s.operators.saw(listing.Revision)
+	s.operators.recordSeen(listing.Revision)
 }
 
 func (s *Service) updateOperators(revision int64, changed []platform.Entry, deleted []string) {
 	for _, follower := range s.followers {
 		follower.Update(revision, changed, deleted)
 	}
-	s.takeConfiguration(changed)
+	s.applyConfiguration(changed)
 	s.reportNewest(changed)
-	s.operators.saw(revision)
+	s.operators.recordSeen(revision)
 }
 
-// reportNewest reports the newest of entries to the other nodes, by the revision at which it was written. A request that was taken back is not
-// reported: its revision is not known once changes were merged, and a higher one would have all others list, though they know as much.
+// reportNewest reports the highest revision at which one of entries was written to the other nodes. Deleted requests are not reported: the
+// revision of a deletion is not known once changes have been merged, and a higher one would make all other nodes list for nothing.
 func (s *Service) reportNewest(entries []platform.Entry) {
-	if newest := newestOf(entries); newest > 0 {
-		s.operators.tookChange(newest)
+	if newest := newestRevision(entries); newest > 0 {
+		s.operators.recordChange(newest)
 	}
 }
 
-// takeConfiguration puts the configuration among entries in force.
-func (s *Service) takeConfiguration(entries []platform.Entry) {
+// applyConfiguration applies the configuration, if it is among entries.
+func (s *Service) applyConfiguration(entries []platform.Entry) {
 	for _, entry := range entries {
 		s.offerConfiguration(entry)
 	}
 }
 
-// offerConfiguration puts the configuration of an entry in force, unless its version or a higher one is.
+// offerConfiguration applies the entry if it is the configuration, unless the same or a higher version is in force.
 func (s *Service) offerConfiguration(entry platform.Entry) {
 	if entry.Key != s.translator.ConfigurationKey() {
 		return
@@ -229,12 +230,12 @@
 	}
 }
 
-// noteUnusable counts an entry that names no replica, and logs it unless it was logged as it stands.
-func (s *Service) noteUnusable(entry platform.Entry, err error) {
+// recordUnusable counts an entry that cannot be translated, and logs it unless this revision of it was logged before.
+func (s *Service) recordUnusable(entry platform.Entry, err error) {
 	if s.metrics != nil {
 		s.metrics.unusable.Inc()
 	}
-	if len(s.unusable) >= mostUnusableKept {
+	if len(s.unusable) >= maxRememberedUnusable {
 		clear(s.unusable)
 	}
 	if s.unusable[entry.Key] == entry.ModRevision {
--- a/internal/discovery/service_test.go
+++ b/internal/discovery/service_test.go
@@ -18,18 +18,18 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// scriptedStore is a key-value service whose watches can be mute, cut or compacted.
+// scriptedStore is a fake key-value service whose watches can be stalled, cut or compacted.
 type scriptedStore struct {
 	platform.KeyValue
 	mutex    sync.Mutex
 	revision int64
 	entries  map[string]platform.Entry
-	// mute watches are told nothing; compacted is the revision up to which history is gone; down refuses all.
-	mute      bool
+	// stalled makes watches deliver nothing; compacted is the revision up to which history has been dropped; down makes all calls fail.
+	stalled   bool
 	compacted int64
 	down      bool
 	watches   []*scriptedWatch
-	// history are all changes.
+	// history holds all changes.
 	history []scriptedChange
 	lists   int
 }
@@ -44,8 +44,9 @@
 	prefix string
 	events chan platform.WatchEvent
 	ctx    context.Context
-	// held are the changes that the service did not report yet: its next answer holds them too, as it never leaves out a change.
-	held []platform.WatchEvent
+	// undelivered holds the changes that a stalled watch has not reported yet; the next response includes them, as the service never
+	// leaves out a change.
+	undelivered []platform.WatchEvent
 }
 
 func newScriptedStore() *scriptedStore {
@@ -83,7 +84,7 @@
 	watch := &scriptedWatch{prefix: prefix, events: events, ctx: ctx}
 	for _, change := range s.history {
 		if change.event.Revision >= from && strings.HasPrefix(change.key, prefix) {
-			watch.held = append(watch.held, change.event)
+			watch.undelivered = append(watch.undelivered, change.event)
 		}
 	}
 	s.watches = append(s.watches, watch)
@@ -91,7 +92,7 @@
 	return events, nil
 }
 
-// put changes a key, or removes it where value is empty.
+// put changes a key, or deletes it if value is empty.
 func (s *scriptedStore) put(key, value string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,21 +108,21 @@
 	s.history = append(s.history, scriptedChange{key: key, event: event})
 	for _, watch := range s.watches {
 		if watch.ctx.Err() == nil && strings.HasPrefix(key, watch.prefix) {
-			watch.held = append(watch.held, event)
+			watch.undelivered = append(watch.undelivered, event)
 			s.report(watch)
 		}
 	}
 }
 
-// report has a watch deliver what it holds, unless watches are mute. The mutex is held.
+// report delivers the undelivered changes of a watch, unless watches are stalled. The mutex must be held.
 func (s *scriptedStore) report(watch *scriptedWatch) {
-	if s.mute {
+	if s.stalled {
 		return
 	}
-	for _, each := range watch.held {
-		watch.events <- each
+	for _, event := range watch.undelivered {
+		watch.events <- event
 	}
-	watch.held = nil
+	watch.undelivered = nil
 }
 
 // cut ends all watches with an error.
@@ -141,7 +142,7 @@
 	change()
 }
 
-// plainTranslator reads values that are a version, or a service with an optional "!" for draining.
+// plainTranslator decodes configurations that are only a version, and replica entries that are a service with an optional "!" for draining.
 type plainTranslator struct{}
 
 func (plainTranslator) OperatorPrefix() string { return "op/" }
@@ -162,10 +163,12 @@
 
 func (t plainTranslator) Replica(key string, value []byte) (replica.Info, error) {
 	service, draining := strings.CutSuffix(string(value), "!")
-	return replica.Info{ID: t.ReplicaID(key), Service: service, Draining: draining, Address: netip.MustParseAddrPort("127.0.0.1:1")}, nil
+	return replica.Info{
+		ID: t.ReplicaID(key), Service: service, Draining: draining, Address: netip.MustParseAddrPort("127.0.0.1:1"),
+	}, nil
 }
 
-// fixedViewer shows one other node with a revision.
+// fixedViewer is a membership.Viewer and RevisionReporter whose view changes only by publish.
 type fixedViewer struct {
 	mutex  sync.Mutex
 	notify []func(*membership.View)
@@ -190,13 +193,14 @@
 
 func (v *fixedViewer) SetReplicasRevision(int64) {}
 
-func (v *fixedViewer) tell(revisions membership.Revisions) {
+// publish shows subscribers one other node that knows the given revisions.
+func (v *fixedViewer) publish(revisions membership.Revisions) {
 	v.mutex.Lock()
 	v.view = membership.View{Self: "self", Members: []membership.Member{{ID: "other", Revisions: revisions}, {ID: "self"}}}
 	notify := v.notify
 	v.mutex.Unlock()
-	for _, each := range notify {
-		each(v.View())
+	for _, callback := range notify {
+		callback(v.View())
 	}
 }
 
@@ -204,41 +208,41 @@
 	for _, test := range []struct {
 		name string
 		act  func(store *scriptedStore, viewer *fixedViewer)
-		// most is the time after which the change must be in force.
-		most time.Duration
+		// within is the time after which the change must be in force.
+		within time.Duration
 	}{
-		{"a watch tells", func(store *scriptedStore, _ *fixedViewer) {
+		{"by a watch", func(store *scriptedStore, _ *fixedViewer) {
 			store.put("op/config", "2")
 			store.put("replicas/a", "s!")
 		}, time.Second},
-		{"a watch is cut and its changes come with the next", func(store *scriptedStore, _ *fixedViewer) {
-			store.set(func() { store.mute = true })
+		{"the watch is cut, and the next one delivers its changes", func(store *scriptedStore, _ *fixedViewer) {
+			store.set(func() { store.stalled = true })
 			store.put("op/config", "2")
 			store.put("replicas/a", "s!")
-			store.set(func() { store.mute, store.compacted = false, store.revision })
+			store.set(func() { store.stalled, store.compacted = false, store.revision })
 			store.cut(platform.KindUnavailable.New("cut"))
 		}, 2 * time.Second},
-		{"history is gone", func(store *scriptedStore, _ *fixedViewer) {
-			store.set(func() { store.mute = true })
+		{"history is compacted", func(store *scriptedStore, _ *fixedViewer) {
+			store.set(func() { store.stalled = true })
 			store.put("op/config", "2")
 			store.put("replicas/a", "s!")
 			store.cut(platform.KindCompacted.New("gone"))
-			store.set(func() { store.mute = false })
+			store.set(func() { store.stalled = false })
 		}, 2 * time.Second},
-		{"a mute watch, of which another node tells", func(store *scriptedStore, viewer *fixedViewer) {
-			store.set(func() { store.mute = true })
+		{"the watch stalls, and another node knows the revision", func(store *scriptedStore, viewer *fixedViewer) {
+			store.set(func() { store.stalled = true })
 			store.put("op/config", "2")
 			store.put("replicas/a", "s!")
-			viewer.tell(membership.Revisions{Configuration: store.revision - 1, Replicas: store.revision})
+			viewer.publish(membership.Revisions{Configuration: store.revision - 1, Replicas: store.revision})
 		}, time.Second},
-		{"the service is down for a while", func(store *scriptedStore, _ *fixedViewer) {
+		{"outage of the service", func(store *scriptedStore, _ *fixedViewer) {
 			store.set(func() { store.down = true })
 			store.cut(platform.KindUnavailable.New("down"))
-			store.set(func() { store.mute = true })
+			store.set(func() { store.stalled = true })
 			store.put("op/config", "2")
 			store.put("replicas/a", "s!")
 			time.Sleep(20 * time.Second)
-			store.set(func() { store.down, store.mute, store.compacted = false, false, store.revision })
+			store.set(func() { store.down, store.stalled, store.compacted = false, false, store.revision })
 		}, 2500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -249,18 +253,19 @@
 				store.put("replicas/b", "s")
 				routes, directory := route.NewHolder(), replica.NewDirectory()
 				service := New(Options{
-					Store: store, Translator: plainTranslator{}, Routes: routes, Directory: directory, Viewer: viewer, Reporter: viewer, Logger: zerolog.Nop(),
+					Store: store, Translator: plainTranslator{}, Routes: routes, Directory: directory,
+					Viewer: viewer, Reporter: viewer, Logger: zerolog.Nop(),
 				})
 				service.Start()
 				synctest.Wait()
 				if routes.Table() == nil || !directory.Loaded() || len(directory.View().Of("s")) != 2 {
-					t.Fatal("the first state is not in force")
+					t.Fatal("the initial configuration and replicas are not in force")
 				}
 				test.act(store, viewer)
-				began := time.Now()
+				start := time.Now()
 				for routes.Table().Version != 2 || !directory.View().Find("a").Info().Draining {
-					if time.Since(began) > test.most {
-						t.Fatalf("not in force after %s: version %d", test.most, routes.Table().Version)
+					if time.Since(start) > test.within {
+						t.Fatalf("changes are not in force after %s: configuration version %d", test.within, routes.Table().Version)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
@@ -276,7 +281,8 @@
 		store.put("replicas/a", "s")
 		directory := replica.NewDirectory()
 		service := New(Options{
-			Store: store, Translator: plainTranslator{}, Routes: route.NewHolder(), Directory: directory, Viewer: viewer, Reporter: viewer, Logger: zerolog.Nop(),
+			Store: store, Translator: plainTranslator{}, Routes: route.NewHolder(), Directory: directory,
+			Viewer: viewer, Reporter: viewer, Logger: zerolog.Nop(),
 		})
 		service.Start()
 		synctest.Wait()
@@ -284,14 +290,14 @@
 		store.put("replicas/a", "")
 		time.Sleep(time.Second)
 		if directory.View().Find("a") != nil || handle.Usable() {
-			t.Error("a removed replica can still be used")
+			t.Error("a removed replica is still in the directory or usable")
 		}
 		service.Stop()
 	})
 }
 
-// TestMuteConfigurationBehindListedReplicas: the replicas were listed anew at a revision above that of a configuration which a mute
-// watch hides; another node tells of the configuration.
+// TestMuteConfigurationBehindListedReplicas guards against mixing up the revisions of the two prefixes: a stalled watch hides a new
+// configuration, while the replicas are known up to a higher revision. The node must list when another node knows the configuration.
 func TestMuteConfigurationBehindListedReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, viewer := newScriptedStore(), &fixedViewer{}
@@ -299,21 +305,22 @@
 		store.put("replicas/a", "s")
 		routes, directory := route.NewHolder(), replica.NewDirectory()
 		service := New(Options{
-			Store: store, Translator: plainTranslator{}, Routes: routes, Directory: directory, Viewer: viewer, Reporter: viewer, Logger: zerolog.Nop(),
+			Store: store, Translator: plainTranslator{}, Routes: routes, Directory: directory,
+			Viewer: viewer, Reporter: viewer, Logger: zerolog.Nop(),
 		})
 		service.Start()
 		defer service.Stop()
 		synctest.Wait()
-		store.set(func() { store.mute = true })
+		store.set(func() { store.stalled = true })
 		store.put("op/config", "2")
-		told := store.revision
-		store.set(func() { store.mute = false })
+		configurationRevision := store.revision
+		store.set(func() { store.stalled = false })
 		store.put("replicas/a", "s!")
 		time.Sleep(time.Second)
-		viewer.tell(membership.Revisions{Configuration: told})
+		viewer.publish(membership.Revisions{Configuration: configurationRevision})
 		time.Sleep(2 * time.Second)
 		if version := routes.Table().Version; version != 2 {
-			t.Errorf("version %d is in force 2 s after another node told of a newer one", version)
+			t.Errorf("configuration version %d is in force 2 s after another node reported a newer one, want 2", version)
 		}
 	})
 }
--- a/internal/discovery/unusable_test.go
+++ b/internal/discovery/unusable_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// strictTranslator cannot read one value.
+// strictTranslator fails to decode the value "unreadable".
 type strictTranslator struct{ plainTranslator }
 
 func (t strictTranslator) Replica(key string, value []byte) (replica.Info, error) {
@@ -23,9 +23,10 @@
 	return t.plainTranslator.Replica(key, value)
 }
 
-// TestUnusableEntryNamesNoReplica: it takes the place of what stood there before, in a listing and in a change, and the others hold.
+// TestUnusableEntryNamesNoReplica checks that an entry that cannot be decoded, in a listing or a change, removes the replica that the entry
+// named before, and affects no other replica.
 func TestUnusableEntryNamesNoReplica(t *testing.T) {
-	// settled is far beyond the pace at which changes are taken.
+	// settled is far longer than it takes until changes are applied.
 	const settled = 10 * time.Second
 	for name, followed := range map[string]bool{"change": true, "listing": false} {
 		t.Run(name, func(t *testing.T) {
@@ -38,8 +39,8 @@
 					t.Fatal(err)
 				}
 				service := New(Options{
-					Store: store, Translator: strictTranslator{}, Routes: route.NewHolder(), Directory: directory, Viewer: &fixedViewer{},
-					Reporter: &reportedRevisions{}, Metrics: metrics, Logger: zerolog.Nop(),
+					Store: store, Translator: strictTranslator{}, Routes: route.NewHolder(), Directory: directory,
+					Viewer: &fixedViewer{}, Reporter: &revisionRecorder{}, Metrics: metrics, Logger: zerolog.Nop(),
 				})
 				if followed {
 					service.Start()
@@ -51,12 +52,12 @@
 				}
 				time.Sleep(settled)
 				if view := directory.View(); view.Find("a") != nil || view.Find("b") == nil {
-					t.Errorf("%d replicas are used, a among them: %t", view.Len(), view.Find("a") != nil)
+					t.Errorf("%d replicas in the directory, a among them: %t; want only b", view.Len(), view.Find("a") != nil)
 				}
 				store.put("replicas/a", "s")
 				time.Sleep(settled)
 				if directory.View().Len() != 2 {
-					t.Errorf("%d replicas are used once the entry is good again, want 2", directory.View().Len())
+					t.Errorf("%d replicas in the directory after the entry is valid again, want 2", directory.View().Len())
 				}
 				service.Stop()
 			})
