--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -91,12 +91,21 @@
 }
 
 // New returns a Feed of store and registers the handlers of its messages.
-func New(store platform.KeyValue, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer, logger zerolog.Logger) *Feed {
+func New(
+	store platform.KeyValue, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer, logger zerolog.Logger,
+) *Feed {
 	now := clock.Now()
 	feed := &Feed{
-		KeyValue: store, caller: caller, viewer: viewer, started: now, lastHeartbeat: now.Add(startupWatcherTimeout - watcherTimeout),
-		prefixes: map[string]*prefixState{}, aloneByPrefix: map[string]func() bool{}, maxKeys: map[string]int{}, relayed: newRelayState(),
-		logger: logger.With().Str(logging.FieldSlice, "changefeed").Logger(),
+		KeyValue:      store,
+		caller:        caller,
+		viewer:        viewer,
+		started:       now,
+		lastHeartbeat: now.Add(startupWatcherTimeout - watcherTimeout),
+		prefixes:      map[string]*prefixState{},
+		aloneByPrefix: map[string]func() bool{},
+		maxKeys:       map[string]int{},
+		relayed:       newRelayState(),
+		logger:        logger.With().Str(logging.FieldSlice, "changefeed").Logger(),
 	}
 	feed.growth.SettledFor(viewer.View(), now)
 	registrar.Handle(methodChanges, func() proto.Message { return &changefeedpb.Changes{} },
--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -61,7 +61,8 @@
 func startFeeds(count int) *feedCluster {
 	c := &feedCluster{
 		store: newCountingStore(), network: &fakeNetwork{handlers: map[netip.AddrPort]map[transport.Method]transport.Handler{}},
-		delivered: make([]map[string]int, count), newestRevision: make([]int64, count), listings: make([]int, count), lastErr: make([]error, count),
+		delivered: make([]map[string]int, count), newestRevision: make([]int64, count),
+		listings: make([]int, count), lastErr: make([]error, count),
 	}
 	var members []membership.Member
 	for index := range count {
--- a/internal/changefeed/forward.go
+++ b/internal/changefeed/forward.go
@@ -70,7 +70,9 @@
 }
 
 func encodeEntry(entry platform.Entry) *changefeedpb.Entry {
-	return &changefeedpb.Entry{Key: entry.Key, Value: entry.Value, CreateRevision: entry.CreateRevision, ModRevision: entry.ModRevision}
+	return &changefeedpb.Entry{
+		Key: entry.Key, Value: entry.Value, CreateRevision: entry.CreateRevision, ModRevision: entry.ModRevision,
+	}
 }
 
 // sendChanges sends changes to the other nodes if this node is a watcher. If they exceed maxForwardedBytes, it sends a heartbeat instead,
@@ -81,7 +83,8 @@
 		return
 	}
 	if size := proto.Size(message); size > maxForwardedBytes {
-		f.logger.Info().Str(logging.FieldPrefix, message.Prefix).Int("bytes", size).Int("limit_bytes", maxForwardedBytes).Msg("changes_not_passed_on")
+		f.logger.Info().Str(logging.FieldPrefix, message.Prefix).Int("bytes", size).Int("limit_bytes", maxForwardedBytes).
+			Msg("changes_not_passed_on")
 		f.sendHeartbeat(view)
 		return
 	}
@@ -130,7 +133,9 @@
 // reader then detects a gap and lists again.
 func (f *Feed) onChanges(changes *changefeedpb.Changes, now time.Time) {
 	if changes.GetPassOn() && f.relayed.acceptChanges(changes) {
-		f.sendToZone(methodChanges, &changefeedpb.Changes{Prefix: changes.Prefix, Previous: changes.Previous, Changes: changes.Changes})
+		f.sendToZone(methodChanges, &changefeedpb.Changes{
+			Prefix: changes.Prefix, Previous: changes.Previous, Changes: changes.Changes,
+		})
 	}
 	f.mutex.Lock()
 	f.recordHeartbeat(now)
@@ -139,7 +144,8 @@
 	select {
 	case inbox <- changes:
 	default:
-		f.logger.Warn().Str(logging.FieldPrefix, changes.Prefix).Int64(logging.FieldRevision, changes.Previous).Msg("changes_dropped_inbox_full")
+		f.logger.Warn().Str(logging.FieldPrefix, changes.Prefix).Int64(logging.FieldRevision, changes.Previous).
+			Msg("changes_dropped_inbox_full")
 	}
 }
 
--- a/internal/changefeed/watch.go
+++ b/internal/changefeed/watch.go
@@ -101,7 +101,9 @@
 // buffer stores changes that a watcher forwarded and drops those that the service has delivered by now. Beyond inboxLength messages the
 // oldest is dropped; the reader then detects a gap.
 func (w *watch) buffer(changes *changefeedpb.Changes) {
-	w.buffered = slices.DeleteFunc(append(w.buffered, changes), func(kept *changefeedpb.Changes) bool { return lastRevision(kept) <= w.delivered })
+	w.buffered = slices.DeleteFunc(append(w.buffered, changes), func(kept *changefeedpb.Changes) bool {
+		return lastRevision(kept) <= w.delivered
+	})
 	if len(w.buffered) > inboxLength {
 		w.buffered = w.buffered[1:]
 	}
--- a/internal/changefeed/zones.go
+++ b/internal/changefeed/zones.go
@@ -59,7 +59,9 @@
 
 // send queues message for the other nodes for which include returns true. A node for which it cannot be queued detects the gap by the
 // next message or heartbeat.
-func (f *Feed) send(view *membership.View, method transport.Method, message proto.Message, include func(membership.Member) bool) {
+func (f *Feed) send(
+	view *membership.View, method transport.Method, message proto.Message, include func(membership.Member) bool,
+) {
 	failed := 0
 	var lastErr error
 	for _, member := range view.Members {
--- a/internal/changefeed/zones_test.go
+++ b/internal/changefeed/zones_test.go
@@ -116,7 +116,10 @@
 	for _, step := range []struct {
 		previous, last int64
 		want           bool
-	}{{5, 8, true}, {5, 8, false}, {6, 8, false}, {8, 10, true}, {12, 14, false}, {10, 14, true}, {12, 14, false}, {14, 15, true}} {
+	}{
+		{5, 8, true}, {5, 8, false}, {6, 8, false}, {8, 10, true},
+		{12, 14, false}, {10, 14, true}, {12, 14, false}, {14, 15, true},
+	} {
 		changes := &changefeedpb.Changes{Prefix: "k", Previous: step.previous, Changes: []*changefeedpb.Change{{Revision: step.last}}}
 		if got := zone.acceptChanges(changes); got != step.want {
 			t.Errorf("changes after %d up to %d are relayed: %t", step.previous, step.last, got)
@@ -146,7 +149,9 @@
 
 // TestStoppedMemberIsNoRelay checks that watchers do not send through a node that is leaving.
 func TestStoppedMemberIsNoRelay(t *testing.T) {
-	view := &membership.View{Self: "a", Members: []membership.Member{{ID: "a", Zone: "z", State: membership.Leaving}, {ID: "b", Zone: "z"}}}
+	view := &membership.View{Self: "a", Members: []membership.Member{
+		{ID: "a", Zone: "z", State: membership.Leaving}, {ID: "b", Zone: "z"},
+	}}
 	if relays := zonerelay.Of(view); relays.IsRelay("a") || !relays.IsRelay("b") {
 		t.Error("a leaving member is a relay, or the remaining one is not")
 	}
--- a/internal/discovery/copied_keys_test.go
+++ b/internal/discovery/copied_keys_test.go
@@ -20,7 +20,9 @@
 	version, keys, _ := strings.Cut(string(value), " ")
 	table, err := t.plainTranslator.Table([]byte(version))
 	if err == nil {
-		table.Tenants = tenant.NewDirectory([]tenant.Declaration{{Tenant: tenant.Tenant{Name: "office"}, APIKeys: strings.Fields(keys)}})
+		table.Tenants = tenant.NewDirectory([]tenant.Declaration{
+			{Tenant: tenant.Tenant{Name: "office"}, APIKeys: strings.Fields(keys)},
+		})
 	}
 	return table, err
 }
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -118,14 +118,22 @@
 	logger := options.Logger.With().Str(logging.FieldSlice, "discovery").Logger()
 	prefixLogger := func(prefix string) zerolog.Logger { return logger.With().Str(logging.FieldPrefix, prefix).Logger() }
 	service := &Service{
-		store: options.Store, translator: options.Translator, routes: options.Routes, directory: options.Directory,
-		viewer: options.Viewer, copies: options.Copies, roster: options.Roster, keeper: options.Keeper, relays: options.Relays,
-		node: options.Node, zone: options.Zone,
-		operators: newRevisions(options.Reporter.SetConfigRevision, prefixLogger(options.Translator.OperatorPrefix())),
-		replicas:  newRevisions(options.Reporter.SetReplicasRevision, prefixLogger(options.Translator.ReplicaPrefix())),
-		unusable:  map[string]int64{},
-		metrics:   options.Metrics,
-		logger:    logger,
+		store:      options.Store,
+		translator: options.Translator,
+		routes:     options.Routes,
+		directory:  options.Directory,
+		viewer:     options.Viewer,
+		copies:     options.Copies,
+		roster:     options.Roster,
+		keeper:     options.Keeper,
+		relays:     options.Relays,
+		node:       options.Node,
+		zone:       options.Zone,
+		operators:  newRevisions(options.Reporter.SetConfigRevision, prefixLogger(options.Translator.OperatorPrefix())),
+		replicas:   newRevisions(options.Reporter.SetReplicasRevision, prefixLogger(options.Translator.ReplicaPrefix())),
+		unusable:   map[string]int64{},
+		metrics:    options.Metrics,
+		logger:     logger,
 	}
 	if service.roster == nil {
 		service.roster = roster.New()
@@ -242,5 +250,6 @@
 		return
 	}
 	s.unusable[entry.Key] = entry.ModRevision
-	s.logger.Warn().Str("key", entry.Key).Int64(logging.FieldRevision, entry.ModRevision).AnErr("error", err).Msg("replica_not_read")
+	s.logger.Warn().Str("key", entry.Key).Int64(logging.FieldRevision, entry.ModRevision).AnErr("error", err).
+		Msg("replica_not_read")
 }
--- a/internal/fleet/cache_watch_test.go
+++ b/internal/fleet/cache_watch_test.go
@@ -86,7 +86,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			service := NewService(DefaultOptions(), settings.Settings{Node: string(member.ID), Zone: "z1"}, cachingReplica, view, cachingReplica, nodeTransport, zerolog.Nop())
+			service := NewService(DefaultOptions(), settings.Settings{Node: string(member.ID), Zone: "z1"},
+				cachingReplica, view, cachingReplica, nodeTransport, zerolog.Nop())
 			service.Register(nodeTransport)
 			service.SubscribeCache(func(change CacheChange) {
 				mutex.Lock()
@@ -112,7 +113,8 @@
 		}
 		for index := range 2 {
 			if stored[index] < 20 || cleared[index] == 0 {
-				t.Errorf("node %d was notified of %d stored blocks and %d restarts, want at least 20 and 1", index, stored[index], cleared[index])
+				t.Errorf("node %d was notified of %d stored blocks and %d restarts, want at least 20 and 1",
+					index, stored[index], cleared[index])
 			}
 		}
 	})
--- a/internal/fleet/load_messages.go
+++ b/internal/fleet/load_messages.go
@@ -92,7 +92,8 @@
 		Waiting: uint32(report.Waiting), WaitingBatch: uint32(report.WaitingBatch), MaxRunning: uint32(report.MaxRunning),
 		Leaving: replica.Leaving, Unreachable: replica.unreachable,
 	}
-	if !sameModels(replica.summarizedModels, report.Models) || replica.summarizedRole != report.Role || now.Sub(replica.summarizedAt) >= detailInterval {
+	if !sameModels(replica.summarizedModels, report.Models) || replica.summarizedRole != report.Role ||
+		now.Sub(replica.summarizedAt) >= detailInterval {
 		replica.summarizedModels, replica.summarizedRole, replica.summarizedAt = report.Models, report.Role, now
 		summary.Detail = newDetail(report)
 		summary.StepMicros, summary.FenceToken = uint32(report.StepMicros), report.FenceToken
--- a/internal/fleet/state_test.go
+++ b/internal/fleet/state_test.go
@@ -264,7 +264,8 @@
 	if first.GetDetail() == nil || second.GetDetail() != nil || restarted.GetDetail() != nil {
 		t.Fatalf("detail sent: %v, %v, %v", first.GetDetail(), second.GetDetail(), restarted.GetDetail())
 	}
-	if got := receiver.directory.Find("r1").Load; got.Sequence != 1 || got.Running != 1 || got.StepMicros != 4000 || len(got.Models) != 1 {
+	if got := receiver.directory.Find("r1").Load; got.Sequence != 1 || got.Running != 1 ||
+		got.StepMicros != 4000 || len(got.Models) != 1 {
 		t.Fatalf("load known in the other zone: %+v", got)
 	}
 }
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -29,18 +29,18 @@
 		replica   string
 		want      time.Duration
 	}{
-		{"of the first listing", false, func(*Directory) {}, "first", 0},
+		{"in the first listing", false, func(*Directory) {}, "first", 0},
 		{"appeared later", false, func(d *Directory) { d.Update([]Info{{ID: "new", Service: "s"}}, nil) }, "new", 3 * time.Second},
 		{"appeared in a later listing", false, func(d *Directory) {
 			d.Replace([]Info{{ID: "first", Service: "s", Zone: "z"}, {ID: "new", Service: "s"}})
 		}, "new", 3 * time.Second},
-		{"says that it is cold for longer", false, func(d *Directory) {
+		{"its entry has a longer cold period", false, func(d *Directory) {
 			d.Update([]Info{{ID: "new", Service: "s", ColdFor: 5 * time.Second}}, nil)
 		}, "new", 5 * time.Second},
-		{"turned cold", false, func(d *Directory) {
+		{"became cold", false, func(d *Directory) {
 			d.Update([]Info{{ID: "first", Service: "s", Zone: "z", ColdFor: time.Second}}, nil)
 		}, "first", time.Second},
-		{"turned cold again by the same entry", false, func(d *Directory) {
+		{"became cold again by an equal entry", false, func(d *Directory) {
 			d.Update([]Info{{ID: "first", Service: "s", Zone: "z", ColdFor: time.Second}}, nil)
 			time.Sleep(2 * time.Second)
 			d.Update([]Info{{ID: "first", Service: "s", Zone: "z", ColdFor: time.Second}}, nil)
@@ -56,7 +56,7 @@
 			time.Sleep(time.Minute)
 			d.SetEvacuated(nil)
 		}, "first", 3 * time.Second},
-		{"its service bounds nothing", true, func(d *Directory) {
+		{"its service declares no limit", true, func(d *Directory) {
 			d.Update([]Info{{ID: "new", Service: "s", ColdFor: 5 * time.Second}}, nil)
 		}, "new", 0},
 	} {
@@ -88,7 +88,9 @@
 
 func TestAnswerSaysThatAReplicaIsCold(t *testing.T) {
 	t.Parallel()
-	for text, want := range map[string]time.Duration{"1500": 1500 * time.Millisecond, "250.5": 250500 * time.Microsecond, "0": 0, "-3": 0, "x": 0, "": 0} {
+	for text, want := range map[string]time.Duration{
+		"1500": 1500 * time.Millisecond, "250.5": 250500 * time.Microsecond, "0": 0, "-3": 0, "x": 0, "": 0,
+	} {
 		now := time.Now()
 		handle := NewHandle(Info{ID: "r"})
 		handle.SetColdBounded(true)
--- a/internal/replica/copied_test.go
+++ b/internal/replica/copied_test.go
@@ -16,7 +16,7 @@
 		t.Error("directory is not loaded after a copy")
 	}
 	moved := directory.View().Find("a")
-	moved.Misdirected(time.Now())
+	moved.NoteMisdirected(time.Now())
 	directory.ReplaceByCopy(known)
 	if moved.Usable() || directory.View().Slots("s") != 3 {
 		t.Errorf("misdirected replica is used again after the next copy; %d slots, want 3", directory.View().Slots("s"))
@@ -25,7 +25,7 @@
 	if !moved.Usable() {
 		t.Error("replica is not usable though the key-value service names it")
 	}
-	moved.Misdirected(time.Now())
+	moved.NoteMisdirected(time.Now())
 	if !moved.Usable() || !moved.Avoided(time.Now()) {
 		t.Error("misdirected replica that the key-value service names is not usable or not avoided")
 	}
--- a/internal/replica/failures.go
+++ b/internal/replica/failures.go
@@ -65,12 +65,12 @@
 	h.mutex.Lock()
 	avoided := now.Before(h.avoidUntil)
 	h.mutex.Unlock()
-	return avoided || h.FailsOthers(now)
+	return avoided || h.FailsOtherNodes(now)
 }
 
-// FailsOthers reports whether at least minOthersAvoiding other nodes avoid the replica because their calls fail, and this process has
+// FailsOtherNodes reports whether at least minOthersAvoiding other nodes avoid the replica because their calls fail, and this process has
 // received no bytes of a response from it within ownAnswerWindow.
-func (h *Handle) FailsOthers(now time.Time) bool {
+func (h *Handle) FailsOtherNodes(now time.Time) bool {
 	h.mutex.Lock()
 	fails := !h.othersAt.IsZero() && now.Sub(h.othersAt) < othersStaleAfter && h.othersUse.Avoiding >= minOthersAvoiding
 	h.mutex.Unlock()
@@ -83,7 +83,7 @@
 	h.mutex.Lock()
 	failing := h.failures >= downAfter && now.Before(h.failingUntil)
 	h.mutex.Unlock()
-	return failing || h.zone.CutOff() || h.FailsOthers(now)
+	return failing || h.zone.CutOff() || h.FailsOtherNodes(now)
 }
 
 // FailureRate returns the moving average of failures among the latest calls, from 0 to 1.
--- a/internal/replica/part_test.go
+++ b/internal/replica/part_test.go
@@ -9,7 +9,11 @@
 // inside it.
 func TestSlotsOfAPart(t *testing.T) {
 	directory := NewDirectory()
-	directory.Replace([]Info{{ID: "a", Service: "s", Slots: 8}, {ID: "b", Service: "s", Slots: 8}, {ID: "c", Service: "s", Slots: 8, Draining: true}})
+	directory.Replace([]Info{
+		{ID: "a", Service: "s", Slots: 8},
+		{ID: "b", Service: "s", Slots: 8},
+		{ID: "c", Service: "s", Slots: 8, Draining: true},
+	})
 	if directory.View().KnowsPart() {
 		t.Error("a directory of all replicas counts as a subset")
 	}
--- a/internal/replica/replaced.go
+++ b/internal/replica/replaced.go
@@ -8,7 +8,7 @@
 // Refused records a response with the given status by which the replica guarantees that the request has not run.
 func (h *Handle) Refused(status int, now time.Time) {
 	if status == http.StatusMisdirectedRequest {
-		h.Misdirected(now)
+		h.NoteMisdirected(now)
 		return
 	}
 	h.Rejected(now)
@@ -27,9 +27,9 @@
 	}
 }
 
-// Misdirected records that another service answers at the replica's address, so that this replica has ended. A replica that is known only
+// NoteMisdirected records that another service answers at the replica's address, so that this replica has ended. A replica that is known only
 // from a copy of the directory receives no more requests until the key-value service confirms it.
-func (h *Handle) Misdirected(now time.Time) {
+func (h *Handle) NoteMisdirected(now time.Time) {
 	if h.unconfirmed.Load() {
 		h.misdirected.Store(true)
 	}
--- a/internal/replica/use.go
+++ b/internal/replica/use.go
@@ -89,7 +89,8 @@
 		h.workTime, h.workTimeAt = load.WorkTime, now
 	}
 	if now.Sub(h.othersAt) <= maxComparableAge {
-		h.unattributed, h.unattributedAt = max(0, float64(load.Running+load.Waiting-h.othersUse.Requests)-float64(h.inUseAtReport)), now
+		h.unattributed, h.unattributedAt = max(0,
+			float64(load.Running+load.Waiting-h.othersUse.Requests)-float64(h.inUseAtReport)), now
 	}
 }
 
@@ -110,7 +111,8 @@
 	if !h.othersAt.IsZero() && now.Sub(h.othersAt) < othersStaleAfter {
 		return inUse + float64(h.othersUse.Requests) + h.unattributed*reportWeight(h.unattributedAt, now)
 	}
-	return max(inUse, float64(h.reported.Running+h.reported.Waiting)*reportWeight(h.reportedAt, now)+inUse-float64(h.inUseAtReport))
+	return max(inUse,
+		float64(h.reported.Running+h.reported.Waiting)*reportWeight(h.reportedAt, now)+inUse-float64(h.inUseAtReport))
 }
 
 // Slowdown estimates how much longer than usual work takes at the replica, as a fraction of the usual time (1 means twice as long); 0 if
