--- a/internal/ledger/confined_test.go
+++ b/internal/ledger/confined_test.go
@@ -127,7 +127,7 @@
 		whole := func() bool {
 			ensemble, _ := c.owner(partition).manager.directory.ensemble(partition)
 			c.keepsWithin(partition, north)
-			return ensemble.Full() == 3 && c.allPresent(ensemble)
+			return ensemble.FullMembers() == 3 && c.allPresent(ensemble)
 		}
 		c.loseDisk(c.memberOf(partition))
 		c.eventually("whole after a lost disk", whole)
@@ -333,7 +333,7 @@
 				c.eventually("whole again", func() bool {
 					c.keepsWithin(partition, north)
 					ensemble, _ := c.owner(partition).manager.directory.ensemble(partition)
-					return ensemble.Full() == 3 && c.allPresent(ensemble)
+					return ensemble.FullMembers() == 3 && c.allPresent(ensemble)
 				})
 			}
 			c.keyValue.set(func() { c.keyValue.down = false })
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -39,7 +39,7 @@
 		c.loseDisk(c.nodes[1])
 		c.eventually("the ensemble is whole", func() bool {
 			status := c.owner(0).manager.Status()[0]
-			return status.Ensemble.Full() == 4 && status.Ensemble.Version >= 5
+			return status.Ensemble.FullMembers() == 4 && status.Ensemble.Version >= 5
 		})
 		for _, node := range c.nodes {
 			c.stop(node)
@@ -139,7 +139,7 @@
 		c.loseDisk(c.nodes[2])
 		c.eventually("the ensemble is whole", func() bool {
 			status := c.owner(0).manager.Status()[0]
-			return status.Ensemble.Full() == 4 && status.Ensemble.Version == 3
+			return status.Ensemble.FullMembers() == 4 && status.Ensemble.Version == 3
 		})
 		c.check(0, acknowledged)
 	})
@@ -177,7 +177,7 @@
 						return false
 					}
 				}
-				return ensemble.Full() == 4
+				return ensemble.FullMembers() == 4
 			})
 		}
 		c.network.SetConditions(calm)
@@ -210,7 +210,7 @@
 		c.eventually("a spare has its place", func() bool {
 			changed := c.owner(0).manager.Status()[0].Ensemble
 			_, member := changed.Find(away.store.ID())
-			return !member && changed.Full() == 4
+			return !member && changed.FullMembers() == 4
 		})
 		c.start(away)
 		c.eventually("the store forgets", func() bool {
@@ -264,7 +264,7 @@
 			}
 			c.keyValue.down = false
 		})
-		c.eventually("the ensemble is whole", func() bool { return c.owner(0).manager.Status()[0].Ensemble.Full() == 4 })
+		c.eventually("the ensemble is whole", func() bool { return c.owner(0).manager.Status()[0].Ensemble.FullMembers() == 4 })
 		c.check(0, acknowledged)
 	})
 }
--- a/internal/ledger/locator.go
+++ b/internal/ledger/locator.go
@@ -199,7 +199,7 @@
 }
 
 // Degraded tells whether the partition has fewer full members than wanted.
-func (s PartitionStatus) Degraded() bool { return s.Ensemble.Full() < s.WantedReplicas }
+func (s PartitionStatus) Degraded() bool { return s.Ensemble.FullMembers() < s.WantedReplicas }
 
 // Status returns the state of all partitions whose ensembles this node knows.
 func (m *Manager) Status() []PartitionStatus {
--- a/internal/ledger/manager_test.go
+++ b/internal/ledger/manager_test.go
@@ -56,7 +56,7 @@
 			c.check(0, acknowledged)
 			c.eventually("the ensemble is whole", func() bool {
 				status := c.owner(0).manager.Status()[0]
-				return status.Ensemble.Full() == 4 && status.Ensemble.Version > uint64(4*round)
+				return status.Ensemble.FullMembers() == 4 && status.Ensemble.Version > uint64(4*round)
 			})
 		}
 		c.check(0, acknowledged)
@@ -148,7 +148,7 @@
 			c.add(true)
 		}
 		c.eventually("four full members", func() bool {
-			return c.nodes[0].manager.Status()[0].Ensemble.Full() == 4 || c.owner(0).manager.Status()[0].Ensemble.Full() == 4
+			return c.nodes[0].manager.Status()[0].Ensemble.FullMembers() == 4 || c.owner(0).manager.Status()[0].Ensemble.FullMembers() == 4
 		})
 		acknowledged = append(acknowledged, c.put(0, "together"))
 		c.check(0, acknowledged)
--- a/internal/ledger/ownership.go
+++ b/internal/ledger/ownership.go
@@ -163,7 +163,7 @@
 		case request := <-o.acceptable():
 			step(o.propose(request))
 		case <-notice.C:
-			step(o.owner.Notice())
+			step(o.owner.Tick())
 			if o.starvedTooLong() {
 				step(o.owner.GiveUp(protocol.LossUnreadable))
 			}
--- a/internal/ledger/ownership_requests.go
+++ b/internal/ledger/ownership_requests.go
@@ -92,7 +92,7 @@
 	if err == nil && response.Status == ledgerpb.Status_STATUS_FULL {
 		return func() []protocol.Action {
 			o.retryLater(action.Store)
-			return o.owner.Full(action.Store)
+			return o.owner.StoreFull(action.Store)
 		}
 	}
 	verdict, known := wire.ToVerdict(response.GetStatus())
--- a/internal/ledger/protocol/ballot_test.go
+++ b/internal/ledger/protocol/ballot_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// A store that forgot a partition must not help an owner under an older version.
+// A store that dropped a partition must not count towards quorums of an owner under an older ensemble version.
 func TestDroppedStoreRefusesOlderVersions(t *testing.T) {
 	state := NewStoreState()
 	state.Prepare(Prepare{Ballot: Ballot{1, 1, "a"}, Ensemble: Ensemble{Version: 1, Members: []Member{{Store: "old"}}}})
--- a/internal/ledger/protocol/ensemble.go
+++ b/internal/ledger/protocol/ensemble.go
@@ -7,14 +7,15 @@
 	Store StoreID
 	Node  string
 	Zone  string
-	// Address is the peer address when the member came in; the view has the present one.
+	// Address is the peer address at the time the member was added; the membership view has the current one.
 	Address string
-	// Joining members take appends and count for the write quorum, never for the read quorum.
+	// Joining members take appends and count towards the write quorum, never towards the read quorum.
 	Joining bool
 }
 
-// Ensemble is the set of stores of a partition. It changes only by compare-and-swap to
-// Version + 1; a ballot of a higher version outranks all ballots of lower ones.
+// Ensemble is the set of stores of a partition. It changes only to Version + 1, by compare-and-swap or by
+// decision of a write quorum of its members (see Owner.ProposeEnsemble). A ballot of a higher version outranks
+// all ballots of lower versions.
 type Ensemble struct {
 	Partition   PartitionID
 	Version     uint64
@@ -22,13 +23,14 @@
 	WriteQuorum int
 	// WriteID is unique to the change that made this version.
 	WriteID string
-	// Regions are where stores and owners of the partition may be; none for all. They never change.
+	// Regions are the regions that stores and owners of the partition are confined to; empty for no
+	// restriction. They never change.
 	Regions []string
 }
 
-// WriteQuorumOf returns the write quorum of an ensemble of size stores where wanted is the
-// configured one: the wanted one where it fits, and one less than size (so that appends
-// survive a lost store) where three stores or more are too few for it. Two stores must both write.
+// WriteQuorumOf returns the write quorum of an ensemble of size stores, given the configured quorum. It is the
+// configured one, capped at size - 1 for three stores or more, so that appends still succeed after the loss of
+// one store, and at size for fewer: with two stores, both must write.
 func WriteQuorumOf(size, wanted int) int {
 	quorum := min(wanted, size)
 	if quorum == size && size >= 3 {
@@ -37,14 +39,14 @@
 	return max(quorum, 1)
 }
 
-// ReadQuorum returns the number of full members that must promise: it meets every write quorum.
+// ReadQuorum returns the number of full members that must promise. It intersects every write quorum.
 func (e Ensemble) ReadQuorum() int { return len(e.Members) - e.WriteQuorum + 1 }
 
-// LossesSurvived returns how many disks may be lost together without loss of an acknowledged record.
+// LossesSurvived returns how many disks may be lost at once without losing an acknowledged record.
 func (e Ensemble) LossesSurvived() int { return e.WriteQuorum - 1 }
 
-// Full returns the number of members that are not joining.
-func (e Ensemble) Full() int {
+// FullMembers returns the number of members that are not joining.
+func (e Ensemble) FullMembers() int {
 	full := 0
 	for _, member := range e.Members {
 		if !member.Joining {
@@ -54,7 +56,7 @@
 	return full
 }
 
-// String names the members' nodes for the log, joining ones with a plus sign.
+// String lists the members' nodes for log output; joining members are prefixed with a plus sign.
 func (e Ensemble) String() string {
 	var names []string
 	for _, member := range e.Members {
@@ -77,15 +79,15 @@
 	return Member{}, false
 }
 
-// Replace returns the next version with replacement, joining, in the place of lost. It
-// refuses where the full members left would be fewer than the read quorum, for then an
-// acknowledged record might be unreadable.
+// Replace returns the next version, in which replacement takes the place of lost as a joining member. It
+// returns false if fewer full members than the read quorum would remain, since an acknowledged record might
+// then be unreadable.
 func (e Ensemble) Replace(lost StoreID, replacement Member) (Ensemble, bool) {
 	former, found := e.Find(lost)
 	if _, present := e.Find(replacement.Store); !found || present {
 		return Ensemble{}, false
 	}
-	full := e.Full()
+	full := e.FullMembers()
 	if !former.Joining {
 		full--
 	}
@@ -101,8 +103,8 @@
 	}), true
 }
 
-// Promote returns the next version with the joining store as a full member. The caller
-// must have rewritten the log to a write quorum with the store in it.
+// Promote returns the next version, in which the joining store is a full member. The caller
+// must first have rewritten the log to a write quorum that includes the store.
 func (e Ensemble) Promote(store StoreID) (Ensemble, bool) {
 	member, found := e.Find(store)
 	if !found || !member.Joining {
@@ -116,18 +118,18 @@
 	}), true
 }
 
-// Grow returns the next version with one more, joining, member. The write quorum of the grown
-// ensemble holds from the start, so that what is acknowledged before the promotion
-// meets the read quorum after it too. One change at a time: it refuses while another member joins.
+// Grow returns the next version with one more member, which is joining. The write quorum of the grown ensemble
+// applies at once, so that records acknowledged before the promotion also intersect the read quorum after it.
+// Grow returns false while another member is joining: changes are made one at a time.
 func (e Ensemble) Grow(member Member, wanted int) (Ensemble, bool) {
-	if _, present := e.Find(member.Store); present || e.Full() < len(e.Members) {
+	if _, present := e.Find(member.Store); present || e.FullMembers() < len(e.Members) {
 		return Ensemble{}, false
 	}
 	member.Joining = true
 	grown := e.next(func(member Member) Member { return member })
 	grown.Members = append(grown.Members, member)
 	grown.WriteQuorum = WriteQuorumOf(len(grown.Members), wanted)
-	if grown.ReadQuorum() > grown.Full() || e.WriteQuorum+grown.ReadQuorum() <= len(e.Members) {
+	if grown.ReadQuorum() > grown.FullMembers() || e.WriteQuorum+grown.ReadQuorum() <= len(e.Members) {
 		return Ensemble{}, false
 	}
 	return grown, true
--- a/internal/ledger/protocol/model_decision_test.go
+++ b/internal/ledger/protocol/model_decision_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// propose puts a proposal on its way to a store.
-func (w *world) propose(owner *modelOwner, action SendProposal) {
+// propose queues a proposal to a store.
+func (w *modelCluster) propose(owner *modelOwner, action SendProposal) {
 	w.request(owner, action.Store, func(store *modelStore) func() []Action {
 		answer, effect := store.state.ProposeEnsemble(action.Proposal)
 		store.apply(effect)
@@ -19,8 +19,8 @@
 	}
 }
 
-// decide checks that no version is decided in two ways.
-func (w *world) decide(owner *modelOwner, next Ensemble) {
+// decide applies a decided ensemble and checks that no version is decided differently by two owners.
+func (w *modelCluster) decide(owner *modelOwner, next Ensemble) {
 	decided := append(slices.Clone(w.older), w.ensemble)
 	for _, known := range decided {
 		if known.Version == next.Version && !slices.Equal(known.Members, next.Members) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// changeTo makes next the ensemble, or has a serving owner's members decide on it.
-func (w *world) changeTo(next Ensemble) {
+// changeTo makes next the ensemble, or proposes it to the members of the serving owners.
+func (w *modelCluster) changeTo(next Ensemble) {
 	if !w.membersDecide {
 		w.change(next)
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// weakNext counts the members that would be lost or joining under the weakest ensemble that may yet be decided.
-func (w *world) weakNext() int {
+// weakNext returns the highest number of lost or joining members among the ensembles that may still be decided.
+func (w *modelCluster) weakNext() int {
 	weakest := 0
 	count := func(next Ensemble) {
 		if next.Version == w.ensemble.Version+1 {
@@ -54,7 +54,7 @@
 		}
 	}
 	for _, owner := range w.owners {
-		count(owner.proposing.ensemble)
+		count(owner.proposal.ensemble)
 	}
 	for _, store := range w.stores {
 		count(store.state.Proposal.Ensemble)
@@ -62,8 +62,9 @@
 	return weakest
 }
 
-// healByMembers has the members replace the lost disks, without a compare-and-swap, and checks what is then served.
-func (w *world) healByMembers() {
+// healByMembers replaces the lost disks by decisions of the members, without a compare-and-swap, and checks that every
+// acknowledged record is then served.
+func (w *modelCluster) healByMembers() {
 	const rounds = 8
 	for range rounds {
 		owner := w.startOwner(w.ensemble, w.number+1)
@@ -81,8 +82,8 @@
 	w.t.Fatalf("not healed after %d owners: %+v", rounds, w.ensemble)
 }
 
-// replaceLost has the owner's members decide on the next change that is due, if one is.
-func (w *world) replaceLost(owner *modelOwner) {
+// replaceLost proposes the next due change to the owner's members, if there is one.
+func (w *modelCluster) replaceLost(owner *modelOwner) {
 	for _, member := range w.ensemble.Members {
 		if w.stores[member.Store].lost {
 			if next, ok := w.ensemble.Replace(member.Store, Member{Store: w.newStore()}); ok {
--- a/internal/ledger/protocol/model_test.go
+++ b/internal/ledger/protocol/model_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// modelStore is a disk with its state machine.
+// modelStore is a store's protocol state with the content of its disk.
 type modelStore struct {
 	state    StoreState
 	records  map[Position]Entry
 	snapshot []string
 	lost     bool
-	// dropped says that the store forgot the partition because it is no longer a member.
+	// dropped is set if the store dropped the partition because it is no longer a member.
 	dropped bool
 }
 
@@ -32,30 +32,30 @@
 	}
 }
 
-// modelOwner is one owner with the records it gave positions to.
+// modelOwner is an owner with the values it assigned to positions.
 type modelOwner struct {
 	*Owner
 	id     int
 	values map[Position]string
-	// began is the ballot under which reading or resuming was last seen to begin.
-	began Ballot
+	// recoveryBallot is the ballot of the last recovery or resumption that was checked.
+	recoveryBallot Ballot
 }
 
-// message is a request on its way to a store, or its answer on its way back.
+// message is a request in flight to a store, or its answer in flight to the owner.
 type message struct {
 	owner   *modelOwner
 	ballot  Ballot
 	store   StoreID
 	deliver func() (answer func() []Action)
-	// forgotten: the owner has given up on the answer.
+	// forgotten is set if the owner no longer waits for the answer.
 	forgotten bool
 }
 
-// promotion is an ensemble change decided at one time and made at another.
+// promotion is an ensemble change that is decided earlier than it is applied.
 type promotion struct{ next Ensemble }
 
-// world is a cluster whose messages and failures rapid chooses.
-type world struct {
+// modelCluster is a cluster in which rapid chooses the order of messages and the failures.
+type modelCluster struct {
 	t          *rapid.T
 	stores     map[StoreID]*modelStore
 	ensemble   Ensemble
@@ -64,14 +64,15 @@
 	requests   []message
 	answers    []message
 	promotions []promotion
-	// acknowledged holds the value of every acknowledged position, ballots the lowest ballot that acknowledged it.
+	// acknowledged holds the value of every acknowledged position.
 	acknowledged map[Position]string
-	ballots      map[Position]Ballot
-	// born is the ballot under which a value was first proposed.
-	born map[string]Ballot
-	// bearable is how many members may be lost or joining at once.
-	bearable int
-	// membersDecide says that ensembles are decided by their members instead of a compare-and-swap.
+	// ballots holds the lowest ballot that acknowledged each position.
+	ballots map[Position]Ballot
+	// proposedUnder holds the ballot under which each value was first proposed.
+	proposedUnder map[string]Ballot
+	// maxWeakMembers is the number of members that may be lost or joining at once.
+	maxWeakMembers int
+	// membersDecide is set if ensembles are decided by their members instead of a compare-and-swap.
 	membersDecide bool
 	nextStore     int
 	nextValue     int
@@ -86,13 +87,13 @@
 	maxWeak                              = 2
 )
 
-func newWorld(t *rapid.T, membersDecide bool) *world {
-	w := &world{t: t, membersDecide: membersDecide, stores: map[StoreID]*modelStore{}, acknowledged: map[Position]string{}, ballots: map[Position]Ballot{}, born: map[string]Ballot{}}
+func newModelCluster(t *rapid.T, membersDecide bool) *modelCluster {
+	w := &modelCluster{t: t, membersDecide: membersDecide, stores: map[StoreID]*modelStore{}, acknowledged: map[Position]string{}, ballots: map[Position]Ballot{}, proposedUnder: map[string]Ballot{}}
 	w.ensemble = Ensemble{Version: 1, WriteQuorum: modelQuorum}
 	replicas := modelReplicas
-	w.bearable = maxWeak
+	w.maxWeakMembers = maxWeak
 	if membersDecide {
-		w.ensemble.WriteQuorum, replicas, w.bearable = modelMajority, modelMajorityReplicas, maxWeak-1
+		w.ensemble.WriteQuorum, replicas, w.maxWeakMembers = modelMajority, modelMajorityReplicas, maxWeak-1
 	}
 	for range replicas {
 		w.ensemble.Members = append(w.ensemble.Members, Member{Store: w.newStore()})
@@ -100,17 +101,17 @@
 	return w
 }
 
-func (w *world) newStore() StoreID {
+func (w *modelCluster) newStore() StoreID {
 	w.nextStore++
 	id := StoreID(fmt.Sprint("store-", w.nextStore))
 	w.stores[id] = newModelStore()
 	return id
 }
 
-// weak counts members that are lost or joining, now or once what is proposed is decided.
-func (w *world) weak() int { return max(w.weakOf(w.ensemble), w.weakNext()) }
+// weak counts the members that are lost or joining, at present or after a pending proposal is decided.
+func (w *modelCluster) weak() int { return max(w.weakOf(w.ensemble), w.weakNext()) }
 
-func (w *world) weakOf(ensemble Ensemble) int {
+func (w *modelCluster) weakOf(ensemble Ensemble) int {
 	weak := 0
 	for _, member := range ensemble.Members {
 		if member.Joining || w.stores[member.Store].lost {
@@ -120,12 +121,12 @@
 	return weak
 }
 
-func (w *world) change(next Ensemble) {
+func (w *modelCluster) change(next Ensemble) {
 	w.older = append(w.older, w.ensemble)
 	w.ensemble = next
 }
 
-func (w *world) startOwner(ensemble Ensemble, number uint64) *modelOwner {
+func (w *modelCluster) startOwner(ensemble Ensemble, number uint64) *modelOwner {
 	w.number = max(w.number, number)
 	id := len(w.owners) + 1
 	ballot := Ballot{Version: ensemble.Version, Number: number, Owner: fmt.Sprint("owner-", id)}
@@ -138,10 +139,10 @@
 	return owner
 }
 
-// step runs one method of an owner and executes what it asks.
-func (w *world) step(owner *modelOwner, actions []Action) {
-	if owner.Phase() >= PhaseReading && owner.Phase() < PhaseLost && owner.began != owner.Ballot() {
-		owner.began = owner.Ballot()
+// step checks an owner after one of its methods ran, and executes the actions that the method returned.
+func (w *modelCluster) step(owner *modelOwner, actions []Action) {
+	if owner.Phase() >= PhaseReading && owner.Phase() < PhaseLost && owner.recoveryBallot != owner.Ballot() {
+		owner.recoveryBallot = owner.Ballot()
 		for position, ballot := range w.ballots {
 			if ballot.Below(owner.Ballot()) && owner.RecoveredTo() < position {
 				w.t.Fatalf("owner %d recovers to %d, but %d is acknowledged", owner.id, owner.RecoveredTo(), position)
@@ -153,7 +154,7 @@
 	w.checkReads(owner)
 }
 
-func (w *world) execute(owner *modelOwner, actions []Action) {
+func (w *modelCluster) execute(owner *modelOwner, actions []Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
 		case SendPrepare:
@@ -206,8 +207,8 @@
 	}
 }
 
-// request puts a request on its way; it is answered, lost or late as rapid chooses.
-func (w *world) request(owner *modelOwner, id StoreID, serve func(*modelStore) func() []Action) {
+// request queues a request; rapid chooses whether it is answered, lost or delayed.
+func (w *modelCluster) request(owner *modelOwner, id StoreID, serve func(*modelStore) func() []Action) {
 	w.requests = append(w.requests, message{owner: owner, ballot: owner.Ballot(), store: id, deliver: func() func() []Action {
 		store := w.stores[id]
 		if store.lost {
@@ -217,13 +218,13 @@
 	}})
 }
 
-func (w *world) fail(owner *modelOwner, store StoreID) {
+func (w *modelCluster) fail(owner *modelOwner, store StoreID) {
 	w.answers = append(w.answers, message{owner: owner, ballot: owner.Ballot(), store: store, deliver: func() func() []Action {
 		return func() []Action { return owner.Failed(store) }
 	}})
 }
 
-func (w *world) fetch(owner *modelOwner, action Fetch) {
+func (w *modelCluster) fetch(owner *modelOwner, action Fetch) {
 	w.request(owner, action.Source, func(store *modelStore) func() []Action {
 		entries, ok := store.read(action.From, min(action.To, action.From+1))
 		if !ok {
@@ -234,7 +235,7 @@
 		}
 		return func() []Action { return owner.Fetched(action.Store, entries) }
 	})
-	// The one who waits for the answer is the store that lacks the entries, also where the source is lost.
+	// The request is accounted to the store that lacks the entries, even if the source is lost.
 	last := &w.requests[len(w.requests)-1]
 	last.store = action.Store
 	inner := last.deliver
@@ -246,7 +247,7 @@
 	}
 }
 
-func (w *world) install(owner *modelOwner, id StoreID, info SnapshotInfo, values []string, transfer bool) {
+func (w *modelCluster) install(owner *modelOwner, id StoreID, info SnapshotInfo, values []string, transfer bool) {
 	ballot, recoveredTo := owner.Ballot(), owner.RecoveredTo()
 	w.request(owner, id, func(store *modelStore) func() []Action {
 		answer, effect := store.state.InstallSnapshot(ballot, recoveredTo, info)
@@ -279,7 +280,7 @@
 	return entries, true
 }
 
-func (w *world) acknowledge(owner *modelOwner, through Position) {
+func (w *modelCluster) acknowledge(owner *modelOwner, through Position) {
 	for position := through; position > 0; position-- {
 		value, known := owner.values[position]
 		if !known {
@@ -297,7 +298,7 @@
 }
 
 // checkStore checks the invariants of a store's state.
-func (w *world) checkStore(store *modelStore) {
+func (w *modelCluster) checkStore(store *modelStore) {
 	s := store.state
 	if s.First > s.Committed+1 || s.Committed > s.Consistent || s.Consistent > s.Last || s.Snapshot.KeepFrom > s.Committed+1 || s.Promised.Below(s.Accepted) {
 		w.t.Fatalf("store state is broken: %+v", s)
@@ -309,8 +310,8 @@
 	}
 }
 
-// checkReads checks that every record that the owner would read from any store is the acknowledged one.
-func (w *world) checkReads(owner *modelOwner) {
+// checkReads checks that the record that the owner would read at a position is the acknowledged one at every store.
+func (w *modelCluster) checkReads(owner *modelOwner) {
 	if owner.Phase() != PhaseServing {
 		return
 	}
--- a/internal/ledger/protocol/owner_actions.go
+++ b/internal/ledger/protocol/owner_actions.go
@@ -1,7 +1,7 @@
 package protocol
 
-// Action is what an Owner asks its driver to do. Each request to a store is answered by one call
-// of the Owner's method that the action names, or by Failed.
+// Action is an instruction from an Owner to its driver. The driver answers each request to a store with one
+// call of the Owner method that the action's comment names, or of Failed.
 type Action interface{ action() }
 
 // SendPrepare asks Store for a promise; answered by Promised.
@@ -10,7 +10,7 @@
 	Prepare Prepare
 }
 
-// ReadTail reads From..To at Store, which has promised; answered by TailRead.
+// ReadTail reads entries From..To at Store, which has promised; answered by TailRead.
 type ReadTail struct {
 	Store    StoreID
 	From, To Position
@@ -28,7 +28,7 @@
 	From, To      Position
 }
 
-// TransferSnapshot copies Source's snapshot to Store, which lacks records that are trimmed; answered
+// TransferSnapshot copies Source's snapshot to Store, which lacks records that Source has trimmed; answered
 // by SnapshotTransferred.
 type TransferSnapshot struct {
 	Store, Source StoreID
@@ -36,47 +36,49 @@
 	RecoveredTo   Position
 }
 
-// SendProposal asks Store to accept the next ensemble; answered by ProposalAnswered, or by ProposalFailed.
+// SendProposal asks Store to accept the next ensemble; answered by ProposalAnswered or ProposalFailed.
 type SendProposal struct {
 	Store    StoreID
 	Proposal Proposal
 }
 
-// EnsembleDecided says that Ensemble follows the owner's, whatever becomes of the owner.
+// EnsembleDecided reports that Ensemble is decided as the successor of the owner's ensemble. It holds even if
+// the owner is lost.
 type EnsembleDecided struct{ Ensemble Ensemble }
 
-// Acknowledge says that every record up to Through is on a write quorum.
+// Acknowledge reports that every record up to Through is on a write quorum.
 type Acknowledge struct{ Through Position }
 
-// Recovered says that the whole log up to Last is on a write quorum and the owner may serve.
+// Recovered reports that the whole log up to Last is on a write quorum and the owner may serve.
 type Recovered struct{ Last Position }
 
-// Lost says that the ballot is lost or cannot be won; the Owner does nothing any more.
-// Higher is the ballot that outranks it, or zero. Ensemble is set where a newer version was met.
+// Lost reports that the ballot is lost or cannot be won; the Owner takes no further action.
 type Lost struct {
-	Cause    LossCause
-	Higher   Ballot
+	Cause LossCause
+	// Higher is the ballot that outranks this one, or zero.
+	Higher Ballot
+	// Ensemble is set if a store had a newer version.
 	Ensemble Ensemble
 }
 
-// LossCause tells why a ballot was lost.
+// LossCause is the reason for which a ballot was lost.
 type LossCause string
 
 // Causes of a loss.
 const (
 	// LossOutranked: a store has promised a higher ballot.
 	LossOutranked LossCause = "outranked"
-	// LossReleased: the owner gave the partition up.
+	// LossReleased: the owner released the partition.
 	LossReleased LossCause = "released"
-	// LossDeclined: the present owner serves well and keeps the partition.
+	// LossDeclined: the current owner is healthy and keeps the partition.
 	LossDeclined LossCause = "declined"
-	// LossUnreadable: a record that recovery needs could not be read; another ballot may do better.
+	// LossUnreadable: a record that recovery needs could not be read; a retry under another ballot may succeed.
 	LossUnreadable LossCause = "unreadable"
 	// LossTimeout: too few stores answered in time.
 	LossTimeout LossCause = "timeout"
 	// LossEnsembleChanged: the ensemble has a newer version, under which the owner prepares again.
 	LossEnsembleChanged LossCause = "ensemble_changed"
-	// LossContradiction: a store contradicts what recovery found; a broken invariant.
+	// LossContradiction: a store's state contradicts the recovered log, which means that an invariant is broken.
 	LossContradiction LossCause = "contradiction"
 )
 
--- a/internal/ledger/protocol/owner_again.go
+++ b/internal/ledger/protocol/owner_again.go
@@ -1,8 +1,8 @@
 package protocol
 
-// PrepareAgain takes the ensemble's newer version: the owner asks all members for promises under a ballot of that
-// version, and takes no new records until a read quorum has promised. It keeps what it knows of the log. The driver calls
-// it only while Phase is PhaseServing.
+// PrepareAgain moves the owner to a newer version of the ensemble. It requests promises from all members under a
+// ballot of that version and accepts no new records until a read quorum has promised. The owner's knowledge of
+// the log is kept. The driver calls it only in PhaseServing.
 func (o *Owner) PrepareAgain(ensemble Ensemble) []Action {
 	if o.phase != PhaseServing || ensemble.Version <= o.ensemble.Version {
 		return nil
@@ -13,23 +13,23 @@
 	o.phase = PhasePreparing
 	o.resuming = true
 	o.followers = nil
-	o.proposing = proposing{}
+	o.proposal = ensembleProposal{}
 	for _, member := range ensemble.Members {
 		o.followers = append(o.followers, &follower{member: member})
 	}
 	for _, known := range former {
 		if follower := o.find(known.member.Store); follower != nil {
-			follower.known = min(max(known.acked, known.known), o.committed)
+			follower.priorAcked = min(max(known.acked, known.priorAcked), o.committed)
 			follower.first, follower.snapshot, follower.spaceLow = known.first, known.snapshot, known.spaceLow
 		}
 	}
 	return o.Start()
 }
 
-// resume goes on once a read quorum has promised the new ballot. Another owner that wrote anything acknowledged since
-// the last confirmed ballot shows as accepted in the quorum; the log is then no longer known and the ballot is given up.
-// Otherwise nothing but the own records was acknowledged, and those not yet acknowledged are
-// written again under the new ballot.
+// resume continues after PrepareAgain, once a read quorum has promised the new ballot. If another owner has had
+// a record acknowledged since the last confirmed ballot, a store of the quorum has accepted a higher ballot than
+// that; this owner's log is then out of date and it gives up its ballot. Otherwise only this owner's records were
+// acknowledged, and its unacknowledged ones are rewritten under the new ballot.
 func (o *Owner) resume() []Action {
 	for _, follower := range o.followers {
 		accepted := follower.promise.Accepted
--- a/internal/ledger/protocol/owner_proposal.go
+++ b/internal/ledger/protocol/owner_proposal.go
@@ -1,32 +1,32 @@
 package protocol
 
-// proposing is how far the owner is with the ensemble that is to follow its own.
-type proposing struct {
-	// ensemble is the proposed one; its version is 0 where there is none.
+// ensembleProposal is the progress of the owner's proposal for the next ensemble.
+type ensembleProposal struct {
+	// ensemble is the proposed one; version 0 means no proposal.
 	ensemble Ensemble
-	// asked are the stores whose answer is awaited, accepted those that have accepted under this ballot.
+	// asked are the stores with a request in flight; accepted are those that accepted under this ballot.
 	asked, accepted map[StoreID]bool
 	decided         bool
 }
 
-// ProposeEnsemble starts to have the members decide on next. It does nothing unless the owner serves, next follows the owner's ensemble
-// and nothing else is proposed.
+// ProposeEnsemble proposes next to the members. It does nothing unless the owner is serving, next is the
+// version after the owner's ensemble, and no other proposal is pending.
 func (o *Owner) ProposeEnsemble(next Ensemble) []Action {
-	if o.phase != PhaseServing || next.Version != o.ensemble.Version+1 || o.proposing.ensemble.Version != 0 {
+	if o.phase != PhaseServing || next.Version != o.ensemble.Version+1 || o.proposal.ensemble.Version != 0 {
 		return nil
 	}
-	o.proposing = newProposing(next)
+	o.proposal = newEnsembleProposal(next)
 	return o.sendProposals()
 }
 
-func newProposing(ensemble Ensemble) proposing {
-	return proposing{ensemble: ensemble, asked: map[StoreID]bool{}, accepted: map[StoreID]bool{}}
+func newEnsembleProposal(ensemble Ensemble) ensembleProposal {
+	return ensembleProposal{ensemble: ensemble, asked: map[StoreID]bool{}, accepted: map[StoreID]bool{}}
 }
 
-// inheritProposal takes over what another owner of this version proposed, for it may be decided. It is called when the read
-// quorum is complete.
+// inheritProposal adopts the newest proposal by another owner of this version, since it may already be decided.
+// It is called when the read quorum is complete.
 func (o *Owner) inheritProposal() {
-	o.proposing = proposing{}
+	o.proposal = ensembleProposal{}
 	var newest Proposal
 	for _, follower := range o.followers {
 		known := follower.promise.Proposal
@@ -35,30 +35,30 @@
 		}
 	}
 	if newest.Ensemble.Version != 0 {
-		o.proposing = newProposing(newest.Ensemble)
+		o.proposal = newEnsembleProposal(newest.Ensemble)
 	}
 }
 
-// sendProposals asks the attached members that have not accepted yet.
+// sendProposals sends the proposal to the attached members that have not accepted it yet.
 func (o *Owner) sendProposals() []Action {
-	if o.phase != PhaseServing || o.proposing.ensemble.Version == 0 || o.proposing.decided {
+	if o.phase != PhaseServing || o.proposal.ensemble.Version == 0 || o.proposal.decided {
 		return nil
 	}
 	var actions []Action
 	for _, follower := range o.followers {
 		store := follower.member.Store
-		if !follower.attached || o.proposing.asked[store] || o.proposing.accepted[store] {
+		if !follower.attached || o.proposal.asked[store] || o.proposal.accepted[store] {
 			continue
 		}
-		o.proposing.asked[store] = true
-		actions = append(actions, SendProposal{Store: store, Proposal: Proposal{Ballot: o.ballot, Ensemble: o.proposing.ensemble}})
+		o.proposal.asked[store] = true
+		actions = append(actions, SendProposal{Store: store, Proposal: Proposal{Ballot: o.ballot, Ensemble: o.proposal.ensemble}})
 	}
 	return actions
 }
 
-// ProposalAnswered takes a store's answer to a SendProposal. A write quorum decides.
+// ProposalAnswered handles a store's answer to a SendProposal. Acceptance by a write quorum decides the proposal.
 func (o *Owner) ProposalAnswered(store StoreID, answer Acknowledgement) []Action {
-	if o.phase == PhaseLost || o.find(store) == nil || !o.proposing.asked[store] {
+	if o.phase == PhaseLost || o.find(store) == nil || !o.proposal.asked[store] {
 		return nil
 	}
 	switch answer.Verdict {
@@ -68,17 +68,17 @@
 	default:
 		return o.lose(Lost{Cause: LossContradiction})
 	}
-	delete(o.proposing.asked, store)
-	o.proposing.accepted[store] = true
-	if o.proposing.decided || len(o.proposing.accepted) < o.ensemble.WriteQuorum {
+	delete(o.proposal.asked, store)
+	o.proposal.accepted[store] = true
+	if o.proposal.decided || len(o.proposal.accepted) < o.ensemble.WriteQuorum {
 		return nil
 	}
-	o.proposing.decided = true
-	return []Action{EnsembleDecided{Ensemble: o.proposing.ensemble}}
+	o.proposal.decided = true
+	return []Action{EnsembleDecided{Ensemble: o.proposal.ensemble}}
 }
 
-// ProposalFailed says that a SendProposal had no usable answer; the store is asked again at the next notice.
+// ProposalFailed records that a SendProposal got no usable answer; the next Tick asks the store again.
 func (o *Owner) ProposalFailed(store StoreID) []Action {
-	delete(o.proposing.asked, store)
+	delete(o.proposal.asked, store)
 	return nil
 }
--- a/internal/ledger/protocol/owner_proposal_test.go
+++ b/internal/ledger/protocol/owner_proposal_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// proposalCluster has three stores with an ensemble of which two decide.
+// proposalCluster has three stores and an ensemble with a write quorum of two.
 type proposalCluster struct {
 	stores   map[StoreID]*modelStore
 	ensemble Ensemble
@@ -25,7 +25,7 @@
 	return next
 }
 
-// prepared returns an owner that serves after the promises of the given stores.
+// prepared returns an owner that is serving after promises from the given stores.
 func (c *proposalCluster) prepared(t *testing.T, number uint64, name string, stores ...StoreID) (*Owner, []Action) {
 	t.Helper()
 	owner := NewOwner(Ballot{Version: 1, Number: number, Owner: name}, c.ensemble, DefaultOwnerLimits())
@@ -53,7 +53,7 @@
 	return proposals
 }
 
-// answer delivers a proposal to a store and its answer to the owner.
+// answer delivers a proposal to a store, and the store's answer to the owner.
 func (c *proposalCluster) answer(owner *Owner, store StoreID, proposal Proposal) []Action {
 	answer, effect := c.stores[store].state.ProposeEnsemble(proposal)
 	c.stores[store].apply(effect)
@@ -126,7 +126,7 @@
 	proposals := proposalsTo(owner.ProposeEnsemble(c.replacement("c", "d")))
 	c.answer(owner, "a", proposals["a"])
 	owner.ProposalFailed("b")
-	again := proposalsTo(owner.Notice())
+	again := proposalsTo(owner.Tick())
 	if _, asked := again["b"]; !asked || len(again) != 1 {
 		t.Errorf("asked again: %v", again)
 	}
--- a/internal/ledger/protocol/owner_recovery.go
+++ b/internal/ledger/protocol/owner_recovery.go
@@ -1,16 +1,16 @@
 package protocol
 
-// tailReading collects the tails of the stores whose promises made the read quorum.
+// tailReading collects the log tails of the stores whose promises formed the read quorum.
 type tailReading struct {
 	waiting map[StoreID]bool
-	// highest is, for each position, the entry with the highest ballot read so far.
+	// highest holds, by position, the entry with the highest ballot read so far.
 	highest map[Position]Entry
 }
 
 func (t tailReading) awaits(store StoreID) bool { return t.waiting[store] }
 
-// readTails starts the recovery: all that may have been acknowledged is at or before the
-// highest committed position of the quorum, or in the tails behind it.
+// readTails starts the recovery: every record that may have been acknowledged is at or before the
+// highest committed position of the quorum, or in the tails after it.
 func (o *Owner) readTails() []Action {
 	o.phase = PhaseReading
 	o.confirmed = o.ballot
@@ -41,8 +41,8 @@
 	return actions
 }
 
-// tailStart returns where to read from: the record at the last committed position too, where the follower is known to have
-// it, for what was proposed earlier than that can't stand behind it.
+// tailStart returns the position to read from. If the follower is known to have the last committed record, that
+// record is read too: no record proposed under a lower ballot than it can follow it (see validTail).
 func (o *Owner) tailStart(follower *follower) Position {
 	if o.committed > 0 && follower.promise.Committed >= o.committed && follower.promise.First <= o.committed {
 		return o.committed
@@ -50,8 +50,8 @@
 	return o.committed + 1
 }
 
-// tailEnd returns the end of the follower's valid records: those of a lower ballot behind
-// the end of a higher ballot's recovery are void.
+// tailEnd returns the end of the follower's valid records: those of a lower ballot after
+// the end of a higher ballot's recovery are invalid.
 func (o *Owner) tailEnd(follower *follower) Position {
 	end := follower.promise.Last
 	for _, other := range o.followers {
@@ -62,8 +62,8 @@
 	return end
 }
 
-// TailRead takes the entries that a ReadTail has read, all of them. Once all tails are
-// there the owner writes the highest-ballot record of each position under its own ballot.
+// TailRead handles the complete result of a ReadTail. Once all tails are read,
+// the owner rewrites the highest-ballot record of each position under its own ballot.
 func (o *Owner) TailRead(store StoreID, entries []Entry) []Action {
 	follower := o.find(store)
 	if follower == nil || o.phase != PhaseReading || !o.tails.awaits(store) {
@@ -92,7 +92,7 @@
 	o.windowFirst = o.committed + 1
 	for _, entry := range o.validTail() {
 		o.last = entry.Position
-		o.push(entry)
+		o.appendToWindow(entry)
 	}
 	o.recoveredTo = o.last
 	o.recoveredTo = o.last
@@ -100,9 +100,10 @@
 	return o.advance()
 }
 
-// validTail returns what to write behind the last committed position. An owner proposes only behind all that may have been
-// acknowledged before it, so a record that was born under a lower ballot than one before it was never
-// acknowledged, nor was anything behind it; tails that are mixed from several owners' logs end there.
+// validTail returns the entries to write after the last committed position. An owner proposes only after all
+// records that may have been acknowledged before it. So a record first proposed under a lower ballot than a
+// preceding one was never acknowledged, nor was any record after it: a tail mixed from several owners' logs
+// ends there.
 func (o *Owner) validTail() []Entry {
 	var valid []Entry
 	born := o.tails.highest[o.committed].Born
--- a/internal/ledger/protocol/owner_sending.go
+++ b/internal/ledger/protocol/owner_sending.go
@@ -1,9 +1,9 @@
 package protocol
 
-// entryOverheadBytes is what an entry costs in a window or batch beside its payload.
+// entryOverheadBytes is the size accounted for an entry in a window or batch in addition to its payload.
 const entryOverheadBytes = 64
 
-func (o *Owner) push(entry Entry) {
+func (o *Owner) appendToWindow(entry Entry) {
 	if len(o.window) == 0 {
 		o.windowFirst = entry.Position
 	}
@@ -13,8 +13,8 @@
 
 func entrySize(entry Entry) int { return len(entry.Record.Payload) + entryOverheadBytes }
 
-// trimWindow drops records that every answering store has, and acknowledged ones beyond the limit:
-// a store that lacks those gets them from another store's disk.
+// trimWindow drops committed records that every responding store has, and further committed records while
+// the window is over its limit: a store that lacks those gets them from another store's disk.
 func (o *Owner) trimWindow() {
 	everywhere := o.committed
 	for _, follower := range o.followers {
@@ -35,32 +35,32 @@
 	o.windowFirst += Position(drop)
 }
 
-func (o *Owner) pumpAll() []Action {
+func (o *Owner) sendNextToAll() []Action {
 	var actions []Action
 	for _, follower := range o.followers {
-		actions = append(actions, o.pump(follower)...)
+		actions = append(actions, o.sendNext(follower)...)
 	}
 	return actions
 }
 
-// pump sends the follower the next records that it lacks, one request at a time.
-func (o *Owner) pump(follower *follower) []Action {
+// sendNext sends the follower the next records that it lacks. It keeps one request in flight per follower.
+func (o *Owner) sendNext(follower *follower) []Action {
 	if o.phase < PhaseRewriting || o.phase == PhaseLost || !follower.attached || follower.inFlight || follower.next > o.last {
 		return nil
 	}
 	if o.inWindow(follower.next) {
 		return []Action{o.send(follower, o.batch(follower.next))}
 	}
-	return o.refill(follower)
+	return o.fetchMissing(follower)
 }
 
 func (o *Owner) inWindow(position Position) bool {
 	return len(o.window) > 0 && position >= o.windowFirst
 }
 
-// refill has the follower's missing records, or the snapshot that covers them, read from a store that
-// has them; after a failure, from another such store.
-func (o *Owner) refill(target *follower) []Action {
+// fetchMissing requests the target's missing records, or the snapshot that covers them, from a store that
+// has them. After a failure it uses another such store.
+func (o *Owner) fetchMissing(target *follower) []Action {
 	store := target.member.Store
 	sources := o.sources(target)
 	if len(sources) == 0 {
@@ -89,7 +89,7 @@
 	return sources
 }
 
-// batch returns the window's entries from position on, up to the limit but at least one.
+// batch returns the window's entries starting at from: at least one, and otherwise at most BatchBytes.
 func (o *Owner) batch(from Position) []Entry {
 	entries := o.window[from-o.windowFirst:]
 	size := 0
@@ -105,7 +105,7 @@
 
 func (o *Owner) send(follower *follower, entries []Entry) Action {
 	follower.inFlight = true
-	follower.sending = o.committed
+	follower.commitSent = o.committed
 	return SendAppend{Store: follower.member.Store, Append: Append{
 		Ballot: o.ballot, First: follower.next, Entries: entries, Committed: o.committed, RecoveredTo: o.recoveredTo,
 	}}
--- a/internal/ledger/protocol/owner_state.go
+++ b/internal/ledger/protocol/owner_state.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Phase returns how far the owner is.
+// Phase returns the owner's current phase.
 func (o *Owner) Phase() OwnerPhase { return o.phase }
 
 // Ballot returns the owner's ballot.
@@ -9,16 +9,16 @@
 // Ensemble returns the ensemble under which the owner prepared.
 func (o *Owner) Ensemble() Ensemble { return o.ensemble }
 
-// Committed returns the last position that a write quorum has.
+// Committed returns the last position that is held by a write quorum.
 func (o *Owner) Committed() Position { return o.committed }
 
-// Last returns the last position given to a record.
+// Last returns the last position assigned to a record.
 func (o *Owner) Last() Position { return o.last }
 
-// RecoveredTo returns the end of the recovery.
+// RecoveredTo returns the last position of the recovered log.
 func (o *Owner) RecoveredTo() Position { return o.recoveredTo }
 
-// HasRoom tells whether enough members for a write quorum have room on their disks.
+// HasRoom reports whether enough members for a write quorum have free disk space.
 func (o *Owner) HasRoom() bool {
 	room := 0
 	for _, follower := range o.followers {
@@ -29,9 +29,10 @@
 	return room >= o.ensemble.WriteQuorum
 }
 
-// Starved tells whether too few members for a write quorum can go on, because others lack acknowledged records that no
-// attached store is known to have right. This happens where the one store that told the owner of the
-// acknowledgement is lost before the others heard of it. They do have the records: a new ballot reads them as tails.
+// Starved reports whether too few members for a write quorum can make progress, because the others lack
+// acknowledged records for which no attached store is a known source. This happens when the only store that
+// knew the commit position is lost before the others learned it. Those do hold the records: recovery under a
+// new ballot reads them as tails.
 func (o *Owner) Starved() bool {
 	if o.phase < PhaseRewriting || o.phase == PhaseLost {
 		return false
@@ -49,7 +50,7 @@
 	return starved > 0 && able < o.ensemble.WriteQuorum
 }
 
-// Holding is a store with what it is known to hold.
+// Holding describes the records and snapshot that a store is known to hold, and its connection state.
 type Holding struct {
 	Member   Member
 	First    Position
@@ -60,30 +61,30 @@
 	// Failures counts failures since the last answer.
 	Failures int
 	SpaceLow bool
-	// CaughtUp says of a joining member that it may be made a full one.
+	// CaughtUp is set for a joining member that may be promoted.
 	CaughtUp bool
 }
 
-// Holdings returns what each member holds, in the order of the ensemble.
+// Holdings returns the holding of each member, in ensemble order.
 func (o *Owner) Holdings() []Holding {
 	holdings := make([]Holding, 0, len(o.followers))
 	for _, follower := range o.followers {
 		holdings = append(holdings, Holding{
-			Member: follower.member, First: follower.first, Through: max(follower.acked, follower.known), Snapshot: follower.snapshot,
+			Member: follower.member, First: follower.first, Through: max(follower.acked, follower.priorAcked), Snapshot: follower.snapshot,
 			Attached: follower.attached, Failing: follower.failing, Failures: follower.failures, SpaceLow: follower.spaceLow, CaughtUp: follower.caughtUp,
 		})
 	}
 	return holdings
 }
 
-// SnapshotHeld records that store has the snapshot, after the driver has put it there.
+// SnapshotHeld records that the driver has written the snapshot to store.
 func (o *Owner) SnapshotHeld(store StoreID, info SnapshotInfo) {
 	if follower := o.find(store); follower != nil && info.UpTo > follower.snapshot.UpTo {
 		follower.snapshot = info.following(follower.snapshot)
 	}
 }
 
-// Trimmed records the first position that store still has.
+// Trimmed records the first position that store still holds after a trim.
 func (o *Owner) Trimmed(store StoreID, first Position) {
 	if follower := o.find(store); follower != nil {
 		follower.first = max(follower.first, first)
--- a/internal/ledger/protocol/owner_step.go
+++ b/internal/ledger/protocol/owner_step.go
@@ -1,25 +1,26 @@
 package protocol
 
-// OwnerPhase is how far an Owner is.
+// OwnerPhase is a stage in the life of an Owner.
 type OwnerPhase int
 
 // Phases of an Owner, in order.
 const (
-	// PhasePreparing: waiting for promises of a read quorum.
+	// PhasePreparing: waiting for promises from a read quorum.
 	PhasePreparing OwnerPhase = iota
 	// PhaseReading: reading the tails of the stores that promised.
 	PhaseReading
-	// PhaseRewriting: writing under the own ballot what may have been acknowledged.
+	// PhaseRewriting: rewriting records that may have been acknowledged under the owner's ballot.
 	PhaseRewriting
-	// PhaseServing: taking new records.
+	// PhaseServing: accepting new records.
 	PhaseServing
-	// PhaseLost: outranked or given up, for good.
+	// PhaseLost: outranked or given up; final.
 	PhaseLost
 )
 
-// OwnerLimits bound what an Owner holds and sends.
+// OwnerLimits bounds the memory and request sizes of an Owner.
 type OwnerLimits struct {
-	// BatchBytes bounds the payload of one append, WindowBytes the acknowledged records kept for slower stores.
+	// BatchBytes bounds one append, unless it is a single entry. WindowBytes bounds the window while it holds
+	// committed records that slower stores lack.
 	BatchBytes, WindowBytes int
 }
 
@@ -28,19 +29,19 @@
 	return OwnerLimits{BatchBytes: 1 << 20, WindowBytes: 1 << 20}
 }
 
-// Owner is one attempt to own one partition. Its ballot changes only with PrepareAgain; the driver
-// drops answers to requests made under a former ballot. It belongs to one goroutine. After PhaseLost
-// all methods return nothing.
+// Owner is one attempt to own one partition. Its ballot changes only in PrepareAgain; the driver
+// must drop answers to requests made under an earlier ballot. It is not safe for concurrent use. After PhaseLost
+// all methods return no actions.
 //
 // Invariants: records up to committed are on a write quorum; window holds the records
-// windowFirst..last; nothing behind recoveredTo was acknowledged under a lower ballot.
+// windowFirst..last; no position after recoveredTo was acknowledged under a lower ballot.
 type Owner struct {
 	ballot   Ballot
 	ensemble Ensemble
 	limits   OwnerLimits
-	// confirmed is the last ballot that a read quorum promised; resuming says that the log was
-	// known under it and need not be read again.
-	confirmed   Ballot
+	// confirmed is the last ballot that a read quorum promised.
+	confirmed Ballot
+	// resuming is set after PrepareAgain: the log is known from the confirmed ballot and is not read again.
 	resuming    bool
 	phase       OwnerPhase
 	followers   []*follower
@@ -51,34 +52,36 @@
 	windowFirst Position
 	windowBytes int
 	tails       tailReading
-	proposing   proposing
+	proposal    ensembleProposal
 }
 
-// follower is what the Owner knows of one store of its ensemble.
+// follower is the Owner's knowledge of one store of its ensemble.
 type follower struct {
 	member   Member
 	attached bool
 	promise  Promise
-	// acked is the last position up to which the store's log is synced and right; known is that
-	// position from before PrepareAgain, as far as it was committed: such records never change.
+	// acked is the last position up to which the store's log is synced and equals the owner's.
 	acked Position
-	known Position
-	next  Position
-	// told is the highest committed position that the store has been sent and has answered.
-	told     Position
-	sending  Position
-	inFlight bool
-	failing  bool
-	// caughtUp says of a joining member that it may be made a full one; see noteCaughtUp.
+	// priorAcked is acked from before PrepareAgain, capped at the committed position: committed records never change.
+	priorAcked Position
+	// next is the position of the next entry to send.
+	next Position
+	// commitAcked is the highest commit position that the store has confirmed receiving; sending is the commit
+	// position in the request in flight.
+	commitAcked Position
+	commitSent  Position
+	inFlight    bool
+	failing     bool
+	// caughtUp is set for a joining member that may be promoted; see markCaughtUp.
 	caughtUp bool
 	spaceLow bool
-	// failures counts failures since the last answer; a refill tries another source after each.
+	// failures counts failures since the last answer; fetchMissing uses it to try another source after each failure.
 	failures int
 	snapshot SnapshotInfo
 	first    Position
 }
 
-// NewOwner returns an Owner that has not sent anything.
+// NewOwner returns an Owner in PhasePreparing; Start sends its first requests.
 func NewOwner(ballot Ballot, ensemble Ensemble, limits OwnerLimits) *Owner {
 	owner := &Owner{ballot: ballot, ensemble: ensemble, limits: limits}
 	for _, member := range ensemble.Members {
@@ -87,7 +90,7 @@
 	return owner
 }
 
-// Start asks every member for a promise.
+// Start requests a promise from every member.
 func (o *Owner) Start() []Action {
 	var actions []Action
 	for _, follower := range o.followers {
@@ -101,7 +104,7 @@
 	return SendPrepare{Store: follower.member.Store, Prepare: Prepare{Ballot: o.ballot, Ensemble: o.ensemble}}
 }
 
-// Promised takes a store's answer to a Prepare. The promises of a read quorum of full members start the recovery.
+// Promised handles a store's answer to a Prepare. Promises from a read quorum of full members start the recovery.
 func (o *Owner) Promised(store StoreID, promise Promise) []Action {
 	follower := o.find(store)
 	if follower == nil || o.phase == PhaseLost {
@@ -118,7 +121,7 @@
 	}
 	follower.inFlight, follower.failing, follower.attached, follower.failures = false, false, true, 0
 	follower.promise = promise
-	follower.acked, follower.next = max(promise.Committed, follower.known), promise.Committed+1
+	follower.acked, follower.next = max(promise.Committed, follower.priorAcked), promise.Committed+1
 	follower.snapshot, follower.first = promise.Snapshot, promise.First
 	if o.phase != PhasePreparing {
 		if promise.Committed > o.recoveredTo && promise.Accepted != o.ballot {
@@ -146,18 +149,18 @@
 	return promises
 }
 
-// Propose gives the records the next positions and sends them. The driver calls it only
-// while Phase is PhaseServing. The result's first value is the position of records[0].
+// Propose assigns the next positions to the records and sends them. It returns the position of records[0].
+// The driver calls it only in PhaseServing.
 func (o *Owner) Propose(records []Record) (Position, []Action) {
 	first := o.last + 1
 	for _, record := range records {
 		o.last++
-		o.push(Entry{Position: o.last, Ballot: o.ballot, Born: o.ballot, Record: record})
+		o.appendToWindow(Entry{Position: o.last, Ballot: o.ballot, Born: o.ballot, Record: record})
 	}
-	return first, o.pumpAll()
+	return first, o.sendNextToAll()
 }
 
-// Acknowledged takes a store's answer to an Append.
+// Acknowledged handles a store's answer to an Append. spaceLow reports whether the store is short of disk space.
 func (o *Owner) Acknowledged(store StoreID, answer Acknowledgement, spaceLow bool) []Action {
 	follower := o.find(store)
 	if follower == nil || o.phase == PhaseLost {
@@ -171,14 +174,14 @@
 	case VerdictInvalid:
 		return o.lose(Lost{Cause: LossContradiction})
 	case VerdictOK:
-		follower.told = max(follower.told, follower.sending)
+		follower.commitAcked = max(follower.commitAcked, follower.commitSent)
 	}
 	follower.acked = max(follower.acked, min(answer.Through, o.last))
 	follower.next = answer.Through + 1
 	return o.advance()
 }
 
-// Fetched takes the entries that a Fetch has read, to send them on.
+// Fetched handles the entries read by a Fetch and forwards them to store.
 func (o *Owner) Fetched(store StoreID, entries []Entry) []Action {
 	follower := o.find(store)
 	if follower == nil || o.phase == PhaseLost {
@@ -188,7 +191,7 @@
 		return o.Failed(store)
 	}
 	for _, entry := range entries {
-		// The source has been written by a later owner; what it holds is not this owner's log any more.
+		// A later owner has written to the source; its log is no longer this owner's.
 		if o.ballot.Below(entry.Ballot) {
 			return o.lose(Lost{Cause: LossOutranked, Higher: entry.Ballot})
 		}
@@ -196,7 +199,7 @@
 	return []Action{o.send(follower, entries)}
 }
 
-// SnapshotTransferred takes the answer to a TransferSnapshot.
+// SnapshotTransferred handles the answer to a TransferSnapshot.
 func (o *Owner) SnapshotTransferred(store StoreID, answer Acknowledgement, info SnapshotInfo) []Action {
 	if follower := o.find(store); follower != nil && answer.Verdict == VerdictOK {
 		info = info.following(follower.snapshot)
@@ -206,8 +209,8 @@
 	return o.Acknowledged(store, answer, false)
 }
 
-// Failed says that a request to store, or a read for it, had no usable answer. Nothing
-// more is sent to it until Retry.
+// Failed records that a request to store, or a read on its behalf, got no usable answer. Nothing
+// more is sent to the store until Retry.
 func (o *Owner) Failed(store StoreID) []Action {
 	follower := o.find(store)
 	if follower == nil || o.phase == PhaseLost {
@@ -221,15 +224,15 @@
 	return nil
 }
 
-// Full says that store refused records for want of room on its disk.
-func (o *Owner) Full(store StoreID) []Action {
+// StoreFull records that store refused records because its disk is short of space.
+func (o *Owner) StoreFull(store StoreID) []Action {
 	if follower := o.find(store); follower != nil {
 		follower.spaceLow = true
 	}
 	return o.Failed(store)
 }
 
-// Retry lets a failed store be sent to again.
+// Retry resumes sending to a failed store.
 func (o *Owner) Retry(store StoreID) []Action {
 	follower := o.find(store)
 	if follower == nil || o.phase == PhaseLost || !follower.failing {
@@ -239,26 +242,27 @@
 	if !follower.attached {
 		return []Action{o.prepare(follower)}
 	}
-	return o.pump(follower)
+	return o.sendNext(follower)
 }
 
-// Notice tells idle stores what is committed, so that the next recovery has less to read, asks those short of
-// room again, and sends on where no store could be read from before.
-func (o *Owner) Notice() []Action {
+// Tick is called periodically. It sends the commit position to idle stores, so that the next recovery has less
+// to read, probes stores that were short of disk space, asks again for outstanding ensemble proposals, and
+// resumes followers for which there was no source to read from.
+func (o *Owner) Tick() []Action {
 	if o.phase != PhaseServing {
 		return nil
 	}
-	actions := append(o.pumpAll(), o.sendProposals()...)
+	actions := append(o.sendNextToAll(), o.sendProposals()...)
 	for _, follower := range o.followers {
 		idle := follower.attached && !follower.inFlight && follower.next > o.last
-		if idle && (follower.told < o.committed || follower.spaceLow) {
+		if idle && (follower.commitAcked < o.committed || follower.spaceLow) {
 			actions = append(actions, o.send(follower, nil))
 		}
 	}
 	return actions
 }
 
-// GiveUp ends the attempt or ownership.
+// GiveUp ends the attempt or the ownership for the given cause.
 func (o *Owner) GiveUp(cause LossCause) []Action {
 	if o.phase == PhaseLost {
 		return nil
@@ -266,7 +270,8 @@
 	return o.lose(Lost{Cause: cause})
 }
 
-// advance moves committed to what a write quorum has, tells of it, and sends on.
+// advance moves the commit position to the highest one held by a write quorum, acknowledges up to it,
+// and sends further records.
 func (o *Owner) advance() []Action {
 	if o.phase < PhaseRewriting {
 		return nil
@@ -284,8 +289,8 @@
 		actions = append(actions, o.sendProposals()...)
 	}
 	o.trimWindow()
-	o.noteCaughtUp()
-	return append(actions, o.pumpAll()...)
+	o.markCaughtUp()
+	return append(actions, o.sendNextToAll()...)
 }
 
 // quorumPosition returns the highest position that a write quorum has acknowledged.
@@ -309,9 +314,9 @@
 	return holders
 }
 
-// noteCaughtUp notes joining members that have the log as far as it is acknowledged, where enough others for a
-// write quorum have it too: they may be made full members.
-func (o *Owner) noteCaughtUp() {
+// markCaughtUp marks joining members that have the committed log, provided that a write quorum has it:
+// they may be promoted to full members.
+func (o *Owner) markCaughtUp() {
 	if o.phase != PhaseServing || o.holders(o.committed) < o.ensemble.WriteQuorum {
 		return
 	}
--- a/internal/ledger/protocol/protocol_test.go
+++ b/internal/ledger/protocol/protocol_test.go
@@ -17,7 +17,7 @@
 	return items[rapid.IntRange(0, len(items)-1).Draw(t, label)], true
 }
 
-func (w *world) serving() []*modelOwner {
+func (w *modelCluster) serving() []*modelOwner {
 	var serving []*modelOwner
 	for _, owner := range w.owners {
 		if owner.Phase() == PhaseServing {
@@ -27,7 +27,7 @@
 	return serving
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *modelCluster) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"prepare": func(t *rapid.T) {
 			ensemble := w.ensemble
@@ -50,13 +50,13 @@
 			}
 			w.nextValue++
 			value := Record{Payload: []byte(fmt.Sprint("value-", w.nextValue))}
-			w.born[string(value.Payload)] = owner.Ballot()
+			w.proposedUnder[string(value.Payload)] = owner.Ballot()
 			_, actions := owner.Propose([]Record{value})
 			w.step(owner, actions)
 		},
 		"deliver":  func(t *rapid.T) { w.deliverRequest(t, false) },
 		"deliver2": func(t *rapid.T) { w.deliverRequest(t, false) },
-		// A duplicate is delivered now and stays on its way, so that it also comes late.
+		// A duplicate is delivered now and stays queued, so that it is also delivered late.
 		"duplicate": func(t *rapid.T) { w.deliverRequest(t, true) },
 		"answer":    func(t *rapid.T) { w.deliverAnswer(t) },
 		"answer2":   func(t *rapid.T) { w.deliverAnswer(t) },
@@ -65,7 +65,7 @@
 			if len(w.requests) == 0 || w.requests[index].forgotten {
 				t.Skip("no request")
 			}
-			// The owner gives up, but the request may still come late.
+			// The owner stops waiting, but the request may still be delivered late.
 			w.requests[index].forgotten = true
 			request := w.requests[index]
 			if request.ballot == request.owner.Ballot() {
@@ -82,13 +82,13 @@
 		},
 		"notice": func(t *rapid.T) {
 			if owner, ok := pick(t, w.serving(), "owner"); ok {
-				w.step(owner, owner.Notice())
+				w.step(owner, owner.Tick())
 			}
 		},
 		"lose disk": func(t *rapid.T) {
 			member, _ := pick(t, w.ensemble.Members, "member")
 			store := w.stores[member.Store]
-			if store.lost || (!member.Joining && w.weak() >= w.bearable) {
+			if store.lost || (!member.Joining && w.weak() >= w.maxWeakMembers) {
 				t.Skip("enough lost")
 			}
 			store.lost = true
@@ -96,7 +96,7 @@
 		},
 		"replace": func(t *rapid.T) {
 			member, _ := pick(t, w.ensemble.Members, "member")
-			if !w.stores[member.Store].lost && (member.Joining || w.weak() >= w.bearable) {
+			if !w.stores[member.Store].lost && (member.Joining || w.weak() >= w.maxWeakMembers) {
 				t.Skip("would make too few full members")
 			}
 			if next, ok := w.ensemble.Replace(member.Store, Member{Store: w.newStore()}); ok {
@@ -104,7 +104,8 @@
 			}
 		},
 		"drop": func(t *rapid.T) {
-			// Whoever is no longer a member may forget, also while owners of older versions still count on it.
+			// A store that is no longer a member may drop the partition even while owners of older versions
+			// still count on it.
 			for _, former := range w.older {
 				for _, member := range former.Members {
 					if store := w.stores[member.Store]; !store.lost {
@@ -164,13 +165,13 @@
 	}
 }
 
-func (w *world) drawMember(t *rapid.T, owner *modelOwner) StoreID {
+func (w *modelCluster) drawMember(t *rapid.T, owner *modelOwner) StoreID {
 	member, _ := pick(t, owner.Ensemble().Members, "member")
 	return member.Store
 }
 
 // prefix returns the acknowledged values up to position.
-func (w *world) prefix(upTo Position) []string {
+func (w *modelCluster) prefix(upTo Position) []string {
 	var values []string
 	for position := Position(1); position <= upTo; position++ {
 		values = append(values, w.acknowledged[position])
@@ -178,15 +179,15 @@
 	return values
 }
 
-func (w *world) deliverRequest(t *rapid.T, keep bool) {
+func (w *modelCluster) deliverRequest(t *rapid.T, keep bool) {
 	if len(w.requests) == 0 {
 		t.Skip("no request")
 	}
 	index := rapid.IntRange(0, len(w.requests)-1).Draw(t, "request")
-	w.take(index, keep)
+	w.deliverRequestAt(index, keep)
 }
 
-func (w *world) take(index int, keep bool) {
+func (w *modelCluster) deliverRequestAt(index int, keep bool) {
 	request := w.requests[index]
 	if keep {
 		w.requests[index].forgotten = true
@@ -201,14 +202,14 @@
 	w.answers = append(w.answers, request)
 }
 
-func (w *world) deliverAnswer(t *rapid.T) {
+func (w *modelCluster) deliverAnswer(t *rapid.T) {
 	if len(w.answers) == 0 {
 		t.Skip("no answer")
 	}
-	w.answer(rapid.IntRange(0, len(w.answers)-1).Draw(t, "answer"))
+	w.deliverAnswerAt(rapid.IntRange(0, len(w.answers)-1).Draw(t, "answer"))
 }
 
-func (w *world) answer(index int) {
+func (w *modelCluster) deliverAnswerAt(index int) {
 	answer := w.answers[index]
 	w.answers = slices.Delete(w.answers, index, index+1)
 	if answer.ballot == answer.owner.Ballot() {
@@ -216,9 +217,9 @@
 	}
 }
 
-// heal replaces lost disks, lets the present owner prepare again or starts one above all others, delivers everything and
-// checks that it serves every acknowledged record, in order.
-func (w *world) heal() {
+// heal replaces lost disks, lets the current owner prepare again, starts another owner above all ballots, delivers all
+// messages and checks that every acknowledged record is served, in order.
+func (w *modelCluster) heal() {
 	if w.membersDecide {
 		w.healByMembers()
 		return
@@ -248,14 +249,15 @@
 	w.checkHealed(owner)
 }
 
-// settle delivers everything until the owner has nothing left to do.
-func (w *world) settle(owner *modelOwner) bool {
+// settle delivers all messages until the owner has nothing left to do. It returns false if that takes more than
+// 10,000 steps.
+func (w *modelCluster) settle(owner *modelOwner) bool {
 	for range 10_000 {
 		switch {
 		case len(w.answers) > 0:
-			w.answer(0)
+			w.deliverAnswerAt(0)
 		case len(w.requests) > 0:
-			w.take(0, false)
+			w.deliverRequestAt(0, false)
 		case !w.retryAll(owner):
 			return true
 		}
@@ -263,8 +265,8 @@
 	return false
 }
 
-func (w *world) retryAll(owner *modelOwner) bool {
-	w.step(owner, owner.Notice())
+func (w *modelCluster) retryAll(owner *modelOwner) bool {
+	w.step(owner, owner.Tick())
 	retried := len(w.requests) > 0
 	for _, follower := range owner.followers {
 		if follower.failing && follower.failures < 100 {
@@ -276,7 +278,7 @@
 	return retried
 }
 
-func (w *world) checkHealed(owner *modelOwner) {
+func (w *modelCluster) checkHealed(owner *modelOwner) {
 	if owner.Phase() != PhaseServing {
 		w.t.Fatalf("owner %d does not serve: phase %d, %+v", owner.id, owner.Phase(), owner.Holdings())
 	}
@@ -299,11 +301,11 @@
 	}
 }
 
-// checkOrder checks that no record of a lower ballot's owner stands behind one of a higher ballot's.
-func (w *world) checkOrder(values []string) {
+// checkOrder checks that no record first proposed under a lower ballot follows one of a higher ballot.
+func (w *modelCluster) checkOrder(values []string) {
 	var highest Ballot
 	for _, value := range values {
-		ballot, known := w.born[value]
+		ballot, known := w.proposedUnder[value]
 		if !known {
 			continue
 		}
@@ -316,7 +318,7 @@
 
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, false)
+		w := newModelCluster(t, false)
 		w.startOwner(w.ensemble, 1)
 		t.Repeat(w.actions())
 		w.heal()
@@ -325,7 +327,7 @@
 
 func TestNothingAcknowledgedIsLostWhereMembersDecide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, true)
+		w := newModelCluster(t, true)
 		w.startOwner(w.ensemble, 1)
 		t.Repeat(w.actions())
 		w.heal()
--- a/internal/ledger/protocol/recovery_test.go
+++ b/internal/ledger/protocol/recovery_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// promiseOf makes a promise of a store that accepted up to last under accepted, whose recovery ended at recoveredTo.
+// promiseOf returns the promise of a store that accepted records up to last under accepted, whose recovery ended at
+// recoveredTo.
 func promiseOf(ballot, accepted Ballot, recoveredTo, last Position) Promise {
 	return Promise{Verdict: VerdictOK, Promised: ballot, Accepted: accepted, RecoveredTo: recoveredTo, First: 1, Last: last}
 }
 
-// Two stores hold different records at one position, both before the end of the higher ballot's recovery. Only the higher
-// one can have been acknowledged.
+// Two stores hold different records at one position, both before the end of the higher ballot's recovery. Only the
+// record of the higher ballot can have been acknowledged.
 func TestRecoveryTakesTheHighestBallot(t *testing.T) {
 	low, high, own := Ballot{1, 1, "a"}, Ballot{1, 3, "c"}, Ballot{1, 4, "d"}
 	ensemble := Ensemble{Version: 1, WriteQuorum: 3, Members: []Member{{Store: "1"}, {Store: "2"}, {Store: "3"}, {Store: "4"}}}
@@ -38,8 +39,8 @@
 	}
 }
 
-// Records of a lower ballot behind the end of a higher ballot's recovery were never acknowledged and must not
-// come back behind the higher ballot's records.
+// Records of a lower ballot after the end of a higher ballot's recovery were never acknowledged and must not
+// reappear after the higher ballot's records.
 func TestRecoveryVoidsOldTails(t *testing.T) {
 	low, high, own := Ballot{1, 1, "a"}, Ballot{1, 2, "b"}, Ballot{1, 3, "c"}
 	ensemble := Ensemble{Version: 1, WriteQuorum: 3, Members: []Member{{Store: "1"}, {Store: "2"}, {Store: "3"}, {Store: "4"}}}
@@ -55,8 +56,8 @@
 	}
 }
 
-// Two stores hold tails of different owners, and one of them the beginning of a later owner's rewriting. What was proposed
-// under a lower ballot can't stand behind a record of a higher one.
+// Two stores hold tails of different owners, and one of them was partly rewritten by a later owner. A record first
+// proposed under a lower ballot cannot follow a record of a higher one.
 func TestRecoveryEndsAMixedTail(t *testing.T) {
 	second, third, fourth, own := Ballot{1, 1, "b"}, Ballot{1, 1, "c"}, Ballot{2, 2, "b"}, Ballot{2, 3, "d"}
 	ensemble := Ensemble{Version: 2, WriteQuorum: 3, Members: []Member{{Store: "1"}, {Store: "2"}, {Store: "3"}, {Store: "4"}}}
@@ -73,8 +74,8 @@
 	}
 }
 
-// The only store that knows a record to be acknowledged is lost after the owner has heard of it, and before the others
-// have. The owner must notice that it can't go on.
+// The only store that knows a record to be committed is lost after the owner learned it and before the other stores
+// did. The owner must detect that it cannot make progress.
 func TestOwnerNoticesUnreadableRecords(t *testing.T) {
 	before, own := Ballot{1, 1, "a"}, Ballot{1, 2, "b"}
 	ensemble := Ensemble{Version: 1, WriteQuorum: 3, Members: []Member{{Store: "1"}, {Store: "2"}, {Store: "3"}, {Store: "4"}}}
@@ -101,8 +102,8 @@
 	}
 }
 
-// Another owner has had a record acknowledged between two ballots of this one. Preparing again, the owner must see that its
-// log is no longer the whole log, and give up.
+// Another owner has had a record acknowledged between two ballots of this one. When it prepares again, the owner must
+// detect that its log is incomplete and give up.
 func TestOwnerGivesUpAfterAnotherWrote(t *testing.T) {
 	first, between := Ballot{1, 1, "a"}, Ballot{1, 2, "x"}
 	ensemble := Ensemble{Version: 1, WriteQuorum: 3, Members: []Member{{Store: "1"}, {Store: "2"}, {Store: "3"}, {Store: "4"}}}
--- a/internal/ledger/protocol/snapshot_test.go
+++ b/internal/ledger/protocol/snapshot_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestLaterSnapshotNeedsNoTrimmedRecords: a store whose records are trimmed by one snapshot can be the source for another store after a later
-// snapshot that names older records as kept; their owner, which knew both, knows so too.
+// TestLaterSnapshotNeedsNoTrimmedRecords guards against a later snapshot with a lower KeepFrom listing records as
+// needed that were trimmed after an earlier snapshot: the store could then not be a source for other stores. Both
+// the store and its owner must keep the higher KeepFrom.
 func TestLaterSnapshotNeedsNoTrimmedRecords(t *testing.T) {
 	ballot := Ballot{Version: 1, Number: 1, Owner: "owner"}
 	store := newModelStore()
--- a/internal/ledger/protocol/store_step.go
+++ b/internal/ledger/protocol/store_step.go
@@ -1,16 +1,20 @@
 package protocol
 
-// StoreState is the state of one partition at one store. It is written to the disk in the same
+// StoreState is the state of one partition at one store. It is written to disk in the same
 // atomic write as the records that change with it.
 //
-// Invariants: First <= Committed+1 <= Consistent+1 <= Last+1; Snapshot.KeepFrom <= Committed+1; records First..Last are
-// present; those up to Committed are the log's; those up to Consistent equal the log of the owner
-// under Accepted; Accepted is not above Promised.
+// Invariants:
+//   - First <= Committed+1 <= Consistent+1 <= Last+1
+//   - Snapshot.KeepFrom <= Committed+1
+//   - records First..Last are present
+//   - records up to Committed are committed
+//   - records up to Consistent equal the log of the owner under Accepted
+//   - Accepted is not above Promised
 type StoreState struct {
 	Promised Ballot
-	// Accepted is the highest ballot under which records were taken.
+	// Accepted is the highest ballot under which records were accepted.
 	Accepted Ballot
-	// RecoveredTo is the end of Accepted's recovery: nothing behind it was or ever
+	// RecoveredTo is the last position of Accepted's recovery: no position after it was or ever
 	// will be acknowledged under a lower ballot.
 	RecoveredTo Position
 	First       Position
@@ -23,7 +27,7 @@
 	Proposal Proposal
 }
 
-// NewStoreState returns the state of a partition of which the store has nothing.
+// NewStoreState returns the state of a partition for which the store holds no records.
 func NewStoreState() StoreState { return StoreState{First: 1} }
 
 // Verdict is a store's answer to a request.
@@ -35,30 +39,31 @@
 	VerdictOK Verdict = iota + 1
 	// VerdictRefused: the store has promised a higher ballot.
 	VerdictRefused
-	// VerdictGap: records before the first one are missing.
+	// VerdictGap: the store lacks records before the first one of the request.
 	VerdictGap
-	// VerdictInvalid: the request contradicts what the store knows to be acknowledged.
+	// VerdictInvalid: the request contradicts records that the store knows to be committed.
 	VerdictInvalid
 )
 
-// Effect is what a step changes beside the StoreState. The removals come before the writes.
+// Effect lists the writes to disk that a step requires. Removals are applied before writes.
 type Effect struct {
-	// Changed says that the state must be written, EnsembleChanged that its ensemble, which seldom changes, must be too.
+	// Changed is set if the state must be written. EnsembleChanged is set if the ensemble must be written too;
+	// it is separate because the ensemble seldom changes.
 	Changed, EnsembleChanged bool
 	Remove                   []Range
 	Write                    []Entry
 }
 
-// Range is the positions From..To, both included.
+// Range is the positions From..To, inclusive.
 type Range struct{ From, To Position }
 
-// Prepare is the request of a would-be owner to be promised its ballot.
+// Prepare is a candidate owner's request for a promise of its ballot.
 type Prepare struct {
 	Ballot   Ballot
 	Ensemble Ensemble
 }
 
-// Promise is a store's answer to a Prepare; where Verdict is VerdictRefused only
+// Promise is a store's answer to a Prepare. If Verdict is VerdictRefused, only
 // Promised and Ensemble are set.
 type Promise struct {
 	Verdict     Verdict
@@ -69,7 +74,7 @@
 	Committed   Position
 	Last        Position
 	Snapshot    SnapshotInfo
-	// Ensemble is the highest version that the store has seen.
+	// Ensemble is the highest ensemble version that the store has seen.
 	Ensemble Ensemble
 	// Proposal is the next ensemble that the store has accepted, if any.
 	Proposal Proposal
@@ -85,7 +90,7 @@
 	newer := request.Ensemble.Version > s.Ensemble.Version
 	if newer {
 		s.Ensemble = request.Ensemble
-		s.forgetProposal()
+		s.dropObsoleteProposal()
 	}
 	return Promise{
 		Verdict: VerdictOK, Promised: s.Promised, Accepted: s.Accepted, RecoveredTo: s.RecoveredTo,
@@ -94,7 +99,7 @@
 	}, Effect{Changed: changed || newer, EnsembleChanged: newer}
 }
 
-// Append is an owner's request to take consecutive entries, or none to tell what is committed.
+// Append is an owner's request to write consecutive entries. Without entries it only carries the commit position.
 type Append struct {
 	Ballot Ballot
 	// First is the position of Entries[0]; without entries, the next position.
@@ -112,7 +117,7 @@
 	Through Position
 }
 
-// Append takes the entries if the ballot is not below the promised one and no record before them is missing.
+// Append writes the entries if the ballot is not below the promised one and no record before them is missing.
 func (s *StoreState) Append(request Append) (Acknowledgement, Effect) {
 	if request.Ballot.Below(s.Promised) {
 		return Acknowledgement{Verdict: VerdictRefused, Promised: s.Promised}, Effect{}
@@ -139,7 +144,7 @@
 	return s.acknowledge(VerdictOK), effect
 }
 
-// Trim removes the records below keepFrom, which the store's snapshot covers.
+// Trim removes the records below keepFrom that are committed and covered by the store's snapshot.
 func (s *StoreState) Trim(ballot Ballot, keepFrom Position) (Acknowledgement, Effect) {
 	if ballot.Below(s.Promised) {
 		return Acknowledgement{Verdict: VerdictRefused, Promised: s.Promised}, Effect{}
@@ -153,8 +158,8 @@
 	return s.acknowledge(VerdictOK), effect
 }
 
-// InstallSnapshot records that the snapshot is on the disk. A store that lacks records
-// below KeepFrom does without them from here on.
+// InstallSnapshot records that the snapshot is on disk. If the store lacks records below KeepFrom, its log
+// continues from KeepFrom.
 func (s *StoreState) InstallSnapshot(ballot Ballot, recoveredTo Position, info SnapshotInfo) (Acknowledgement, Effect) {
 	if ballot.Below(s.Promised) {
 		return Acknowledgement{Verdict: VerdictRefused, Promised: s.Promised}, Effect{}
@@ -179,13 +184,13 @@
 	return s.acknowledge(VerdictOK), effect
 }
 
-// WantsSnapshot tells whether the snapshot is newer than the store's own or covers records that it lacks.
+// WantsSnapshot reports whether the snapshot is newer than the store's own or covers records that it lacks.
 func (s *StoreState) WantsSnapshot(info SnapshotInfo) bool {
 	return info.UpTo > s.Snapshot.UpTo || info.KeepFrom > s.Consistent+1
 }
 
-// Drop forgets the partition where a newer ensemble does not have store, this one, as a member. Ballots of older
-// versions are refused from then on, so that the store can't be counted for them after it has forgotten.
+// Drop removes the partition if store, the ID of this store, is not a member of the newer ensemble. Ballots of
+// older versions are refused from then on: the store must not count towards their quorums without its records.
 func (s *StoreState) Drop(store StoreID, ensemble Ensemble) Effect {
 	if _, member := ensemble.Find(store); member || ensemble.Version <= s.Ensemble.Version {
 		return Effect{}
@@ -203,8 +208,8 @@
 	return effect
 }
 
-// adopt makes ballot the accepted one. Records behind its recovery's end were written under
-// lower ballots and are void.
+// adopt makes ballot the accepted one. Records after the end of its recovery were written under
+// lower ballots and are invalid.
 func (s *StoreState) adopt(ballot Ballot, recoveredTo Position) Effect {
 	s.Promised = ballot
 	if s.Accepted == ballot {
--- a/internal/ledger/spare_test.go
+++ b/internal/ledger/spare_test.go
@@ -60,7 +60,7 @@
 		if changes := after.Version - before.Version; changes > 4 {
 			t.Errorf("%d changes of the ensemble in 12 s, want 4 at most", changes)
 		}
-		if after.Full() != 5 || slices.ContainsFunc(lost, func(node *testNode) bool { return isMember(after, node) }) {
+		if after.FullMembers() != 5 || slices.ContainsFunc(lost, func(node *testNode) bool { return isMember(after, node) }) {
 			t.Errorf("the ensemble is not whole without those that do not answer: %+v", after.Members)
 		}
 		c.check(0, acknowledged)
