--- a/internal/ledger/attempt.go
+++ b/internal/ledger/attempt.go
@@ -17,13 +17,14 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// attemptResult is how an attempt or ownership ended. number is the highest ballot number met.
+// attemptResult is the outcome of an attempt or ownership.
 type attemptResult struct {
+	// number is the highest ballot number seen.
 	number uint64
 	lost   protocol.Lost
 }
 
-// surveyResult is what the stores of an ensemble have promised.
+// surveyResult is the highest promise and the newest ensemble among the answers of an ensemble's stores.
 type surveyResult struct {
 	answers  int
 	promised protocol.Ballot
@@ -31,7 +32,7 @@
 	ensemble protocol.Ensemble
 }
 
-// attempt asks the present owner to let go, takes a ballot above all promised ones and serves under it
+// attempt asks the current owner to release the partition, takes a ballot above all promised ones and serves under it
 // until it is lost.
 func (m *Manager) attempt(partition PartitionID, ensemble protocol.Ensemble, number uint64, overdue bool) attemptResult {
 	if newer, found := m.newerAtLocalStore(ensemble); found {
@@ -54,7 +55,7 @@
 	ballot := protocol.Ballot{Version: ensemble.Version, Number: number + 1, Owner: newOwnerName(m.self)}
 	owner := protocol.NewOwner(ballot, ensemble, protocol.DefaultOwnerLimits())
 	logger := m.logger.With().Uint32(logging.FieldPartition, uint32(partition)).Logger()
-	ownership := newOwnership(m.ctx, partition, owner, m.stores, m.factory, m.takeDecision, m.timing, logger)
+	ownership := newOwnership(m.ctx, partition, owner, m.stores, m.factory, m.learnDecision, m.timing, logger)
 	m.setOwnership(partition, ownership)
 	defer m.setOwnership(partition, nil)
 	if m.leaving.Load() {
@@ -65,8 +66,8 @@
 	return attemptResult{number: owner.Ballot().Number, lost: lost}
 }
 
-// newerAtLocalStore returns the ensemble that the local store has heard of, if it is newer. The members of an old one may be gone,
-// and to wait for their answers takes long.
+// newerAtLocalStore returns the ensemble that the local store knows, if it is newer. The members of an outdated
+// ensemble may be gone, and waiting for their answers would cost a timeout.
 func (m *Manager) newerAtLocalStore(ensemble protocol.Ensemble) (protocol.Ensemble, bool) {
 	if m.local == nil {
 		return protocol.Ensemble{}, false
@@ -81,7 +82,7 @@
 	return known, known.Version > ensemble.Version
 }
 
-// survey asks the full members what they have promised, until a read quorum has answered or one knows a newer ensemble.
+// survey asks the full members for their promises, until a read quorum has answered or a member knows a newer ensemble.
 func (m *Manager) survey(ensemble protocol.Ensemble) surveyResult {
 	ctx, cancel := context.WithTimeout(m.ctx, m.timing.Request)
 	defer cancel()
@@ -110,7 +111,7 @@
 		case <-ctx.Done():
 			return result
 		}
-		result.take(response)
+		result.add(response)
 		if result.answers >= ensemble.ReadQuorum() || result.ensemble.Version > ensemble.Version {
 			break
 		}
@@ -118,8 +119,9 @@
 	return result
 }
 
-// take takes in the answer of one store. One that has lost its disk since it was a member has promised nothing, but knows its ensemble.
-func (r *surveyResult) take(response *ledgerpb.SurveyResponse) {
+// add merges the answer of one store. A store that lost its disk after it became a member does not count as an answer,
+// but may report a newer ensemble.
+func (r *surveyResult) add(response *ledgerpb.SurveyResponse) {
 	switch response.GetStatus() {
 	case ledgerpb.Status_STATUS_OK:
 		r.answers++
@@ -137,8 +139,9 @@
 	}
 }
 
-// askRelease asks the owner of the highest promised ballot to finish its appends and let go. It returns false where
-// the owner declines; without an answer the attempt goes on all the same.
+// askRelease asks the owner of the highest promised ballot to finish its appends and release the partition. It returns
+// false if the owner declines, or if the owner's node is unknown and this node has only just started; if the owner
+// does not answer, the attempt continues.
 func (m *Manager) askRelease(partition PartitionID, promised protocol.Ballot, overdue bool) bool {
 	node := ownerNode(promised.Owner)
 	if promised.Owner == "" || node == m.self {
@@ -146,18 +149,18 @@
 	}
 	member, found := m.viewer.View().Find(node)
 	if !found {
-		// A node that has just started knows few others yet; it should not take what they own.
+		// A node that has just started knows few others yet and should not take over their partitions.
 		return clock.Since(m.started) >= m.timing.Formation
 	}
 	wait := m.timing.Release
 	if overdue || member.State == membership.Dead || member.State == membership.Suspect {
-		// It is asked all the same: a node that was paused or cut off holds all others dead for a while.
+		// Ask it nevertheless: a node that was paused or partitioned considers all others dead for a while.
 		wait = m.timing.SuspectRelease
 	}
 	request := &ledgerpb.ReleaseRequest{Partition: uint32(partition), Successor: string(m.self)}
 	response, err := m.sendRelease(member.PeerAddress, request, wait)
 	if errorx.IsOfType(err, transport.KindNotSent) && pause.Sleep(m.ctx, m.timing.Backoff) {
-		// A connection that was refused a moment ago says nothing of a cut that has just healed.
+		// The connection may have failed because of a network partition that has just healed.
 		response, err = m.sendRelease(member.PeerAddress, request, wait)
 	}
 	if err != nil {
--- a/internal/ledger/cluster_test.go
+++ b/internal/ledger/cluster_test.go
@@ -20,7 +20,7 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// testNode is one node of a cluster; its disk outlives it.
+// testNode is one node of a cluster; its disk survives restarts.
 type testNode struct {
 	id        membership.NodeID
 	address   netip.AddrPort
@@ -46,51 +46,53 @@
 	timing   Timing
 	nodes    []*testNode
 	checks   int
-	// regionOf names the region of each node, which is also that of its zone; confined is what all nodes are to confine.
+	// regionOf is the region of each node and of its zone.
 	regionOf map[membership.NodeID]string
+	// confined are the confined keys that each node is started with.
 	confined []Confined
-	log      *lockedBuffer
+	log      *logBuffer
 	logger   zerolog.Logger
 }
 
-// lockedBuffer keeps the nodes' log for a failure's report.
-type lockedBuffer struct {
+// logBuffer collects the nodes' log output, which is printed if a test fails. It is safe for concurrent use.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  []byte
 }
 
-func (b *lockedBuffer) Write(line []byte) (int, error) {
+func (b *logBuffer) Write(line []byte) (int, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.text = append(b.text, line...)
 	return len(line), nil
 }
 
-func (b *lockedBuffer) tail(size int) string {
+func (b *logBuffer) tail(size int) string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return string(b.text[max(0, len(b.text)-size):])
 }
 
-// size is how much was logged so far, since what was logged behind that.
-func (b *lockedBuffer) size() int {
+// size returns the number of bytes logged so far.
+func (b *logBuffer) size() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.text)
 }
 
-func (b *lockedBuffer) since(size int) string {
+// since returns what was logged after the first size bytes.
+func (b *logBuffer) since(size int) string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return string(b.text[size:])
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
-	log := &lockedBuffer{}
+	log := &logBuffer{}
 	timing := DefaultTiming()
 	timing.Replace = 10 * time.Second
 	network := memory.NewNetwork(seed)
-	network.SetConditions(calm)
+	network.SetConditions(normalConditions)
 	return &cluster{
 		t: t, network: network, keyValue: newMemoryKeyValue(),
 		view: &sharedView{}, ledger: settings.Ledger{Partitions: 2, Replicas: 4, WriteQuorum: 3}, timing: timing,
@@ -98,15 +100,15 @@
 	}
 }
 
-// linkDelay is the way between two nodes. It is not zero: under the race detector the runtime of Go 1.26 crashes where many
-// goroutines of a synctest bubble set timers that are due at once, as the in-memory network does without a delay.
+// linkDelay is the network delay between two nodes. It is not zero: under the race detector the Go 1.26 runtime crashes
+// if many goroutines of a synctest bubble set timers that are due at once, as the in-memory network does without a delay.
 const linkDelay = time.Millisecond
 
-func calm(netip.AddrPort, netip.AddrPort) memory.Conditions {
+func normalConditions(netip.AddrPort, netip.AddrPort) memory.Conditions {
 	return memory.Conditions{Delay: linkDelay}
 }
 
-// add makes a node, with a disk or without one, and starts it.
+// add creates a node, with or without a disk, and starts it.
 func (c *cluster) add(withDisk bool) *testNode {
 	index := len(c.nodes) + 1
 	node := &testNode{
@@ -148,9 +150,12 @@
 		member.Store, member.StoreIncarnation = node.disk != nil, incarnation
 	})
 	node.manager = NewManager(Dependencies{
-		Settings: settings.Settings{Node: string(node.id), Zone: zoneOf(node.id), Region: c.regionOf[node.id], Zones: c.zones(), Ledger: c.ledger}, Timing: c.timing, Logger: c.logger.With().Str(logging.FieldNode, string(node.id)).Logger(),
+		Settings: settings.Settings{
+			Node: string(node.id), Zone: zoneOf(node.id), Region: c.regionOf[node.id], Zones: c.zones(), Ledger: c.ledger,
+		},
+		Timing: c.timing, Logger: c.logger.With().Str(logging.FieldNode, string(node.id)).Logger(),
 		Local: node.store, Caller: node.transport, Registry: node.transport, KeyValue: c.keyValue,
-		Viewer: viewerOf{c.view, node.id}, Factory: node.machine,
+		Viewer: nodeViewer{c.view, node.id}, Factory: node.machine,
 	})
 	node.transport.Start()
 	node.manager.Start()
@@ -181,7 +186,7 @@
 	return n.registers[partition]
 }
 
-// stop ends a node without notice; its disk keeps what was synced.
+// stop ends a node without a handover; its disk keeps what was synced.
 func (c *cluster) stop(node *testNode) {
 	if !node.running {
 		return
@@ -221,7 +226,7 @@
 	}
 }
 
-// eventually waits on the virtual clock.
+// eventually waits for a condition, for up to a minute of virtual time.
 func (c *cluster) eventually(what string, holds func() bool) {
 	c.t.Helper()
 	for range 1200 {
@@ -237,20 +242,22 @@
 	var text strings.Builder
 	for _, node := range c.nodes {
 		for _, status := range node.manager.Status() {
-			fmt.Fprintf(&text, "\n%s partition %d version %d serving %v committed %d members", node.id, status.Partition, status.Ensemble.Version, status.Serving, status.Committed)
+			fmt.Fprintf(&text, "\n%s partition %d version %d serving %v committed %d members",
+				node.id, status.Partition, status.Ensemble.Version, status.Serving, status.Committed)
 			for _, member := range status.Ensemble.Members {
 				fmt.Fprintf(&text, " %s/%v", member.Node, member.Joining)
 			}
 			for _, holding := range status.Holdings {
-				fmt.Fprintf(&text, " [%s attached %v failing %v first %d through %d caught up %v]", holding.Member.Node, holding.Attached, holding.Failing, holding.First, holding.Through, holding.CaughtUp)
+				fmt.Fprintf(&text, " [%s attached %v failing %v first %d through %d caught up %v]",
+					holding.Member.Node, holding.Attached, holding.Failing, holding.First, holding.Through, holding.CaughtUp)
 			}
 		}
 	}
 	return text.String()
 }
 
-// put appends value to partition at whichever node owns it, again and again until it is acknowledged. A value that may
-// have been written is tried under a new name, so that each acknowledged value is in the log once.
+// put appends value to partition at the node that owns it, and retries until the append is acknowledged. Each attempt
+// uses a new name, so that every acknowledged value is in the log once. It returns the acknowledged name.
 func (c *cluster) put(partition PartitionID, value string) string {
 	c.t.Helper()
 	attempt := 0
@@ -298,7 +305,7 @@
 	return r.owned != nil && !r.stopped
 }
 
-// check compares the present owner's state with what was acknowledged, in order.
+// check checks that the current owner's state contains the acknowledged values, in order, and no value twice.
 func (c *cluster) check(partition PartitionID, acknowledged []string) {
 	c.t.Helper()
 	c.checks++
@@ -316,7 +323,7 @@
 	seen := map[string]bool{}
 	for _, value := range values {
 		if seen[value] {
-			c.t.Fatalf("%s stands twice", value)
+			c.t.Fatalf("%s is in the log twice", value)
 		}
 		seen[value] = true
 	}
--- a/internal/ledger/confined.go
+++ b/internal/ledger/confined.go
@@ -15,20 +15,22 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// Partitions whose records are confined to regions stand beside those of the head. Their numbers follow from the regions and the key, so
-// that all nodes name the same one without asking; their regions stand in their ensembles.
+// Partitions whose records are confined to regions exist in addition to the numbered partitions of the head. Their
+// numbers are derived from the regions and the key, so that all nodes compute the same number without coordination.
+// Their regions are stored in their ensembles.
 const (
-	// confinedBit is set in the numbers of confined partitions alone: the head has 1<<16 partitions at most.
+	// confinedBit is set only in the numbers of confined partitions: the head has at most 1<<16 partitions.
 	confinedBit = 1 << 31
-	// confinedKeyBits are the lowest bits of such a number, which name the key's place among the partitions of the same regions; the bits
-	// between name the regions. Of two sets of regions with the same number, the ensemble says which one it is of.
+	// confinedKeyBits is the number of low bits that identify the key's slot among the partitions of the same regions;
+	// the bits above identify the regions. If two sets of regions hash to the same number, the ensemble records
+	// which of them the partition belongs to.
 	confinedKeyBits = 10
-	// retryAfterNoHome is when a caller may come back whose records have no place within their regions: a new partition takes about as long
-	// to be formed.
-	retryAfterNoHome = 500 * time.Millisecond
-	// settleAfterChange is how long after a change of confined keys a record may still come again that was taken before it: callers come
-	// again after an answer was lost, or seconds after they had one.
-	settleAfterChange = time.Minute
+	// noHomeRetryAfter is the retry delay for a caller whose records have no partition within their regions: forming a
+	// new partition takes about as long.
+	noHomeRetryAfter = 500 * time.Millisecond
+	// confinementSettleTime is how long after a change of the confined keys a caller may still resend a record that was
+	// accepted before it: callers retry after a lost answer, or seconds after an answer.
+	confinementSettleTime = time.Minute
 )
 
 // Confined is a key whose records are confined to regions.
@@ -39,22 +41,24 @@
 
 // Homes finds the partitions of confined records. It is safe for concurrent use.
 type Homes interface {
-	// PartitionWithin returns the partition for new records of key that are confined to regions. The error is an *outcome.Error: NotRun with
-	// ReasonNoHome where they have no place there now that survives what the ledger is to survive.
+	// PartitionWithin returns the partition for new records of key that are confined to regions. The error is an
+	// *outcome.Error: NotRun with ReasonNoHome if the regions have no partition at present that survives the required
+	// losses.
 	PartitionWithin(key string, regions region.Set) (PartitionID, error)
-	// PartitionsWithin returns all confined partitions in which records of key may be; none in a ledger in which nothing is confined.
+	// PartitionsWithin returns all confined partitions that may have records of key; none if the ledger has no
+	// confined partitions.
 	PartitionsWithin(key string) []PartitionID
-	// Settling says that keys came to be confined otherwise a short while ago, as far as this node knows.
+	// Settling reports whether, to this node's knowledge, the confinement of keys changed within the last minute.
 	Settling() bool
-	// MayHold says that a node in zone may have records of the partition.
+	// MayHold reports whether a node in zone may have records of the partition.
 	MayHold(partition PartitionID, zone string) bool
 }
 
-// confinedKeys are the keys that are confined by the newest configuration. It is safe for concurrent use.
+// confinedKeys holds the keys that the newest configuration confines. It is safe for concurrent use.
 type confinedKeys struct {
 	mutex sync.RWMutex
 	keys  []Confined
-	// changed is when they became others.
+	// changed is the time of the last change of keys.
 	changed time.Time
 }
 
@@ -64,7 +68,7 @@
 	return c.keys
 }
 
-// set returns whether the keys are others than before.
+// set replaces the keys and reports whether they differ from the previous ones.
 func (c *confinedKeys) set(keys []Confined, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,43 +85,47 @@
 	return c.changed
 }
 
-// confinedPartition returns the number of the partition of key within regions, in a ledger whose head has that many partitions.
+// confinedPartition returns the number of the partition of key within regions. partitions is the head's number of
+// partitions.
 func confinedPartition(key string, regions region.Set, partitions int) PartitionID {
 	const regionBits = 31 - confinedKeyBits
-	ofRegions := xxhash.Sum64String(strings.Join(regions.Names(), "\x00")) & (1<<regionBits - 1)
-	return confinedBit | PartitionID(ofRegions)<<confinedKeyBits | placeOf(key, partitions)
+	regionHash := xxhash.Sum64String(strings.Join(regions.Names(), "\x00")) & (1<<regionBits - 1)
+	return confinedBit | PartitionID(regionHash)<<confinedKeyBits | keySlot(key, partitions)
 }
 
-// placeOf returns the key's place among the partitions of the same regions.
-func placeOf(key string, partitions int) PartitionID {
+// keySlot returns the key's slot among the partitions of the same regions.
+func keySlot(key string, partitions int) PartitionID {
 	return PartitionID(xxhash.Sum64String(key) % uint64(min(partitions, 1<<confinedKeyBits)))
 }
 
-// IsConfined says that the records of the partition are confined to regions.
+// IsConfined reports whether the records of the partition are confined to regions.
 func IsConfined(partition PartitionID) bool { return partition&confinedBit != 0 }
 
-// SetConfined names the keys whose records are confined to regions, in an order that follows from what they are.
+// SetConfined sets the keys whose records are confined to regions. The same keys must always be given in the same
+// order, since another order counts as a change.
 func (m *Manager) SetConfined(keys []Confined) {
 	if m.confined.set(keys, clock.Now()) {
 		m.background(func() { m.post(func() { m.check(clock.Now()) }) })
 	}
 }
 
-// wanted returns the confined partitions of the newest configuration with their regions; none while the head is not known.
-func (m *Manager) wanted() map[PartitionID]region.Set {
+// wantedPartitions returns the confined partitions of the newest configuration with their regions; none while the
+// head is unknown.
+func (m *Manager) wantedPartitions() map[PartitionID]region.Set {
 	fixed, known := m.directory.fixed()
 	keys := m.confined.get()
 	if !known || len(keys) == 0 {
 		return nil
 	}
 	partitions := make(map[PartitionID]region.Set, len(keys))
-	for _, each := range keys {
-		partitions[confinedPartition(each.Key, each.Regions, fixed.partitions)] = each.Regions
+	for _, confined := range keys {
+		partitions[confinedPartition(confined.Key, confined.Regions, fixed.partitions)] = confined.Regions
 	}
 	return partitions
 }
 
-// placementOf returns where records of the partition may be. Of a confined partition of which nothing is known that is nowhere.
+// placementOf returns the placement of the partition. Nothing is allowed for a confined partition whose regions are
+// unknown.
 func (m *Manager) placementOf(partition PartitionID) placement {
 	if !IsConfined(partition) {
 		return placement{}
@@ -125,14 +133,14 @@
 	if ensemble, known := m.directory.ensemble(partition); known {
 		return placement{topology: m.topology, regions: regionsOf(ensemble)}
 	}
-	if regions, known := m.wanted()[partition]; known {
+	if regions, known := m.wantedPartitions()[partition]; known {
 		return placement{topology: m.topology, regions: regions}
 	}
 	return placement{topology: m.topology, regions: region.Nowhere()}
 }
 
-// regionsOf returns the regions of a confined partition's ensemble. One that names none was written by a node that knows of none: nothing
-// may come there.
+// regionsOf returns the regions of a confined partition's ensemble. An ensemble without regions was written by a node
+// that does not support them; no node is allowed for it.
 func regionsOf(ensemble protocol.Ensemble) region.Set {
 	if len(ensemble.Regions) == 0 {
 		return region.Nowhere()
@@ -140,14 +148,14 @@
 	return region.NewSet(ensemble.Regions...)
 }
 
-// ownersOf says which members may own the partition.
-func (m *Manager) ownersOf(partition PartitionID) mayOwn {
+// ownersOf returns the filter for members that may own the partition.
+func (m *Manager) ownersOf(partition PartitionID) memberFilter {
 	return m.placementOf(partition).owners(m.mayOwn)
 }
 
 // storesFor returns the stores that may have records of the partition.
 func (m *Manager) storesFor(partition PartitionID, view *membership.View) []membership.Member {
-	return m.placementOf(partition).stores(m.keptStores(view))
+	return m.placementOf(partition).stores(m.eligibleStores(view))
 }
 
 // MayHold implements Homes.
@@ -155,9 +163,9 @@
 	return m.placementOf(partition).allows(zone)
 }
 
-// Settling implements Homes. The start of the process counts as a change as well: what held before it is not known.
+// Settling implements Homes. The start of the process counts as a change, since the configuration before it is unknown.
 func (m *Manager) Settling() bool {
-	return clock.Since(m.started) < settleAfterChange || clock.Since(m.confined.changedAt()) < settleAfterChange
+	return clock.Since(m.started) < confinementSettleTime || clock.Since(m.confined.changedAt()) < confinementSettleTime
 }
 
 // PartitionsWithin implements Homes.
@@ -167,27 +175,27 @@
 		return nil
 	}
 	found := m.directory.confined()
-	for partition := range m.wanted() {
+	for partition := range m.wantedPartitions() {
 		found = append(found, partition)
 	}
-	const place = 1<<confinedKeyBits - 1
-	found = slices.DeleteFunc(found, func(partition PartitionID) bool { return partition&place != placeOf(key, fixed.partitions) })
+	const slotMask = 1<<confinedKeyBits - 1
+	found = slices.DeleteFunc(found, func(partition PartitionID) bool { return partition&slotMask != keySlot(key, fixed.partitions) })
 	slices.Sort(found)
 	return slices.Compact(found)
 }
 
 // PartitionWithin implements Homes.
 func (m *Manager) PartitionWithin(key string, regions region.Set) (PartitionID, error) {
-	partition, reason := m.placeWithin(key, regions)
+	partition, reason := m.findWithin(key, regions)
 	if reason == "" {
 		return partition, nil
 	}
-	m.refusedWithin.Add(1)
-	return 0, outcome.New(outcome.NotRun, outcome.ReasonNoHome, reason).After(retryAfterNoHome)
+	m.unplacedRequests.Add(1)
+	return 0, outcome.New(outcome.NotRun, outcome.ReasonNoHome, reason).After(noHomeRetryAfter)
 }
 
-// placeWithin returns the partition, or why there is none that may take records.
-func (m *Manager) placeWithin(key string, regions region.Set) (partition PartitionID, reason string) {
+// findWithin returns the partition, or the reason why there is none that may accept records.
+func (m *Manager) findWithin(key string, regions region.Set) (partition PartitionID, reason string) {
 	fixed, known := m.directory.fixed()
 	switch {
 	case len(regions.Names()) == 0:
@@ -208,7 +216,7 @@
 	return partition, ""
 }
 
-// durable says that the partition survives the losses that the ledger is to survive.
+// durable reports whether the partition survives the losses that the settings require.
 func (m *Manager) durable(partition PartitionID) bool {
 	fixed, _ := m.directory.fixed()
 	ensemble, known := m.directory.ensemble(partition)
--- a/internal/ledger/confined_formation.go
+++ b/internal/ledger/confined_formation.go
@@ -11,24 +11,26 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// confinedUpkeep is the control goroutine's state of the formation of confined partitions.
-type confinedUpkeep struct {
+// confinedFormation is the control goroutine's state for the formation of confined partitions.
+type confinedFormation struct {
 	running bool
 	next    time.Time
-	// since is when a partition was first seen to lack something; reported are those whose lack stands in the log.
-	since    map[PartitionID]time.Time
+	// since is the time at which a partition was first seen without a durable ensemble.
+	since map[PartitionID]time.Time
+	// reported holds the partitions for which regions_lack_stores was logged.
 	reported map[PartitionID]bool
 }
 
-// keepConfined forms the wanted confined partitions that the node should own, and asks the nodes that should own the others for what they
-// know, until all have a durable ensemble. Without wanted partitions it does nothing. It runs on the control goroutine.
-func (m *Manager) keepConfined(view *membership.View, now time.Time) {
-	if m.upkeep.running || now.Before(m.upkeep.next) {
+// formConfined forms the wanted confined partitions that this node should own, and asks the preferred owners of the
+// others for the ensembles that they know, until all have a durable ensemble. Without wanted partitions it does
+// nothing. It runs on the control goroutine.
+func (m *Manager) formConfined(view *membership.View, now time.Time) {
+	if m.confinedFormation.running || now.Before(m.confinedFormation.next) {
 		return
 	}
 	var missing []protocol.Ensemble
 	var asked []membership.Member
-	for partition, regions := range m.wanted() {
+	for partition, regions := range m.wantedPartitions() {
 		if m.durable(partition) {
 			m.reportDurable(partition)
 			continue
@@ -36,7 +38,7 @@
 		owner, found := preferredOwner(view, partition, m.ownersOf(partition))
 		switch {
 		case !found:
-			m.reportLack(partition, regions, 0)
+			m.reportNotDurable(partition, regions, 0)
 		case owner.ID != m.self:
 			asked = append(asked, owner)
 		default:
@@ -46,7 +48,7 @@
 	if len(missing)+len(asked) == 0 {
 		return
 	}
-	m.upkeep.running = true
+	m.confinedFormation.running = true
 	var err error
 	m.start(
 		func() {
@@ -60,8 +62,8 @@
 			}
 		},
 		func() {
-			m.upkeep.running = false
-			m.upkeep.next = clock.Now().Add(loadInterval)
+			m.confinedFormation.running = false
+			m.confinedFormation.next = clock.Now().Add(loadInterval)
 			if err != nil {
 				m.logger.Warn().Err(err).Msg("confined_partitions_not_formed")
 			}
@@ -69,21 +71,21 @@
 		})
 }
 
-// appendMissing adds the first ensemble of a partition that has none, once there are stores enough in its regions or the wait for more is
-// over. One that exists and is too small grows by the ledger's usual upkeep.
+// appendMissing appends the first ensemble of a partition that has none, once its regions have enough stores or
+// Timing.Formation has passed. An ensemble that exists and is too small is grown by maintain instead.
 func (m *Manager) appendMissing(missing []protocol.Ensemble, view *membership.View, partition PartitionID, regions region.Set, now time.Time) []protocol.Ensemble {
 	fixed, _ := m.directory.fixed()
 	stores := m.storesFor(partition, view)
-	since, noted := m.upkeep.since[partition]
+	since, noted := m.confinedFormation.since[partition]
 	if !noted {
 		since = now
-		m.upkeep.since[partition] = now
+		m.confinedFormation.since[partition] = now
 	}
 	if len(stores) < fixed.replicas && now.Sub(since) < m.timing.Formation {
 		return missing
 	}
 	if ensemble, known := m.directory.ensemble(partition); known || len(stores) == 0 {
-		m.reportLack(partition, regions, len(ensemble.Members))
+		m.reportNotDurable(partition, regions, len(ensemble.Members))
 		return missing
 	}
 	made := newEnsemble(partition, chooseStores(stores, partition, fixed.replicas, nil), fixed.writeQuorum)
@@ -91,21 +93,21 @@
 	return append(missing, made)
 }
 
-// reportLack logs, once, that a partition survives fewer losses than the ledger is to survive: it takes no new records.
-func (m *Manager) reportLack(partition PartitionID, regions region.Set, stores int) {
-	if m.local == nil || m.upkeep.reported[partition] {
+// reportNotDurable logs, once, that a partition survives fewer losses than required and accepts no new records.
+func (m *Manager) reportNotDurable(partition PartitionID, regions region.Set, stores int) {
+	if m.local == nil || m.confinedFormation.reported[partition] {
 		return
 	}
-	m.upkeep.reported[partition] = true
+	m.confinedFormation.reported[partition] = true
 	fixed, _ := m.directory.fixed()
 	m.logger.Warn().Uint32(logging.FieldPartition, uint32(partition)).Stringer("regions", regions).Int("stores", stores).
 		Int("wanted", fixed.replicas).Int("losses", fixed.writeQuorum-1).Int("zones", m.settings.SurvivesZones).Msg("regions_lack_stores")
 }
 
-// reportDurable logs the end of what reportLack logged.
+// reportDurable logs that a partition reported by reportNotDurable is durable.
 func (m *Manager) reportDurable(partition PartitionID) {
-	if m.upkeep.reported[partition] {
-		delete(m.upkeep.reported, partition)
+	if m.confinedFormation.reported[partition] {
+		delete(m.confinedFormation.reported, partition)
 		m.logger.Info().Uint32(logging.FieldPartition, uint32(partition)).Msg("regions_have_stores")
 	}
 }
--- a/internal/ledger/confined_test.go
+++ b/internal/ledger/confined_test.go
@@ -20,8 +20,8 @@
 
 const confinedKey = "jobs.example"
 
-// newRegionsCluster has three copies of which one may be lost, and in each region as many stores as named and a node without one. Nodes that
-// are added later lie in the first region by name.
+// newRegionsCluster returns a cluster with three replicas of which one may be lost. Each region has the given number of
+// stores and one node without a store. Nodes added later are in the region whose name sorts first.
 func newRegionsCluster(t *testing.T, seed uint64, stores map[string]int, confined ...Confined) *cluster {
 	c := newCluster(t, seed)
 	c.ledger.Replicas, c.ledger.WriteQuorum, c.ledger.OwnersOnStores = 3, 2, true
@@ -51,8 +51,8 @@
 	return c
 }
 
-// within returns the partition of the key, once all nodes say that it takes records.
-func (c *cluster) within(regions region.Set) PartitionID {
+// partitionWithin waits until all nodes report a partition of the key that accepts records, and returns it.
+func (c *cluster) partitionWithin(regions region.Set) PartitionID {
 	c.t.Helper()
 	var partition PartitionID
 	c.eventually(fmt.Sprintf("a partition within %s", regions), func() bool {
@@ -68,8 +68,9 @@
 	return partition
 }
 
-// keepsWithin fails where a node outside the regions has, or is to have, a part of the partition.
-func (c *cluster) keepsWithin(partition PartitionID, regions region.Set) {
+// checkConfinement fails the test if a node outside the regions has owned the partition, has had its records, or is a
+// member of its ensemble.
+func (c *cluster) checkConfinement(partition PartitionID, regions region.Set) {
 	c.t.Helper()
 	for _, node := range c.nodes {
 		if ensemble, known := node.manager.directory.ensemble(partition); known {
@@ -91,12 +92,12 @@
 	}
 }
 
-func inNorth() (region.Set, Confined) {
+func confinedToNorth() (region.Set, Confined) {
 	north := region.NewSet("north")
 	return north, Confined{Key: confinedKey, Regions: north}
 }
 
-// member returns a node whose store is in the partition's ensemble and that does not own it.
+// memberOf returns a node that does not own the partition and whose store is in its ensemble.
 func (c *cluster) memberOf(partition PartitionID) *testNode {
 	c.t.Helper()
 	owner := c.owner(partition)
@@ -119,14 +120,14 @@
 
 func TestConfinedPartitionKeepsToItsRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		north, confined := inNorth()
+		north, confined := confinedToNorth()
 		c := newRegionsCluster(t, 31, map[string]int{"north": 4, "south": 3, "west": 3}, confined)
 		defer c.stopAll()
-		partition := c.within(north)
+		partition := c.partitionWithin(north)
 		acknowledged := []string{c.put(partition, "first")}
 		whole := func() bool {
 			ensemble, _ := c.owner(partition).manager.directory.ensemble(partition)
-			c.keepsWithin(partition, north)
+			c.checkConfinement(partition, north)
 			return ensemble.FullMembers() == 3 && c.allPresent(ensemble)
 		}
 		c.loseDisk(c.memberOf(partition))
@@ -138,18 +139,19 @@
 		c.kill(c.owner(partition))
 		acknowledged = append(acknowledged, c.put(partition, "fourth"))
 		time.Sleep(time.Minute)
-		c.keepsWithin(partition, north)
+		c.checkConfinement(partition, north)
 		c.check(partition, acknowledged)
 	})
 }
 
-// TestNobodyElseTakesOverFromRegionsThatAreLost: with its regions cut off or gone a partition has no owner elsewhere.
+// TestNobodyElseTakesOverFromRegionsThatAreLost checks that a partition whose regions are cut off or lost gets no owner
+// in other regions.
 func TestNobodyElseTakesOverFromRegionsThatAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		north, confined := inNorth()
+		north, confined := confinedToNorth()
 		c := newRegionsCluster(t, 32, map[string]int{"north": 3, "south": 3}, confined)
 		defer c.stopAll()
-		partition := c.within(north)
+		partition := c.partitionWithin(north)
 		acknowledged := []string{c.put(partition, "first")}
 		var cut []netip.AddrPort
 		for _, node := range c.nodes {
@@ -162,8 +164,8 @@
 		})
 		acknowledged = append(acknowledged, c.put(partition, "cut off"))
 		time.Sleep(time.Minute)
-		c.keepsWithin(partition, north)
-		c.network.SetConditions(calm)
+		c.checkConfinement(partition, north)
+		c.network.SetConditions(normalConditions)
 		c.check(partition, acknowledged)
 		for _, node := range slices.Clone(c.nodes) {
 			if c.regionOf[node.id] == "north" {
@@ -171,7 +173,7 @@
 			}
 		}
 		time.Sleep(time.Minute)
-		c.keepsWithin(partition, north)
+		c.checkConfinement(partition, north)
 		for _, node := range c.nodes {
 			node.manager.hints.set(partition, c.nodes[0].id)
 			if owner, known := node.manager.Owner(partition); known {
@@ -181,10 +183,11 @@
 	})
 }
 
-// TestRegionsWithTooFewStoresTakeNothing: home comes before durability, and durability before acceptance.
+// TestRegionsWithTooFewStoresTakeNothing checks that records are refused if their regions have too few stores for the
+// required durability: they are neither stored elsewhere nor accepted with fewer copies.
 func TestRegionsWithTooFewStoresTakeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		north, confined := inNorth()
+		north, confined := confinedToNorth()
 		const newcomers = 2
 		c := newRegionsCluster(t, 33, map[string]int{"north": 1, "south": 3}, confined)
 		defer c.stopAll()
@@ -202,24 +205,25 @@
 			t.Errorf("logged %d times", count)
 		}
 		partition := confinedPartition(confinedKey, north, c.ledger.Partitions)
-		c.keepsWithin(partition, north)
+		c.checkConfinement(partition, north)
 		for range newcomers {
 			c.add(true)
 		}
-		c.check(c.within(north), nil)
-		c.keepsWithin(partition, north)
+		c.check(c.partitionWithin(north), nil)
+		c.checkConfinement(partition, north)
 	})
 }
 
-// TestRetirementKeepsToTheRegions: a store that is to be emptied hands on to one of its regions, and stays where there is none.
+// TestRetirementKeepsToTheRegions checks that a retiring store is replaced by one in the same regions, and stays a member
+// if there is none.
 func TestRetirementKeepsToTheRegions(t *testing.T) {
 	for stores, want := range map[int]bool{3: false, 4: true} {
 		t.Run(fmt.Sprint(stores, " stores"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				north, confined := inNorth()
+				north, confined := confinedToNorth()
 				c := newRegionsCluster(t, 34, map[string]int{"north": stores, "south": 3}, confined)
 				defer c.stopAll()
-				partition := c.within(north)
+				partition := c.partitionWithin(north)
 				acknowledged := []string{c.put(partition, "first")}
 				retired := c.memberOf(partition)
 				for _, node := range c.nodes {
@@ -230,20 +234,21 @@
 				if _, present := ensemble.Find(retired.store.ID()); present == want {
 					t.Errorf("the retired store is a member: %t", present)
 				}
-				c.keepsWithin(partition, north)
+				c.checkConfinement(partition, north)
 				c.check(partition, acknowledged)
 			})
 		})
 	}
 }
 
-// TestFormerHomesAreServed: what the configuration no longer names is found by nodes that never knew it.
+// TestFormerHomesAreServed checks that a confined partition that is no longer configured is still found, also by nodes
+// that were never configured with it.
 func TestFormerHomesAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		north, confined := inNorth()
+		north, confined := confinedToNorth()
 		c := newRegionsCluster(t, 35, map[string]int{"north": 3, "south": 3}, confined)
 		defer c.stopAll()
-		partition := c.within(north)
+		partition := c.partitionWithin(north)
 		acknowledged := []string{c.put(partition, "first")}
 		c.confined = nil
 		for _, node := range c.nodes {
@@ -259,11 +264,12 @@
 				return slices.Contains(node.manager.PartitionsWithin(confinedKey), partition)
 			})
 		}
-		c.keepsWithin(partition, north)
+		c.checkConfinement(partition, north)
 	})
 }
 
-// TestNothingConfinedCostsNothing: without confined keys there are the head's partitions alone, and an idle ledger makes no calls.
+// TestNothingConfinedCostsNothing checks that without confined keys only the head's partitions exist and an idle ledger
+// makes no calls to the key-value service.
 func TestNothingConfinedCostsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionsCluster(t, 36, map[string]int{"north": 3, "south": 3})
@@ -291,11 +297,12 @@
 	})
 }
 
-// TestConfinedPartitionUnderFaults: whatever happens to nodes, disks and links, nothing leaves the regions and nothing acknowledged is lost.
+// TestConfinedPartitionUnderFaults checks that under faults of nodes, disks and links no record leaves the regions and no
+// acknowledged record is lost.
 func TestConfinedPartitionUnderFaults(t *testing.T) {
 	const rounds = 12
-	// With all but the second, fifth, seventh and eighth an owner that was cut off had proposed to replace the others, and a disk lost after
-	// the cut left too few members.
+	// With all seeds but the second, fifth, seventh and eighth, an owner that was cut off had proposed to replace the other
+	// members, and a disk lost after the cut left too few members.
 	seeds := []uint64{
 		6687958333339991126, 15280624473666262181, 4995174390999726646, 9209273030331111015, 11702773008342826190, 6729133556975222248,
 		16788191715438485202, 1731556730201070128,
@@ -304,10 +311,10 @@
 		t.Logf("seed %d", seed)
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 0))
-			north, confined := inNorth()
+			north, confined := confinedToNorth()
 			c := newRegionsCluster(t, seed, map[string]int{"north": 4, "south": 2, "west": 2}, confined)
 			defer c.stopAll()
-			partition := c.within(north)
+			partition := c.partitionWithin(north)
 			acknowledged := []string{c.put(partition, "first")}
 			for round := range rounds {
 				node := c.nodes[random.IntN(len(c.nodes))]
@@ -325,13 +332,13 @@
 						return memory.Conditions{Delay: linkDelay, Cut: from != to && (from == node.address || to == node.address)}
 					})
 					time.Sleep(time.Duration(random.IntN(6000)) * time.Millisecond)
-					c.network.SetConditions(calm)
+					c.network.SetConditions(normalConditions)
 				default:
 					c.keyValue.set(func() { c.keyValue.down = !c.keyValue.down })
 				}
 				acknowledged = append(acknowledged, c.put(partition, fmt.Sprint("round-", round)))
 				c.eventually("whole again", func() bool {
-					c.keepsWithin(partition, north)
+					c.checkConfinement(partition, north)
 					ensemble, _ := c.owner(partition).manager.directory.ensemble(partition)
 					return ensemble.FullMembers() == 3 && c.allPresent(ensemble)
 				})
@@ -342,7 +349,7 @@
 	}
 }
 
-// allPresent says that all members' stores are those of running nodes.
+// allPresent reports whether every member's store is the current store of a node.
 func (c *cluster) allPresent(ensemble protocol.Ensemble) bool {
 	for _, member := range ensemble.Members {
 		if !slices.ContainsFunc(c.nodes, func(node *testNode) bool { return storeOf(node) == member.Store }) {
--- a/internal/ledger/decision.go
+++ b/internal/ledger/decision.go
@@ -10,14 +10,16 @@
 	"github.com/sloelift/sloelift/internal/logging"
 )
 
-// Ensembles that their own members decide on, under the owner's ballot. The key-value service then keeps a copy, from which nodes that
-// know none find the members; it may be old, since members answer with what is newer.
+// With the setting MembersDecide, the members of an ensemble decide on its successor under the owner's ballot. The
+// key-value service then only holds a copy, from which nodes that know no ensemble find the members. The copy may be
+// out of date, since members answer with a newer ensemble if they know one.
 
-// proposeEnsemble has the present members decide on next. It runs on the control goroutine.
+// proposeEnsemble proposes next to the current members. It runs on the control goroutine.
 func (m *Manager) proposeEnsemble(control *partitionControl, next protocol.Ensemble, now time.Time) {
 	if !control.ownership.reachesQuorum() {
-		// Nothing can be decided, but this node's own store would accept that members which it does not reach are replaced, and a later owner
-		// has to bring that to its end: if another disk is lost meanwhile, too few are left with the records.
+		// Nothing can be decided without a quorum, but the local store would accept the replacement of members that
+		// this node cannot reach, and a later owner would have to complete that proposal. If another disk is lost
+		// meanwhile, too few stores with the records are left.
 		return
 	}
 	control.nextChange = now.Add(m.timing.ChangeRetry)
@@ -25,8 +27,9 @@
 	m.background(func() { ownership.proposeEnsemble(next) })
 }
 
-// takeDecision learns a decided ensemble, which the next check has the owner adopt. It is called on an ownership's goroutine.
-func (m *Manager) takeDecision(decided protocol.Ensemble) {
+// learnDecision records a decided ensemble and schedules a check, in which the owner adopts it. It is called on an
+// ownership's goroutine.
+func (m *Manager) learnDecision(decided protocol.Ensemble) {
 	m.directory.learn(decided)
 	m.background(func() {
 		m.post(func() {
@@ -36,8 +39,8 @@
 	})
 }
 
-// publish copies a decided ensemble to the key-value service, if it is newer than the copy there. It runs on the owner's control
-// goroutine and is tried again until it succeeds.
+// publish copies a decided ensemble to the key-value service if it is newer than the copy there. It runs on the
+// owner's control goroutine and is retried until it succeeds.
 func (m *Manager) publish(partition PartitionID, control *partitionControl, ensemble protocol.Ensemble, now time.Time) {
 	if !m.settings.MembersDecide || control.publishing || now.Before(control.nextPublish) || m.directory.publishedVersion(partition) >= ensemble.Version {
 		return
--- a/internal/ledger/directory.go
+++ b/internal/ledger/directory.go
@@ -27,14 +27,14 @@
 	return fmt.Sprintf("%s%05d", ensemblePrefix, partition)
 }
 
-// head is the fixed part of the ledger.
+// head holds the ledger's parameters that are fixed when it is first formed.
 type head struct {
 	partitions, replicas, writeQuorum int
 }
 
-// directory holds the head and the newest ensembles that this node has heard of, from the
-// key-value service, from stores or from other nodes. Newer versions replace older ones, so an
-// outage of the service leaves it usable. It is safe for concurrent use.
+// directory holds the head and the newest ensembles that this node has learned from the
+// key-value service, from stores or from other nodes. Newer versions replace older ones from any source, so
+// it stays usable during an outage of the service. It is safe for concurrent use.
 type directory struct {
 	keyValue platform.KeyValue
 
@@ -42,7 +42,7 @@
 	mutex     sync.RWMutex
 	head      head
 	ensembles map[PartitionID]protocol.Ensemble
-	// published are the versions that the key-value service is known to have.
+	// published holds, by partition, the ensemble version that the key-value service is known to have.
 	published map[PartitionID]uint64
 }
 
@@ -76,20 +76,20 @@
 	return ensembles
 }
 
-// complete says whether the head and the ensembles of all its partitions are known.
+// complete reports whether the head and the ensembles of all its partitions are known.
 func (d *directory) complete() bool {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	if d.head.partitions == 0 {
 		return false
 	}
-	ofHead := len(d.ensembles)
+	headEnsembles := len(d.ensembles)
 	for partition := range d.ensembles {
 		if IsConfined(partition) {
-			ofHead--
+			headEnsembles--
 		}
 	}
-	return ofHead >= d.head.partitions
+	return headEnsembles >= d.head.partitions
 }
 
 // confined returns the known partitions that are confined to regions.
@@ -105,7 +105,7 @@
 	return found
 }
 
-// learn takes an ensemble that was heard of, if it is newer than the known one.
+// learn records an ensemble if it is newer than the known one.
 func (d *directory) learn(ensemble protocol.Ensemble) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -123,7 +123,7 @@
 	d.head = head{partitions: int(message.Partitions), replicas: int(message.Replicas), writeQuorum: int(message.WriteQuorum)}
 }
 
-// export returns what is known, for another node.
+// export returns the head and all known ensembles, for another node.
 func (d *directory) export() *ledgerpb.EnsemblesResponse {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -136,21 +136,21 @@
 	return response
 }
 
-// load reads all that the key-value service has.
+// load reads the head and all ensembles from the key-value service.
 func (d *directory) load(ctx context.Context) error {
 	listing, err := d.keyValue.List(ctx, keyPrefix)
 	if err != nil {
 		return err
 	}
 	for _, entry := range listing.Entries {
-		if err := d.take(entry); err != nil {
+		if err := d.applyEntry(entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *directory) take(entry platform.Entry) error {
+func (d *directory) applyEntry(entry platform.Entry) error {
 	if entry.Key == headKey {
 		var message ledgerpb.Head
 		if err := proto.Unmarshal(entry.Value, &message); err != nil {
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.take(before); err != nil || d.publishedVersion(ensemble.Partition) >= ensemble.Version {
+	if err := d.applyEntry(before); err != nil || d.publishedVersion(ensemble.Partition) >= ensemble.Version {
 		return err
 	}
 	value, err := proto.Marshal(wire.FromEnsemble(ensemble))
@@ -202,10 +202,10 @@
 	if err != nil || !committed.Committed {
 		return err
 	}
-	return d.take(platform.Entry{Key: key, Value: value})
+	return d.applyEntry(platform.Entry{Key: key, Value: value})
 }
 
-// createHead writes the head unless there is one, and reads what stands.
+// createHead writes the head unless one exists, and reads the directory back.
 func (d *directory) createHead(ctx context.Context, wanted head) error {
 	value, err := proto.Marshal(&ledgerpb.Head{
 		Partitions: uint32(wanted.partitions), Replicas: uint32(wanted.replicas), WriteQuorum: uint32(wanted.writeQuorum),
@@ -222,7 +222,8 @@
 	return d.load(ctx)
 }
 
-// createEnsembles writes first versions of ensembles, some at a time, unless they exist, and reads what stands.
+// createEnsembles writes the first versions of ensembles, changesPerRequest at a time, unless they exist, and reads the
+// directory back.
 func (d *directory) createEnsembles(ctx context.Context, ensembles []protocol.Ensemble) error {
 	for len(ensembles) > 0 {
 		part := ensembles[:min(changesPerRequest, len(ensembles))]
@@ -245,8 +246,8 @@
 	return d.load(ctx)
 }
 
-// change makes next the ensemble if the one before it still stands. Whether it
-// took effect is read back by its write id, so a lost answer does no harm; what stands is learnt.
+// change makes next the ensemble if its predecessor is still current. It reports whether the change took effect, which it
+// determines by reading back the write ID, so a lost answer is harmless. The current ensemble is learned in any case.
 func (d *directory) change(ctx context.Context, next protocol.Ensemble) (bool, error) {
 	key := ensembleKey(next.Partition)
 	next.WriteID = ulid.Make().String()
@@ -254,7 +255,7 @@
 	if err != nil {
 		return false, err
 	}
-	if err := d.take(before); err != nil {
+	if err := d.applyEntry(before); err != nil {
 		return false, err
 	}
 	if known, _ := d.ensemble(next.Partition); known.Version != next.Version-1 {
@@ -272,7 +273,7 @@
 	if err != nil {
 		return false, err
 	}
-	if err := d.take(after); err != nil {
+	if err := d.applyEntry(after); err != nil {
 		return false, err
 	}
 	known, _ := d.ensemble(next.Partition)
--- a/internal/ledger/fakes_test.go
+++ b/internal/ledger/fakes_test.go
@@ -12,7 +12,7 @@
 	"github.com/sloelift/sloelift/internal/platform/platformtest"
 )
 
-// memoryKeyValue is a key-value service that can be down or lose answers.
+// memoryKeyValue is an in-memory key-value service that can be down or lose answers.
 type memoryKeyValue struct {
 	*platformtest.KeyValue
 	mutex       sync.Mutex
@@ -32,7 +32,7 @@
 	change()
 }
 
-// begin counts a call; it fails while the service is down.
+// begin counts a call, and returns an error while the service is down.
 func (k *memoryKeyValue) begin() error {
 	k.calls++
 	if k.down {
@@ -72,14 +72,14 @@
 	return result, err
 }
 
-// sharedView is what every node of a test sees.
+// sharedView is the membership that all nodes of a test see.
 type sharedView struct {
 	mutex   sync.Mutex
 	members []membership.Member
-	// isolated sees all others as dead.
+	// isolated is the node that sees all others as dead.
 	isolated membership.NodeID
-	// apart has each node see all others as dead.
-	apart bool
+	// allIsolated makes every node see all others as dead.
+	allIsolated bool
 }
 
 func (s *sharedView) change(id membership.NodeID, change func(*membership.Member)) {
@@ -101,16 +101,16 @@
 	return (&membership.View{Members: s.members}).Find(membership.NodeID(node))
 }
 
-type viewerOf struct {
+type nodeViewer struct {
 	shared *sharedView
 	self   membership.NodeID
 }
 
-// setApart makes each node see all others as dead, as where all have just started; false ends that.
-func (s *sharedView) setApart(apart bool) {
+// isolateAll makes each node see all others as dead, as if all had just started; false ends that.
+func (s *sharedView) isolateAll(isolated bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.apart = apart
+	s.allIsolated = isolated
 }
 
 // isolate makes one node see all others as dead; an empty id ends that.
@@ -120,7 +120,7 @@
 	s.isolated = id
 }
 
-func (v viewerOf) View() *membership.View {
+func (v nodeViewer) View() *membership.View {
 	v.shared.mutex.Lock()
 	defer v.shared.mutex.Unlock()
 	members := append([]membership.Member(nil), v.shared.members...)
@@ -129,30 +129,31 @@
 		case members[i].ID == v.self && members[i].State == membership.Suspect:
 			// A node never suspects itself.
 			members[i].State = membership.Alive
-		case (v.self == v.shared.isolated || v.shared.apart) && members[i].ID != v.self:
+		case (v.self == v.shared.isolated || v.shared.allIsolated) && members[i].ID != v.self:
 			members[i].State = membership.Dead
 		}
 	}
 	return &membership.View{Self: v.self, Members: members}
 }
 
-func (v viewerOf) Subscribe(func(*membership.View)) func() { return func() {} }
+func (v nodeViewer) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// channelMutex is a mutex whose waiters count as blocked on the virtual clock, so that it can be held over an append.
+// channelMutex is a mutex whose waiters count as durably blocked in a synctest bubble, so that it can be held during an
+// append.
 type channelMutex chan struct{}
 
 func (m channelMutex) Lock()   { m <- struct{}{} }
 func (m channelMutex) Unlock() { <-m }
 
-// register is a state machine that keeps every payload in order.
+// register is a state machine that keeps all payloads in order.
 type register struct {
 	mutex  channelMutex
 	upTo   Position
 	values []string
-	// undecided are values whose call of Append ended before the ledger had decided on them.
-	undecided []string
-	owned     Owned
-	stopped   bool
+	// indeterminate holds values whose Append call ended before the ledger acknowledged or rejected them.
+	indeterminate []string
+	owned         Owned
+	stopped       bool
 	// onQuiesce is called by Quiesce, if set.
 	onQuiesce func(ctx context.Context)
 }
@@ -210,7 +211,7 @@
 	r.stopped = true
 }
 
-// put appends value; the register is applied in order only because put holds the lock.
+// put appends value. It holds the lock during the append, so that values are applied in log order.
 func (r *register) put(ctx context.Context, value string) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -220,21 +221,22 @@
 	return r.append(ctx, value)
 }
 
-// append appends value behind those whose own call ended first: while the ownership lasts they come into the log before it. The mutex is held.
+// append appends value after those whose own call ended first: while the ownership lasts, they precede it in the log.
+// The mutex must be held.
 func (r *register) append(ctx context.Context, value string) error {
 	position, err := r.owned.Append(ctx, []Record{{Kind: KindItemCompleted, Payload: []byte(value)}})
 	if outcome.Of(err) == outcome.Indeterminate {
-		r.undecided = append(r.undecided, value)
+		r.indeterminate = append(r.indeterminate, value)
 	}
 	if err != nil {
 		return err
 	}
-	if position != r.upTo+1+Position(len(r.undecided)) {
-		return fmt.Errorf("position %d appended after %d and %d undecided values", position, r.upTo, len(r.undecided))
+	if position != r.upTo+1+Position(len(r.indeterminate)) {
+		return fmt.Errorf("position %d appended after %d and %d indeterminate values", position, r.upTo, len(r.indeterminate))
 	}
 	r.upTo = position
-	r.values = append(append(r.values, r.undecided...), value)
-	r.undecided = nil
+	r.values = append(append(r.values, r.indeterminate...), value)
+	r.indeterminate = nil
 	return nil
 }
 
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -116,7 +116,7 @@
 		if ownership, _ := c.owner(0).manager.ownership(0); ownership.HasRoom() {
 			t.Error("an owner whose stores are full has room")
 		}
-		// The other partition's machine keeps no count of its records.
+		// This append bypasses the register, whose count of positions is wrong afterwards. Nothing is put to partition 1.
 		other, _ := c.owner(1).manager.ownership(1)
 		if _, err := other.AppendReserved(t.Context(), []Record{{Kind: KindNoOperation}}); err != nil {
 			t.Errorf("a record that may use the reserve: %v", err)
@@ -145,7 +145,7 @@
 	})
 }
 
-// A node that was cut off while every store it knew was replaced must find the new ones.
+// A node that was cut off while every store that it knew was replaced must find the new ones.
 func TestNodeWithOldEnsembleFindsTheNewOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 14)
@@ -180,7 +180,7 @@
 				return ensemble.FullMembers() == 4
 			})
 		}
-		c.network.SetConditions(calm)
+		c.network.SetConditions(normalConditions)
 		c.view.change(cut.id, func(member *membership.Member) { member.State = membership.Alive })
 		c.nodes = all
 		c.eventually("the node that was cut off owns again", func() bool { return c.owner(0) == cut })
@@ -188,7 +188,7 @@
 	})
 }
 
-// A store that comes back after its place was given to a spare forgets the partition.
+// A store that comes back after it was replaced by a spare drops the partition.
 func TestReplacedStoreForgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 15)
@@ -221,7 +221,7 @@
 	})
 }
 
-// A suspected owner that serves well keeps its partition; one that does not answer loses it.
+// A suspected owner that is healthy keeps its partition; one that does not answer loses it.
 func TestSuspectedOwnerIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 16)
@@ -243,7 +243,8 @@
 	})
 }
 
-// TestOutageDrawsFewCalls: while the key-value service is down, a disk that wants replacing draws calls at a bounded rate.
+// TestOutageDrawsFewCalls checks that a disk that must be replaced causes calls at a bounded rate while the key-value
+// service is down.
 func TestOutageDrawsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 31)
--- a/internal/ledger/formation.go
+++ b/internal/ledger/formation.go
@@ -17,14 +17,15 @@
 	directoryTimeout = 10 * time.Second
 	// loadInterval is the wait between rounds.
 	loadInterval = time.Second
-	// peersFirst is for how long after its start a node that owns nothing leaves the directory to those that form it.
-	peersFirst = 4 * time.Second
-	// askedPeers bounds the peers asked for ensembles in one round.
-	askedPeers = 3
+	// peersOnlyPeriod is how long after its start a node that owns no partitions asks only its peers for the directory,
+	// while other nodes form it.
+	peersOnlyPeriod = 4 * time.Second
+	// maxAskedPeers bounds the peers asked for ensembles in one round.
+	maxAskedPeers = 3
 )
 
-// loadDirectory reads head and ensembles from the key-value service, or from other nodes while it
-// is down, and forms what is missing once there are stores. It runs on the control goroutine.
+// loadDirectory reads the head and ensembles from the key-value service, or from other nodes while it
+// is down, and creates what is missing once there are stores. It runs on the control goroutine.
 func (m *Manager) loadDirectory(now time.Time) {
 	if m.loading || now.Before(m.nextLoad) {
 		return
@@ -40,7 +41,7 @@
 				m.logger.Warn().Err(err).Msg("ledger_directory_unavailable")
 				m.askPeers(ctx)
 			}
-			m.dropForeign(ctx)
+			m.dropReplaced(ctx)
 		},
 		func() {
 			m.loading = false
@@ -54,8 +55,8 @@
 		})
 }
 
-// reportSettings warns, once, of a number of partitions in this node's settings that is not the ledger's, which
-// holds. It runs on the control goroutine.
+// reportSettings logs a warning, once, if the number of partitions in this node's settings differs from the ledger's;
+// the ledger's number applies. It runs on the control goroutine.
 func (m *Manager) reportSettings() {
 	fixed, known := m.directory.fixed()
 	if !known || m.settingsReported {
@@ -67,8 +68,9 @@
 	}
 }
 
-// mayForm says whether this node should create what is missing: once there are stores enough, or the wait for more
-// is over. The first live node goes first, the others after one more wait, so that they don't all try.
+// mayForm reports whether this node should create missing parts of the directory: when there are enough stores, or
+// Timing.Formation has passed. Nodes other than the first live one wait for Timing.Formation longer, so that not all
+// of them try at once.
 func (m *Manager) mayForm(now time.Time) bool {
 	view := m.viewer.View()
 	stores := len(storesOf(view))
@@ -82,8 +84,8 @@
 	return waited >= m.timing.Formation || (stores >= m.settings.Replicas && waited >= 0)
 }
 
-// dropForeign has the local store forget partitions that were given to others while it was away.
-func (m *Manager) dropForeign(ctx context.Context) {
+// dropReplaced drops partitions from the local store that moved to other stores while it was away.
+func (m *Manager) dropReplaced(ctx context.Context) {
 	if m.local == nil {
 		return
 	}
@@ -95,8 +97,9 @@
 
 func (m *Manager) loadOrForm(ctx context.Context, mayForm bool) error {
 	if m.neverOwns() {
-		// This node owns nothing, and those with a store know all that it needs: the key-value service is spared the call.
-		if m.askPeers(ctx); m.directory.complete() || clock.Since(m.started) < peersFirst {
+		// This node owns no partitions, and the nodes with a store know all that it needs: avoid a call to the key-value
+		// service.
+		if m.askPeers(ctx); m.directory.complete() || clock.Since(m.started) < peersOnlyPeriod {
 			return nil
 		}
 	}
@@ -122,7 +125,7 @@
 	return m.directory.createEnsembles(ctx, missing)
 }
 
-// compareStores orders nodes with a store before the others.
+// compareStores is a comparison function that orders nodes with a store before the others.
 func compareStores(a, b bool) int {
 	switch {
 	case a == b:
@@ -134,13 +137,13 @@
 	}
 }
 
-// askPeers copies what other nodes know, those with a store first.
+// askPeers learns the directory from other nodes, those with a store first.
 func (m *Manager) askPeers(ctx context.Context) {
 	peers := m.viewer.View().Live()
 	slices.SortStableFunc(peers, func(a, b membership.Member) int { return compareStores(a.Store, b.Store) })
 	asked := 0
 	for _, member := range peers {
-		if member.ID == m.self || asked == askedPeers {
+		if member.ID == m.self || asked == maxAskedPeers {
 			continue
 		}
 		asked++
@@ -151,8 +154,8 @@
 	}
 }
 
-// askPeer takes in the ensembles that a member knows. One that does not answer is passed over: others are asked, and all again in the next
-// round.
+// askPeer learns the head and the ensembles that a member knows. A member that does not answer is skipped: others are
+// asked, and all of them again in the next round.
 func (m *Manager) askPeer(ctx context.Context, member membership.Member) {
 	ctx, cancel := context.WithTimeout(ctx, m.timing.Request)
 	defer cancel()
--- a/internal/ledger/formation_test.go
+++ b/internal/ledger/formation_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestNodeWithoutStoreAsksItsPeers: it owns nothing, so that what it needs to know costs the key-value service no call.
+// TestNodeWithoutStoreAsksItsPeers checks that a node without a store, which owns nothing, learns the ensembles from its
+// peers and makes no call to the key-value service.
 func TestNodeWithoutStoreAsksItsPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 26)
--- a/internal/ledger/fx.go
+++ b/internal/ledger/fx.go
@@ -19,7 +19,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Module provides *Disk, *Manager, Locator and Homes. It needs a Factory, which must not need a Locator.
+// Module provides *Disk, *Manager, Locator and Homes. It requires a Factory, which must not depend on a Locator.
 var Module = fx.Module("ledger",
 	fx.Provide(
 		NewDisk,
@@ -33,7 +33,7 @@
 // Disk is the node's store; Store is nil on a node without a data folder.
 type Disk struct{ Store *store.Store }
 
-// Incarnation names what is on the disk; it is empty on a node without a data folder.
+// Incarnation returns the ID of the disk's content, or an empty string on a node without a data folder.
 func (d *Disk) Incarnation() string {
 	if d.Store == nil {
 		return ""
@@ -41,8 +41,8 @@
 	return string(d.Store.ID())
 }
 
-// NewDisk opens the store below the data folder, so that its incarnation is known before the
-// node tells others of itself.
+// NewDisk opens the store below the data folder. It is separate from the Manager so that the store's incarnation is
+// known before the node announces itself to others.
 func NewDisk(lifecycle fx.Lifecycle, node settings.Settings, logger zerolog.Logger) (*Disk, error) {
 	if node.DataFolder == "" {
 		return &Disk{}, nil
--- a/internal/ledger/gather.go
+++ b/internal/ledger/gather.go
@@ -6,10 +6,12 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// gathering says that this node, which has just started, does not see all members of a partition's ensemble alive yet. After a loss of all
-// power each node sees itself only at first, prefers itself for all partitions, and gets neither an answer nor an error from members that are not up:
-// the attempt would last as long as an answer is waited for, and the next one would take the partition from whoever owns it then.
-func (m *Manager) gathering(partition PartitionID, view *membership.View, now time.Time) bool {
+// awaitingMembers reports whether this node has started within the last Timing.Gather and does not yet see all full
+// members of the partition's ensemble alive. After a power loss of the whole cluster, each node at first sees only
+// itself and prefers itself for all partitions, and gets neither an answer nor an error from members that are not up.
+// An attempt would then last until its requests time out, and the next one would take the partition from the node that
+// owns it by then.
+func (m *Manager) awaitingMembers(partition PartitionID, view *membership.View, now time.Time) bool {
 	if now.Sub(m.started) >= m.timing.Gather {
 		return false
 	}
--- a/internal/ledger/gather_test.go
+++ b/internal/ledger/gather_test.go
@@ -11,18 +11,16 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// Symptom: after a loss of all power the nodes were up within 0.5 s, yet partitions got their owners 0.3 to 2.1 s later, some twice.
-//
-// Sequence: the nodes start one after the other, and each sees itself only, so that it prefers itself for all partitions. What it sends to
-// members that are not up is lost without a word, and the attempt lasts as long as such a message is waited for, 1 s, also where the member
-// is up 0.1 s later. Meanwhile the preferred owner does not try again, and its next attempt takes the partition from whoever got it.
-//
-// Cause: a node judged whom to prefer, and began, before it could see who else is there.
-//
-// What settled it: `ownership_ended cause=timeout lasted=1001` from 5 of 11 nodes for all partitions at the same moment, 1 s after their
-// start, and `partition_lost cause=outranked` of those that served by then.
+// After a power loss of the whole cluster, the nodes were up within 0.5 s, but partitions got their owners only 0.3 to
+// 2.1 s later, some of them twice: a node chose the preferred owner and started its attempt before it could see the other
+// nodes. Each node saw only itself and preferred itself for all partitions. Its requests to members that were not up got
+// no answer and no error, so the attempt lasted for the request timeout of 1 s, even if the member was up 0.1 s later.
+// The preferred owner did not try again meanwhile, and its next attempt took the partition from the node that had got it.
+// The log showed `ownership_ended cause=timeout lasted=1001` from 5 of 11 nodes for all partitions at once, 1 s after
+// their start, and `partition_lost cause=outranked` from those that were serving by then.
 
-// TestRestartOfAllWaitsForTheMembers: of nodes that start one after the other, and see each other late, none tries in vain.
+// TestRestartOfAllWaitsForTheMembers checks that no attempt fails if nodes start one after the other and see each other
+// late.
 func TestRestartOfAllWaitsForTheMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 11)
@@ -34,7 +32,7 @@
 			c.stop(node)
 		}
 		before := c.log.size()
-		c.view.setApart(true)
+		c.view.isolateAll(true)
 		up := map[netip.AddrPort]bool{}
 		for _, node := range c.nodes {
 			up[node.address] = true
@@ -48,7 +46,7 @@
 			c.start(node)
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.view.setApart(false)
+		c.view.isolateAll(false)
 		began := time.Now()
 		for partition := range acknowledged {
 			acknowledged[partition] = append(acknowledged[partition], c.put(PartitionID(partition), "b"))
@@ -66,7 +64,7 @@
 	})
 }
 
-// TestGatheringEnds: a member that does not come back is not waited for longer than that.
+// TestGatheringEnds checks that a node waits for a member that does not come back for Timing.Gather at most.
 func TestGatheringEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 12)
@@ -76,7 +74,7 @@
 		for _, node := range c.nodes {
 			c.stop(node)
 		}
-		lost := c.owner0Member(t)
+		lost := c.memberOfPartition0(t)
 		c.view.change(lost.id, func(member *membership.Member) { member.State = membership.Dead })
 		for _, node := range c.nodes {
 			if node != lost {
@@ -92,8 +90,8 @@
 	})
 }
 
-// owner0Member returns a node whose store is a member of the ensemble of partition 0.
-func (c *cluster) owner0Member(t *testing.T) *testNode {
+// memberOfPartition0 returns a node whose store is a member of the ensemble of partition 0.
+func (c *cluster) memberOfPartition0(t *testing.T) *testNode {
 	t.Helper()
 	for _, node := range c.nodes {
 		ensemble, known := node.manager.directory.ensemble(0)
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -19,13 +19,13 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// history records what clients did and were told.
+// history records the operations of clients and their results.
 type history struct {
 	mutex      sync.Mutex
 	operations []porcupine.Operation
 	notRun     []string
 	unknown    int
-	// last is the list at the end.
+	// last is the final list.
 	last string
 }
 
@@ -46,8 +46,8 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " -> ", output) },
 }
 
-// putAndList appends value and returns the list as it is then. It waits until the append is acknowledged or the
-// ownership ends, so that its copy of the list is never in doubt while it serves.
+// putAndList appends value and returns the resulting list. It waits until the append is acknowledged or the ownership
+// ends, so that the register's copy of the list is exact while it serves.
 func (r *register) putAndList(ctx context.Context, value string) (string, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -60,7 +60,7 @@
 	return " " + strings.Join(r.values, " "), nil
 }
 
-// client appends values wherever a node seems to own the partition, until stop is closed.
+// client appends values at nodes that seem to own the partition, until stop is closed.
 func (h *history) client(c *cluster, id int, random *rand.Rand, nodes []*testNode, stop <-chan struct{}) {
 	for number := 0; ; number++ {
 		select {
@@ -87,7 +87,9 @@
 func (h *history) record(id int, value string, called time.Time, list string, err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	operation := porcupine.Operation{ClientId: id, Input: value, Call: called.UnixNano(), Return: time.Now().UnixNano(), Output: appendResult{known: true, list: list}}
+	operation := porcupine.Operation{
+		ClientId: id, Input: value, Call: called.UnixNano(), Return: time.Now().UnixNano(), Output: appendResult{known: true, list: list},
+	}
 	if err != nil {
 		if outcome.Of(err) == outcome.NotRun {
 			h.notRun = append(h.notRun, value)
@@ -99,9 +101,9 @@
 	h.operations = append(h.operations, operation)
 }
 
-// disturb makes one fault after another until stop is closed, and ends each.
-func disturb(c *cluster, random *rand.Rand, nodes []*testNode, stop <-chan struct{}) {
-	pause := func(most time.Duration) { time.Sleep(time.Duration(random.Int64N(int64(most)))) }
+// injectFaults injects one fault after another until stop is closed. Each fault is ended before the next.
+func injectFaults(c *cluster, random *rand.Rand, nodes []*testNode, stop <-chan struct{}) {
+	pause := func(limit time.Duration) { time.Sleep(time.Duration(random.Int64N(int64(limit)))) }
 	for {
 		select {
 		case <-stop:
@@ -114,13 +116,13 @@
 		switch random.IntN(6) {
 		case 0:
 			c.loseDisk(node)
-			c.waitWhole()
+			c.waitForFullEnsemble()
 		case 1:
 			c.loseDisk(node)
 			if other != node {
 				c.loseDisk(other)
 			}
-			c.waitWhole()
+			c.waitForFullEnsemble()
 		case 2:
 			c.network.Pause(node.address)
 			c.view.change(node.id, func(member *membership.Member) { member.State = membership.Dead })
@@ -138,19 +140,20 @@
 				return memory.Conditions{Delay: linkDelay, Loss: 0.2, Jitter: 50 * time.Millisecond}
 			})
 			pause(5 * time.Second)
-			c.network.SetConditions(calm)
+			c.network.SetConditions(normalConditions)
 		case 5:
 			c.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
 				return memory.Conditions{Delay: linkDelay, Cut: from == node.address || to == node.address}
 			})
 			pause(5 * time.Second)
-			c.network.SetConditions(calm)
+			c.network.SetConditions(normalConditions)
 		}
 	}
 }
 
-// waitWhole waits until the ensemble has four full members again, so that no more than two disks are lost together.
-func (c *cluster) waitWhole() {
+// waitForFullEnsemble waits until the ensemble has four full members again, so that no more than two disks are lost at
+// once. It gives up after a minute.
+func (c *cluster) waitForFullEnsemble() {
 	for range 1200 {
 		ensemble, _ := c.nodes[0].manager.directory.ensemble(0)
 		for _, node := range c.nodes {
@@ -200,7 +203,7 @@
 	for id := range 3 {
 		running.Go(func() { recorded.client(c, id, rand.New(rand.NewPCG(seed, uint64(id))), nodes, stop) })
 	}
-	running.Go(func() { disturb(c, rand.New(rand.NewPCG(seed, 100)), nodes, stop) })
+	running.Go(func() { injectFaults(c, rand.New(rand.NewPCG(seed, 100)), nodes, stop) })
 	time.Sleep(30 * time.Second)
 	close(stop)
 	running.Wait()
@@ -217,7 +220,7 @@
 	return recorded
 }
 
-// check asks porcupine whether the history is linearizable, and whether what was refused as not run stayed out.
+// check checks with porcupine that the history is linearizable, and that values refused as not run are not in the log.
 func (h *history) check(t *testing.T) {
 	t.Logf("%d operations, %d of unknown outcome, %d not run", len(h.operations), h.unknown, len(h.notRun))
 	if result, _ := porcupine.CheckOperationsVerbose(listModel, h.operations, time.Minute); result != porcupine.Ok {
--- a/internal/ledger/locator.go
+++ b/internal/ledger/locator.go
@@ -14,14 +14,14 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// hintAge is how old a hint may be before it is checked again in the background, doubtfulHintAge where it names a
-// node that is not known to be alive.
 const (
-	hintAge         = time.Second
-	doubtfulHintAge = 100 * time.Millisecond
+	// maxHintAge is the age at which a hint is checked again in the background.
+	maxHintAge = time.Second
+	// maxUncertainHintAge is the same for a hint that names a node that is not known to be alive.
+	maxUncertainHintAge = 100 * time.Millisecond
 )
 
-// ownerHints holds which nodes were last heard to own partitions. It is safe for concurrent use.
+// ownerHints holds the last known owner of each partition. It is safe for concurrent use.
 type ownerHints struct {
 	mutex sync.Mutex
 	hints map[PartitionID]ownerHint
@@ -29,7 +29,7 @@
 
 type ownerHint struct {
 	node membership.NodeID
-	// checked is when a check was last begun.
+	// checked is when the last check started.
 	checked time.Time
 }
 
@@ -50,7 +50,7 @@
 	h.hints[partition] = hint
 }
 
-// checkDue tells whether the hint is old, and if so notes that a check begins.
+// checkDue reports whether the hint is at least as old as age, and if so records that a check starts.
 func (h *ownerHints) checkDue(partition PartitionID, now time.Time, age time.Duration) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -63,7 +63,7 @@
 	return true
 }
 
-// Partitions returns the fixed number of partitions; before it is known, the setting.
+// Partitions returns the fixed number of partitions, or the configured number while that is unknown.
 func (m *Manager) Partitions() int {
 	if fixed, known := m.directory.fixed(); known {
 		return fixed.partitions
@@ -71,13 +71,13 @@
 	return m.settings.Partitions
 }
 
-// PartitionOf hashes key to its partition.
+// PartitionOf returns the partition that key hashes to.
 func (m *Manager) PartitionOf(key string) PartitionID {
 	return PartitionID(xxhash.Sum64String(key) % uint64(m.Partitions()))
 }
 
-// Owner returns the peer address of this node where it serves the partition, else of the last known owner,
-// else of the preferred one.
+// Owner returns the peer address of this node if it serves the partition, otherwise of the last known owner,
+// otherwise of the preferred one.
 func (m *Manager) Owner(partition PartitionID) (string, bool) {
 	view := m.viewer.View()
 	if ownership, present := m.ownership(partition); present && ownership.serving.Load() {
@@ -86,9 +86,9 @@
 		}
 	}
 	node, known := m.hints.get(partition)
-	age := hintAge
+	age := maxHintAge
 	if member, found := view.Find(node); found && member.State != membership.Alive {
-		age = doubtfulHintAge
+		age = maxUncertainHintAge
 	}
 	if m.hints.checkDue(partition, clock.Now(), age) {
 		m.refresh(partition)
@@ -104,7 +104,8 @@
 	return "", false
 }
 
-// refresh asks the hinted and the preferred owner, in the background, and failing those the stores.
+// refresh updates the hint in the background: it asks the hinted and the preferred owner, and the stores if neither owns
+// the partition.
 func (m *Manager) refresh(partition PartitionID) {
 	m.background(func() {
 		ctx, cancel := context.WithTimeout(m.ctx, m.timing.Request)
@@ -113,8 +114,8 @@
 	})
 }
 
-// findOwner returns the node that says it owns the partition, or to which its stores are promised; empty
-// where neither is known.
+// findOwner returns the node that answers that it owns the partition, otherwise the node with the highest promise of
+// its stores; empty if neither is known.
 func (m *Manager) findOwner(ctx context.Context, partition PartitionID) membership.NodeID {
 	view := m.viewer.View()
 	var candidates []membership.NodeID
@@ -130,8 +131,8 @@
 	return m.promisedOwner(ctx, partition)
 }
 
-// promisedOwner returns the node to which the stores of a partition's newest ensemble are promised; empty where none is known. Each store knows of
-// newer ensembles than its own, and the key-value service may be away.
+// promisedOwner returns the node with the highest promise of the stores of a partition's newest ensemble; empty if none
+// is known. It follows newer ensembles that the stores report, so it works while the key-value service is down.
 func (m *Manager) promisedOwner(ctx context.Context, partition PartitionID) membership.NodeID {
 	for ctx.Err() == nil {
 		ensemble, known := m.directory.ensemble(partition)
@@ -147,8 +148,9 @@
 	return ""
 }
 
-// firstOwner asks all candidates at once and returns the first that says it owns the partition; empty where none does
-// soon. One that does not answer soon may be paused, and its partition taken by another.
+// firstOwner asks all candidates in parallel and returns the first that answers that it owns the partition; empty if
+// none does within Timing.Backoff. A candidate that does not answer by then may be paused, and its partition taken by
+// another node.
 func (m *Manager) firstOwner(ctx context.Context, view *membership.View, partition PartitionID, candidates []membership.NodeID) membership.NodeID {
 	ctx, cancel := context.WithTimeout(ctx, m.timing.Backoff)
 	defer cancel()
@@ -183,22 +185,23 @@
 	return ""
 }
 
-// PartitionStatus is what this node can say of a partition.
+// PartitionStatus is the state of a partition as known to this node.
 type PartitionStatus struct {
 	Partition PartitionID
 	Ensemble  protocol.Ensemble
 	// WantedReplicas is the configured number of stores; with fewer, fewer lost disks are survived.
 	WantedReplicas int
+	// LossesSurvived is the number of disks that may be lost at once without losing acknowledged records.
 	LossesSurvived int
-	// Serving says that this node owns the partition; the fields below are set only then.
+	// Serving is set if this node owns the partition; the fields below are set only then.
 	Serving   bool
 	Committed Position
 	Holdings  []protocol.Holding
-	// StorageFull says that too few stores have room for new records.
+	// StorageFull is set if too few stores have disk space for new records.
 	StorageFull bool
 }
 
-// Degraded tells whether the partition has fewer full members than wanted.
+// Degraded reports whether the partition has fewer full members than wanted.
 func (s PartitionStatus) Degraded() bool { return s.Ensemble.FullMembers() < s.WantedReplicas }
 
 // Status returns the state of all partitions whose ensembles this node knows.
--- a/internal/ledger/maintenance.go
+++ b/internal/ledger/maintenance.go
@@ -11,13 +11,13 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// silentFor is for how long a store that left an ensemble for want of answers comes into it again only where there is no other: longer than
-// most cuts and restarts last.
-const silentFor = 30 * time.Second
+// removedStoreCooldown is how long a store that was removed from an ensemble because it did not respond is added to it
+// again only if there is no other. It exceeds the duration of most network partitions and restarts.
+const removedStoreCooldown = 30 * time.Second
 
-// maintain changes the partition's ensemble where a member's disk is gone or a member is missing. It
-// runs on the control goroutine of the owner, or of a node that is becoming it; between several decides the compare-and-swap of
-// the key-value service, or the members where the settings say so.
+// maintain changes the partition's ensemble if a member's disk is lost or the ensemble has too few members. It runs on
+// the control goroutine of the owner, or of a node that is becoming the owner. Conflicts between several such nodes are
+// resolved by compare-and-swap in the key-value service, or by the members if the setting MembersDecide is on.
 func (m *Manager) maintain(partition PartitionID, control *partitionControl, view *membership.View, now time.Time) {
 	ensemble, known := m.directory.ensemble(partition)
 	if !known {
@@ -44,7 +44,7 @@
 	}
 }
 
-// promotion returns the ensemble with a member that has caught up made a full one.
+// promotion returns the ensemble in which a joining member that has caught up is a full one, if there is one.
 func promotion(ensemble protocol.Ensemble, ownership *ownership) (protocol.Ensemble, bool) {
 	if ownership == nil || ownership.view.Load().ensemble.Version != ensemble.Version {
 		return protocol.Ensemble{}, false
@@ -63,10 +63,10 @@
 	if control.ownership == nil {
 		return protocol.Ensemble{}, false
 	}
-	control.noteFormer(ensemble, now)
+	control.trackRemoved(ensemble, now)
 	spare, found := m.spareStore(view, ensemble, control)
 	for _, member := range ensemble.Members {
-		if !m.lostFor(member, control, view, now) || !found {
+		if !m.replacementDue(member, control, view, now) || !found {
 			continue
 		}
 		if next, allowed := ensemble.Replace(member.Store, memberOf(m.spareFor(view, ensemble, member, spare))); allowed {
@@ -79,9 +79,9 @@
 	return protocol.Ensemble{}, false
 }
 
-// lostFor tells whether the member's disk is to be replaced: at once where its node retires or lives with another store,
-// after a while where the node is gone or its store does not answer the owner.
-func (m *Manager) lostFor(member protocol.Member, control *partitionControl, view *membership.View, now time.Time) bool {
+// replacementDue reports whether the member is to be replaced: at once if its node is retiring or is alive with another
+// store, and after Timing.Replace if the node is gone or its store does not respond to the owner.
+func (m *Manager) replacementDue(member protocol.Member, control *partitionControl, view *membership.View, now time.Time) bool {
 	if m.isRetiring(membership.NodeID(member.Node)) {
 		return true
 	}
@@ -90,19 +90,19 @@
 	if alive && node.StoreIncarnation != "" && node.StoreIncarnation != string(member.Store) {
 		return true
 	}
-	if alive && control.ownership.answers(member.Store) {
-		delete(control.unwell, member.Store)
+	if alive && control.ownership.responds(member.Store) {
+		delete(control.missingSince, member.Store)
 		return false
 	}
-	since, noted := control.unwell[member.Store]
+	since, noted := control.missingSince[member.Store]
 	if !noted {
-		control.unwell[member.Store] = now
+		control.missingSince[member.Store] = now
 		return false
 	}
 	return now.Sub(since) >= m.timing.Replace
 }
 
-// spareStore returns the best live store that is not a member, from a zone with few members.
+// spareStore returns the best live store that is not a member, preferring zones with few members.
 func (m *Manager) spareStore(view *membership.View, ensemble protocol.Ensemble, control *partitionControl) (membership.Member, bool) {
 	taken := map[string]int{}
 	nodes := map[string]bool{}
@@ -119,36 +119,37 @@
 			candidates = append(candidates, candidate)
 		}
 	}
-	chosen := chooseStores(control.likelyToAnswer(candidates), ensemble.Partition, 1, taken)
+	chosen := chooseStores(control.likelyToRespond(candidates), ensemble.Partition, 1, taken)
 	if len(chosen) == 0 {
 		return membership.Member{}, false
 	}
 	return chosen[0], true
 }
 
-// noteFormer notes which stores left the ensemble for want of answers, and forgets it of those that left long ago.
-func (c *partitionControl) noteFormer(ensemble protocol.Ensemble, now time.Time) {
-	for store := range c.unwell {
+// trackRemoved records the stores that were removed from the ensemble because they did not respond, and forgets those
+// removed longer than removedStoreCooldown ago.
+func (c *partitionControl) trackRemoved(ensemble protocol.Ensemble, now time.Time) {
+	for store := range c.missingSince {
 		if _, member := ensemble.Find(store); !member {
-			delete(c.unwell, store)
-			c.silent[store] = now
+			delete(c.missingSince, store)
+			c.removedAt[store] = now
 		}
 	}
-	for store, left := range c.silent {
-		if now.Sub(left) > silentFor {
-			delete(c.silent, store)
+	for store, left := range c.removedAt {
+		if now.Sub(left) > removedStoreCooldown {
+			delete(c.removedAt, store)
 		}
 	}
 }
 
-// likelyToAnswer returns the candidates but for those that are suspected to be dead, or left the ensemble a short while ago for want of answers;
-// all where no others are. With a zone that is cut off its stores would else come in for one another, and the partition would be short of members
-// for as long.
-func (c *partitionControl) likelyToAnswer(candidates []membership.Member) []membership.Member {
+// likelyToRespond returns the candidates without those that are suspected to be dead or were recently removed from the
+// ensemble because they did not respond; all candidates if no others remain. Otherwise, while a zone is cut off, its
+// stores would replace one another in turn, and the partition would lack members for as long.
+func (c *partitionControl) likelyToRespond(candidates []membership.Member) []membership.Member {
 	var likely []membership.Member
 	for _, candidate := range candidates {
-		_, silent := c.silent[protocol.StoreID(candidate.StoreIncarnation)]
-		if !silent && candidate.State == membership.Alive {
+		_, removed := c.removedAt[protocol.StoreID(candidate.StoreIncarnation)]
+		if !removed && candidate.State == membership.Alive {
 			likely = append(likely, candidate)
 		}
 	}
@@ -158,7 +159,7 @@
 	return likely
 }
 
-// spareFor prefers the lost member's own node with its new disk to the spare.
+// spareFor returns the replacement for a lost member: the member's own node if it has a new disk, otherwise the spare.
 func (m *Manager) spareFor(view *membership.View, ensemble protocol.Ensemble, lost protocol.Member, spare membership.Member) membership.Member {
 	for _, candidate := range m.storesFor(ensemble.Partition, view) {
 		_, present := ensemble.Find(protocol.StoreID(candidate.StoreIncarnation))
@@ -169,7 +170,7 @@
 	return spare
 }
 
-// changeEnsemble makes the change in the key-value service. The next check makes the owner
+// changeEnsemble writes the change to the key-value service. The next check makes the owner
 // prepare again under the new version.
 func (m *Manager) changeEnsemble(partition PartitionID, control *partitionControl, next protocol.Ensemble) {
 	control.changing = true
@@ -184,8 +185,8 @@
 		func() {
 			control.changing = false
 			if !changed {
-				// The service may be down, or another node may have been first. Until the change is made a further lost disk may
-				// be one too many, so the wait is short.
+				// The service may be down, or another node's change came first. Until the change is made, the loss of
+				// another disk may lose records, so the delay is short.
 				control.nextChange = clock.Now().Add(m.timing.ChangeRetry/2 + rand.N(m.timing.ChangeRetry))
 			}
 			event := m.logger.Info()
--- a/internal/ledger/manager.go
+++ b/internal/ledger/manager.go
@@ -23,20 +23,20 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// ownerSeparator stands between the node's id and the attempt's name in a ballot's owner.
+// ownerSeparator separates the node's ID from the attempt's unique suffix in a ballot's owner.
 const ownerSeparator = "#"
 
-// newOwnerName names one attempt to own a partition. No two attempts share a name, so that no two ballots are
-// the same, whatever numbers they come by.
+// newOwnerName returns a name for one attempt to own a partition. Names are unique, so that no two attempts use the
+// same ballot even if they choose the same number.
 func newOwnerName(node membership.NodeID) string {
 	return string(node) + ownerSeparator + ulid.Make().String()
 }
 
-// handoverTimeout bounds the wait for the appends of one partition at a planned stop; without a quorum they don't end.
+// handoverTimeout bounds the wait for appends in progress at a planned stop; without a quorum they would not end.
 const handoverTimeout = 10 * time.Second
 
-// Manager decides which partitions this node tries to own and keeps their ensembles whole. Safety
-// rests on ballots alone; what the Manager believes only decides when to try.
+// Manager decides which partitions this node tries to own and repairs their ensembles. Safety depends on
+// ballots alone; the Manager's knowledge, which may be out of date, only determines when it tries.
 type Manager struct {
 	self     membership.NodeID
 	settings settings.Ledger
@@ -56,30 +56,31 @@
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 
-	// topology says where zones lie, zone where this node stands; confined holds the keys whose records are confined to regions, refusedWithin
-	// counts the records that had no place there.
-	topology      region.Topology
-	zone          string
-	confined      confinedKeys
-	refusedWithin atomic.Int64
+	// topology maps zones to regions; zone is this node's.
+	topology region.Topology
+	zone     string
+	// confined holds the keys whose records are confined to regions.
+	confined confinedKeys
+	// unplacedRequests counts the requests for a partition within regions that had none.
+	unplacedRequests atomic.Int64
 
-	// retiring holds the nodes that are to be emptied.
+	// retiring holds the nodes that are being retired; see SetRetiring.
 	retiring atomic.Pointer[map[membership.NodeID]bool]
 
 	// started is set by Start. leaving is set by Handover and stays set.
 	started time.Time
 	leaving atomic.Bool
-	// loading, stale, nextLoad, settingsReported and partitions belong to the control goroutine. stale says that an
-	// ensemble seems outdated; settingsReported, that the settings have been compared with the ledger's head.
-	loading          bool
-	stale            bool
-	nextLoad         time.Time
-	settingsReported bool
-	partitions       map[PartitionID]*partitionControl
-	// upkeep belongs to the control goroutine as well.
-	upkeep confinedUpkeep
-
-	// owned holds the present ownerships for readers on other goroutines; mutex guards it and the end of ctx.
+	// The fields from loading to upkeep belong to the control goroutine.
+	loading bool
+	// stale is set if an ensemble of the directory seems out of date.
+	stale    bool
+	nextLoad time.Time
+	// settingsReported is set once the settings have been compared with the ledger's head.
+	settingsReported  bool
+	partitions        map[PartitionID]*partitionControl
+	confinedFormation confinedFormation
+
+	// owned holds the current ownerships for readers on other goroutines; mutex guards it and the end of ctx.
 	mutex sync.RWMutex
 	owned map[PartitionID]*ownership
 	hints *ownerHints
@@ -87,26 +88,28 @@
 
 // partitionControl is the control goroutine's state of one partition.
 type partitionControl struct {
-	trying    bool
-	ownership *ownership
-	number    uint64
-	backoff   time.Duration
-	nextTry   time.Time
-	changing  bool
-	// nextChange is when the ensemble may be changed again after a change that failed.
+	attempting   bool
+	ownership    *ownership
+	ballotNumber uint64
+	backoff      time.Duration
+	nextTry      time.Time
+	changing     bool
+	// nextChange is when the ensemble may be changed again after a failed change.
 	nextChange time.Time
-	// publishing says that the key-value service is being told of the ensemble; nextPublish is when it may be told again.
+	// publishing is set while the ensemble is written to the key-value service; nextPublish is the earliest time
+	// of the next write.
 	publishing  bool
 	nextPublish time.Time
-	// overdue says that the owner has been silent for too long; declined is when an owner last declined to let go.
+	// overdue is set if the owner has been silent for too long; declined is when an owner last declined a release.
 	overdue  bool
 	declined time.Time
-	// unwell is since when a member of the ensemble has been seen as gone, silent when a former one left that was.
-	unwell map[protocol.StoreID]time.Time
-	silent map[protocol.StoreID]time.Time
+	// missingSince is when a member of the ensemble was first seen as gone or not responding.
+	missingSince map[protocol.StoreID]time.Time
+	// removedAt is when a store that was missing was removed from the ensemble.
+	removedAt map[protocol.StoreID]time.Time
 }
 
-// Dependencies of a Manager. Local is nil on a node without a data folder.
+// Dependencies are the dependencies of a Manager. Local is nil on a node without a data folder.
 type Dependencies struct {
 	Settings settings.Settings
 	Timing   Timing
@@ -119,7 +122,7 @@
 	Factory  Factory
 }
 
-// NewManager registers the ledger's handlers; nothing runs before Start.
+// NewManager creates a Manager and registers the ledger's handlers; nothing runs before Start.
 func NewManager(dependencies Dependencies) *Manager {
 	manager := &Manager{
 		self:     membership.NodeID(dependencies.Settings.Node),
@@ -131,7 +134,7 @@
 		events:    make(chan func()), partitions: map[PartitionID]*partitionControl{},
 		owned: map[PartitionID]*ownership{}, hints: newOwnerHints(),
 		topology: dependencies.Settings.Topology(), zone: dependencies.Settings.Zone,
-		upkeep: confinedUpkeep{since: map[PartitionID]time.Time{}, reported: map[PartitionID]bool{}},
+		confinedFormation: confinedFormation{since: map[PartitionID]time.Time{}, reported: map[PartitionID]bool{}},
 	}
 	manager.ctx, manager.cancel = context.WithCancel(context.Background())
 	registerStore(dependencies.Registry, dependencies.Local)
@@ -139,13 +142,13 @@
 	return manager
 }
 
-// Start begins to look for partitions to own. It does not wait for anything.
+// Start starts the control goroutine. It does not block.
 func (m *Manager) Start() {
 	m.started = clock.Now()
 	m.tasks.Go(m.run)
 }
 
-// Stop ends all ownerships at once and returns when they have ended.
+// Stop ends all ownerships, without a handover, and returns when they have ended.
 func (m *Manager) Stop() {
 	m.mutex.Lock()
 	m.cancel()
@@ -153,7 +156,7 @@
 	m.tasks.Wait()
 }
 
-// background runs task on its own goroutine, which Stop waits for; after Stop it does nothing.
+// background runs task on its own goroutine, for which Stop waits; after Stop it does nothing.
 func (m *Manager) background(task func()) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -184,7 +187,7 @@
 	}
 }
 
-// post runs event on the control goroutine, soon; it is dropped after Stop.
+// post queues event for the control goroutine; it is dropped after Stop.
 func (m *Manager) post(event func()) {
 	select {
 	case m.events <- event:
@@ -192,7 +195,7 @@
 	}
 }
 
-// start runs task on its own goroutine and then done on the control goroutine.
+// start runs task on its own goroutine, and afterwards done on the control goroutine.
 func (m *Manager) start(task func(), done func()) {
 	m.background(func() {
 		task()
@@ -200,7 +203,8 @@
 	})
 }
 
-// check starts what is due. It runs on the control goroutine.
+// check starts the work that is due: loading the directory, forming confined partitions, attempts to own partitions and
+// changes of ensembles. It runs on the control goroutine.
 func (m *Manager) check(now time.Time) {
 	if m.stale || !m.directory.complete() {
 		m.loadDirectory(now)
@@ -210,7 +214,7 @@
 		return
 	}
 	view := m.viewer.View()
-	m.keepConfined(view, now)
+	m.formConfined(view, now)
 	if m.neverOwns() {
 		return
 	}
@@ -222,46 +226,46 @@
 	}
 }
 
-// checkPartition starts what is due for one partition. It runs on the control goroutine.
+// checkPartition starts the work that is due for one partition. It runs on the control goroutine.
 func (m *Manager) checkPartition(partition PartitionID, view *membership.View, now time.Time) {
 	control := m.control(partition)
 	preferred, ok := preferredOwner(view, partition, m.ownersOf(partition))
-	mine := ok && preferred.ID == m.self
-	control.overdue = !mine && m.ownerSilent(partition, control, now)
-	if (mine || control.overdue) && !control.trying && !now.Before(control.nextTry) && !m.gathering(partition, view, now) {
-		m.try(partition, control)
+	preferredHere := ok && preferred.ID == m.self
+	control.overdue = !preferredHere && m.ownerSilent(partition, control, now)
+	if (preferredHere || control.overdue) && !control.attempting && !now.Before(control.nextTry) && !m.awaitingMembers(partition, view, now) {
+		m.startAttempt(partition, control)
 	}
 	if control.ownership != nil {
 		m.maintain(partition, control, view, now)
 	}
 }
 
-// neverOwns says that this node has no store and only nodes with one own partitions.
+// neverOwns reports whether this node has no store and only nodes with a store may own partitions.
 func (m *Manager) neverOwns() bool { return m.local == nil && m.settings.OwnersOnStores }
 
 func (m *Manager) control(partition PartitionID) *partitionControl {
 	control, present := m.partitions[partition]
 	if !present {
-		control = &partitionControl{unwell: map[protocol.StoreID]time.Time{}, silent: map[protocol.StoreID]time.Time{}}
+		control = &partitionControl{missingSince: map[protocol.StoreID]time.Time{}, removedAt: map[protocol.StoreID]time.Time{}}
 		m.partitions[partition] = control
 	}
 	return control
 }
 
-// try starts an attempt to own partition, which lasts until the ownership is lost.
-func (m *Manager) try(partition PartitionID, control *partitionControl) {
+// startAttempt starts an attempt to own partition, which lasts until the ownership is lost.
+func (m *Manager) startAttempt(partition PartitionID, control *partitionControl) {
 	ensemble, known := m.directory.ensemble(partition)
 	if !known {
 		return
 	}
-	control.trying = true
+	control.attempting = true
 	began := clock.Now()
-	number, overdue := control.number, control.overdue
+	number, overdue := control.ballotNumber, control.overdue
 	var result attemptResult
 	m.start(
 		func() { result = m.attempt(partition, ensemble, number, overdue) },
 		func() {
-			control.trying = false
+			control.attempting = false
 			control.ownership = nil
 			if result.lost.Cause != protocol.LossDeclined {
 				m.logger.Info().Uint32(logging.FieldPartition, uint32(partition)).Bool("overdue", overdue).
@@ -270,7 +274,7 @@
 			if result.lost.Cause == protocol.LossDeclined {
 				control.declined = clock.Now()
 			}
-			control.number = max(control.number, result.number, result.lost.Higher.Number)
+			control.ballotNumber = max(control.ballotNumber, result.number, result.lost.Higher.Number)
 			m.directory.learn(result.lost.Ensemble)
 			m.stale = m.stale || result.lost.Cause == protocol.LossTimeout
 			control.backoff = m.nextBackoff(control.backoff, result, clock.Since(began))
@@ -278,8 +282,8 @@
 		})
 }
 
-// nextBackoff returns the wait before the next attempt: none after a change of ensemble, the shortest one after
-// an ownership that lasted, else twice the last.
+// nextBackoff returns the delay before the next attempt: zero after a change of ensemble, Timing.Backoff for the first
+// attempt or after one that lasted longer than Timing.MaxBackoff, otherwise twice the last delay.
 func (m *Manager) nextBackoff(last time.Duration, result attemptResult, lasted time.Duration) time.Duration {
 	switch {
 	case result.lost.Cause == protocol.LossEnsembleChanged || result.lost.Ensemble.Version > 0:
@@ -291,8 +295,8 @@
 	}
 }
 
-// Handover ends this node's ownerships, each after the appends in progress, and takes no more. It
-// returns once all have ended or ctx has.
+// Handover releases this node's ownerships, each after its appends in progress, and starts no new ones. It
+// returns once all have ended, or with an error if ctx or the handover timeout of 10 s ends first.
 func (m *Manager) Handover(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -328,7 +332,7 @@
 	m.owned[partition] = ownership
 }
 
-// ownerNode returns the node of a ballot's owner.
+// ownerNode returns the node part of a ballot's owner.
 func ownerNode(owner string) membership.NodeID {
 	node, _, _ := strings.Cut(owner, ownerSeparator)
 	return membership.NodeID(node)
--- a/internal/ledger/manager_test.go
+++ b/internal/ledger/manager_test.go
@@ -32,7 +32,7 @@
 		c.check(0, acknowledged)
 		c.start(owner)
 		c.eventually("the preferred owner takes over", func() bool {
-			preferred, _ := preferredOwner(viewerOf{c.view, owner.id}.View(), 0, func(*membership.Member) bool { return true })
+			preferred, _ := preferredOwner(nodeViewer{c.view, owner.id}.View(), 0, func(*membership.Member) bool { return true })
 			return c.owner(0).id == preferred.ID
 		})
 		c.check(0, acknowledged)
@@ -123,7 +123,7 @@
 		if other == owner {
 			other = c.nodes[1]
 		}
-		// As after a cut has healed: the messages pass, but the view is not yet right.
+		// As just after a network partition has healed: messages pass, but the view is still out of date.
 		c.view.isolate(other.id)
 		time.Sleep(2 * time.Second)
 		c.view.isolate("")
@@ -155,8 +155,8 @@
 	})
 }
 
-// A node that prepared again, lost the partition and takes it back must not come by a ballot that it has held: a read
-// quorum of promises need not show the number that it had reached.
+// A node that prepared again, lost the partition and takes it back must not reuse a ballot that it has held: a read
+// quorum of promises need not include the number that it had reached.
 func TestBallotsAreNeverReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 6)
@@ -209,7 +209,8 @@
 	})
 }
 
-// TestLocatorFindsTheOwnerWhereAllStoresThatItKnowsAreGone: the key-value service is away, and each member has lost its disk since the asking node read the ensembles.
+// TestLocatorFindsTheOwnerWhereAllStoresThatItKnowsAreGone: the key-value service is down, and each member has lost its
+// disk since the asking node read the ensembles.
 func TestLocatorFindsTheOwnerWhereAllStoresThatItKnowsAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const partitions = 6
--- a/internal/ledger/methods.go
+++ b/internal/ledger/methods.go
@@ -25,7 +25,8 @@
 	methodEnsembles   transport.Method = "ledger.ensembles"
 )
 
-// registerStore lets owners on other nodes reach the store; local may be nil.
+// registerStore registers the handlers by which owners on other nodes reach the local store. If local is nil, the
+// handlers answer that the node has no store.
 func registerStore(registrar transport.Registrar, local *store.Store) {
 	handleStore(registrar, methodSurvey, local, (*store.Store).Survey)
 	handleStore(registrar, methodPrepare, local, (*store.Store).Prepare)
@@ -37,7 +38,7 @@
 	handleStore(registrar, methodSnapshotGet, local, (*store.Store).SnapshotGet)
 }
 
-// message is a pointer to a generated message.
+// message constrains a type parameter to a pointer to a generated message.
 type message[T any] interface {
 	*T
 	transportMessage
@@ -59,7 +60,7 @@
 		})
 }
 
-// registerNode lets other nodes ask for owners, hand over and copy ensembles.
+// registerNode registers the handlers by which other nodes ask for owners, request releases and copy ensembles.
 func (m *Manager) registerNode(registrar transport.Registrar) {
 	transport.Handle(registrar, methodOwner, func() *ledgerpb.OwnerRequest { return &ledgerpb.OwnerRequest{} }, m.serveOwner)
 	transport.Handle(registrar, methodRelease, func() *ledgerpb.ReleaseRequest { return &ledgerpb.ReleaseRequest{} }, m.serveRelease)
--- a/internal/ledger/metrics.go
+++ b/internal/ledger/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics reads the ledger's state when it is scraped.
+// metrics is a prometheus.Collector that reads the ledger's state when it is scraped.
 type metrics struct {
 	manager    *Manager
 	partitions *prometheus.Desc
@@ -34,7 +34,7 @@
 	}
 }
 
-// Collect sends the present values.
+// Collect sends the current values.
 func (m *metrics) Collect(values chan<- prometheus.Metric) {
 	var owned, degraded, full float64
 	for _, status := range m.manager.Status() {
@@ -69,7 +69,7 @@
 	values <- prometheus.MustNewConstMetric(m.written, prometheus.CounterValue, float64(store.BytesWritten()))
 }
 
-// collectConfined sends the values of partitions that are confined to regions.
+// collectConfined sends the metrics of partitions that are confined to regions.
 func (m *metrics) collectConfined(values chan<- prometheus.Metric, gauge func(*prometheus.Desc, float64, ...string)) {
 	var all, notDurable float64
 	for _, partition := range m.manager.directory.confined() {
@@ -80,5 +80,5 @@
 	}
 	gauge(m.confined, all, "all")
 	gauge(m.confined, notDurable, "not_durable")
-	values <- prometheus.MustNewConstMetric(m.refused, prometheus.CounterValue, float64(m.manager.refusedWithin.Load()))
+	values <- prometheus.MustNewConstMetric(m.refused, prometheus.CounterValue, float64(m.manager.unplacedRequests.Load()))
 }
--- a/internal/ledger/owned.go
+++ b/internal/ledger/owned.go
@@ -9,16 +9,16 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// appendRequest is one Append on its way to a write quorum.
+// appendRequest is one Append in flight to a write quorum.
 type appendRequest struct {
 	records []Record
 	bytes   int
-	// reserved says that the records may use the stores' reserve.
+	// reserved is set if the records may use the stores' reserved disk space.
 	reserved bool
-	// first and last are set by run's goroutine when the records get their positions.
+	// first and last are set by run's goroutine when it assigns positions to the records.
 	first, last Position
-	since       time.Time
-	// done takes nil or the error, once.
+	proposedAt  time.Time
+	// done receives nil or the error, once.
 	done chan error
 }
 
@@ -38,17 +38,17 @@
 // Lost is closed when the ownership ends.
 func (o *ownership) Lost() <-chan struct{} { return o.lost }
 
-// Append is Owned.Append.
+// Append implements Owned.Append.
 func (o *ownership) Append(ctx context.Context, records []Record) (Position, error) {
 	return o.append(ctx, &appendRequest{records: records, done: make(chan error, 1)})
 }
 
-// AppendReserved is Owned.AppendReserved.
+// AppendReserved implements Owned.AppendReserved.
 func (o *ownership) AppendReserved(ctx context.Context, records []Record) (Position, error) {
 	return o.append(ctx, &appendRequest{records: records, reserved: true, done: make(chan error, 1)})
 }
 
-// HasRoom is Owned.HasRoom.
+// HasRoom implements Owned.HasRoom.
 func (o *ownership) HasRoom() bool { return o.view.Load().hasRoom }
 
 func (o *ownership) append(ctx context.Context, request *appendRequest) (Position, error) {
@@ -80,14 +80,14 @@
 	}
 }
 
-// propose gives the request its positions. It runs on run's goroutine.
+// propose assigns positions to the request's records and proposes them. It runs on run's goroutine.
 func (o *ownership) propose(request *appendRequest) []protocol.Action {
 	if !request.reserved && !o.owner.HasRoom() {
 		request.fail(outcome.New(outcome.NotRun, outcome.ReasonStorageFull, "too few stores have room").After(storageFullRetryAfter))
 		return nil
 	}
 	first, actions := o.owner.Propose(request.records)
-	request.since = clock.Now()
+	request.proposedAt = clock.Now()
 	request.first, request.last = first, first+Position(len(request.records))-1
 	o.pending = append(o.pending, request)
 	o.pendingBytes += request.bytes
@@ -110,7 +110,7 @@
 	o.pending = o.pending[answered:]
 }
 
-// Read is Owned.Read.
+// Read implements Owned.Read.
 func (o *ownership) Read(ctx context.Context, from Position, maxBytes int) ([]Record, error) {
 	if !o.serving.Load() {
 		return nil, errNotOwner()
--- a/internal/ledger/ownership.go
+++ b/internal/ledger/ownership.go
@@ -12,45 +12,46 @@
 	"github.com/sloelift/sloelift/internal/ledger/protocol"
 )
 
-// Timing holds the waits of the ledger.
+// Timing holds the timeouts and intervals of the ledger.
 type Timing struct {
-	// Request bounds a message to a store.
+	// Request is the timeout of a request to a store.
 	Request time.Duration
-	// Prepare bounds the time until a read quorum has promised and its tails are read.
+	// Prepare is the timeout for a read quorum to promise and its tails to be read.
 	Prepare time.Duration
-	// Retry is the wait after a store failed.
+	// Retry is the delay before a store that failed is retried.
 	Retry time.Duration
-	// Notice is the interval at which idle stores learn what is committed.
+	// Notice is the interval at which the commit position is sent to idle stores.
 	Notice time.Duration
-	// Check is the interval at which a node looks whether it should own more.
+	// Check is the interval at which a node checks whether it should own more partitions.
 	Check time.Duration
-	// Backoff and MaxBackoff bound the wait before the next attempt to own a partition.
+	// Backoff and MaxBackoff bound the delay before the next attempt to own a partition.
 	Backoff, MaxBackoff time.Duration
-	// Release bounds the wait for a present owner to finish its appends and let go.
+	// Release is the timeout for the current owner to finish its appends and release the partition.
 	Release time.Duration
-	// Quiesce bounds how long a state machine is given before a planned end; it is below Release.
+	// Quiesce is the time that a state machine gets to quiesce before a planned end; it must be below Release.
 	Quiesce time.Duration
-	// SuspectRelease bounds the wait for the answer of a present owner that is suspected to be dead.
+	// SuspectRelease replaces Release for a current owner that is suspected to be dead.
 	SuspectRelease time.Duration
-	// Silence is how long a store hears nothing of a partition's owner before its node tries to own the partition, whatever
-	// the membership says; zero is never.
+	// Silence is how long a store must receive nothing from a partition's owner before its node tries to own the
+	// partition, regardless of the membership; zero disables this.
 	Silence time.Duration
-	// Settle is for how long an owner that serves well keeps a partition that another node should own.
+	// Settle is how long a healthy owner keeps a partition for which another node is preferred.
 	Settle time.Duration
-	// Gather is how long after its start a node waits at most to see the members of a partition before it tries to own it; zero is not at all.
+	// Gather is the longest time after its start that a node waits to see the members of a partition before it tries
+	// to own it; zero disables the wait.
 	Gather time.Duration
-	// Formation is how long the first start waits for more stores than there are.
+	// Formation is how long the first start waits for the wanted number of stores.
 	Formation time.Duration
-	// Replace is how long a store may be gone before another takes its place.
+	// Replace is how long a store may be gone before it is replaced.
 	Replace time.Duration
-	// ChangeRetry is about how long the wait is before a change of an ensemble that failed is tried again.
+	// ChangeRetry is the approximate delay before a failed change of an ensemble is retried; it is randomized.
 	ChangeRetry time.Duration
-	// SnapshotRecords and SnapshotBytes are what is appended between snapshots.
+	// SnapshotRecords and SnapshotBytes are the amounts appended between snapshots; either triggers one.
 	SnapshotRecords int
 	SnapshotBytes   int
 }
 
-// DefaultTiming returns the waits used by nodes.
+// DefaultTiming returns the timing used by nodes.
 func DefaultTiming() Timing {
 	return Timing{
 		Request: 2 * time.Second, Prepare: 5 * time.Second, Retry: 200 * time.Millisecond,
@@ -62,7 +63,7 @@
 	}
 }
 
-// maxPendingBytes bounds the payload of appends that wait for their quorum.
+// maxPendingBytes is the payload of appends waiting for their quorum above which no more are accepted.
 const maxPendingBytes = 8 << 20
 
 // Log fields of the ledger.
@@ -75,46 +76,46 @@
 	fieldStore    = "store"
 )
 
-// ownership drives one protocol.Owner: run's goroutine steps it, other goroutines talk to
-// the stores and post what came of it as events.
+// ownership drives one protocol.Owner: run's goroutine steps it, other goroutines send requests to
+// the stores and post the results as events.
 type ownership struct {
 	partition PartitionID
 	stores    *storeClient
 	factory   Factory
 	timing    Timing
-	// decided is told of an ensemble that the members have decided on. It must not block.
-	decided func(protocol.Ensemble)
-	logger  zerolog.Logger
+	// onDecided is called with an ensemble that the members have decided on. It must not block.
+	onDecided func(protocol.Ensemble)
+	logger    zerolog.Logger
 
 	// owner, pending, pendingBytes, releasing, preparing and starved belong to run's goroutine.
 	owner        *protocol.Owner
 	pending      []*appendRequest
 	pendingBytes int
 	releasing    bool
-	// preparing ends an attempt that gets no read quorum.
+	// preparing ends an attempt that reaches no read quorum in time.
 	preparing *time.Timer
-	// starved is for how long the owner has been starved.
-	starved time.Duration
+	// starvedFor is how long the owner has been starved; see protocol.Owner.Starved.
+	starvedFor time.Duration
 
 	events  chan func() []protocol.Action
 	appends chan *appendRequest
-	// view is what readers on other goroutines know of the owner.
+	// view is a copy of the owner's state for readers on other goroutines.
 	view atomic.Pointer[ownedView]
-	// ctx ends when the ownership does; lost is closed then.
+	// ctx ends with the ownership; lost is closed then.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	lost    chan struct{}
 	tasks   sync.WaitGroup
 	serving atomic.Bool
-	// quiescer is the state machine, once it serves, if it is one.
+	// quiescer is the serving state machine, if it is a Quiescer.
 	quiescer atomic.Pointer[Quiescer]
-	// began is when the attempt to own the partition began.
+	// began is the start of the attempt to own the partition.
 	began time.Time
-	// appended counts records and bytes since the last snapshot.
+	// appendedRecords and appendedBytes count appends since the last snapshot.
 	appendedRecords, appendedBytes atomic.Int64
 }
 
-// ownedView is an immutable copy of what the owner knows of its stores.
+// ownedView is an immutable copy of the owner's state.
 type ownedView struct {
 	ballot      protocol.Ballot
 	ensemble    protocol.Ensemble
@@ -124,30 +125,34 @@
 	last        Position
 	holdings    []protocol.Holding
 	hasRoom     bool
-	// waitingSince is when the oldest append that waits for its quorum came; zero where none waits.
+	// waitingSince is when the oldest append without a quorum was proposed; zero if none is pending.
 	waitingSince time.Time
 }
 
-func newOwnership(ctx context.Context, partition PartitionID, owner *protocol.Owner, stores *storeClient, factory Factory, decided func(protocol.Ensemble), timing Timing, logger zerolog.Logger) *ownership {
+func newOwnership(
+	ctx context.Context, partition PartitionID, owner *protocol.Owner, stores *storeClient, factory Factory,
+	onDecided func(protocol.Ensemble), timing Timing, logger zerolog.Logger,
+) *ownership {
 	o := &ownership{
-		decided:   decided,
+		onDecided: onDecided,
 		partition: partition, stores: stores, factory: factory, timing: timing, owner: owner, logger: logger, began: clock.Now(),
 		events: make(chan func() []protocol.Action), appends: make(chan *appendRequest), lost: make(chan struct{}),
 	}
 	o.ctx, o.cancel = context.WithCancel(ctx)
-	o.publish()
+	o.updateView()
 	return o
 }
 
-// run takes the ballot and serves under it until it is lost. It returns after everything that it started has ended.
+// run prepares the ballot and serves under it until it is lost. It returns after all goroutines that it started have
+// ended.
 func (o *ownership) run() protocol.Lost {
-	notice := time.NewTicker(o.timing.Notice)
-	defer notice.Stop()
+	ticker := time.NewTicker(o.timing.Notice)
+	defer ticker.Stop()
 	o.preparing = time.NewTimer(o.timing.Prepare)
 	defer o.preparing.Stop()
 	var lost protocol.Lost
 	step := func(actions []protocol.Action) {
-		o.publish()
+		o.updateView()
 		for _, action := range actions {
 			if ended, is := action.(protocol.Lost); is {
 				lost = ended
@@ -160,9 +165,9 @@
 		select {
 		case event := <-o.events:
 			step(event())
-		case request := <-o.acceptable():
+		case request := <-o.acceptedAppends():
 			step(o.propose(request))
-		case <-notice.C:
+		case <-ticker.C:
 			step(o.owner.Tick())
 			if o.starvedTooLong() {
 				step(o.owner.GiveUp(protocol.LossUnreadable))
@@ -182,18 +187,18 @@
 	return lost
 }
 
-// starvedTooLong is asked at each notice.
+// starvedTooLong reports whether the owner has been starved for Timing.Prepare. It is called at each tick.
 func (o *ownership) starvedTooLong() bool {
 	if !o.owner.Starved() {
-		o.starved = 0
+		o.starvedFor = 0
 		return false
 	}
-	o.starved += o.timing.Notice
-	return o.starved >= o.timing.Prepare
+	o.starvedFor += o.timing.Notice
+	return o.starvedFor >= o.timing.Prepare
 }
 
-// acceptable returns the channel of appends, or nil while none may be taken.
-func (o *ownership) acceptable() <-chan *appendRequest {
+// acceptedAppends returns the channel of appends, or nil while none may be accepted.
+func (o *ownership) acceptedAppends() <-chan *appendRequest {
 	if o.owner.Phase() != protocol.PhaseServing || o.releasing || o.pendingBytes > maxPendingBytes {
 		return nil
 	}
@@ -211,7 +216,8 @@
 	o.tasks.Wait()
 }
 
-// release quiesces the state machine, lets appends in progress finish, ends the ownership and waits for its end.
+// release quiesces the state machine, waits for appends in progress and ends the ownership. It reports whether the
+// ownership ended before ctx did.
 func (o *ownership) release(ctx context.Context) bool {
 	if quiescer := o.quiescer.Load(); quiescer != nil {
 		bounded, cancel := context.WithTimeout(ctx, o.timing.Quiesce)
@@ -230,8 +236,8 @@
 	}
 }
 
-// servesWell tells whether the owner takes appends and none has waited long.
-func (o *ownership) servesWell(now time.Time) bool {
+// healthy reports whether the owner is serving and no append has been pending for Timing.Request.
+func (o *ownership) healthy(now time.Time) bool {
 	view := o.view.Load()
 	if !o.serving.Load() || view.phase != protocol.PhaseServing {
 		return false
@@ -239,14 +245,15 @@
 	return view.waitingSince.IsZero() || now.Sub(view.waitingSince) < o.timing.Request
 }
 
-// inContact says that a write quorum of the owner's stores answers it.
+// inContact reports whether the owner reaches a write quorum of its stores and no append has been pending for
+// Timing.Request.
 func (o *ownership) inContact(now time.Time) bool {
 	view := o.view.Load()
 	stuck := !view.waitingSince.IsZero() && now.Sub(view.waitingSince) >= o.timing.Request
 	return o.serving.Load() && o.reachesQuorum() && !stuck
 }
 
-// reachesQuorum says that a write quorum of the owner's stores answered the last request.
+// reachesQuorum reports whether a write quorum of the owner's stores answered the last request.
 func (o *ownership) reachesQuorum() bool {
 	view := o.view.Load()
 	answering := 0
@@ -258,8 +265,8 @@
 	return answering >= view.ensemble.WriteQuorum
 }
 
-// answers tells whether the store answered the last request; one that is not a member yet counts as answering.
-func (o *ownership) answers(store protocol.StoreID) bool {
+// responds reports whether the store answered the last request. A store that is not a member yet counts as responding.
+func (o *ownership) responds(store protocol.StoreID) bool {
 	for _, holding := range o.view.Load().holdings {
 		if holding.Member.Store == store {
 			return holding.Failures == 0
@@ -268,7 +275,7 @@
 	return true
 }
 
-// post hands an event to run's goroutine; it is dropped once the ownership has ended.
+// post passes an event to run's goroutine; it is dropped once the ownership has ended.
 func (o *ownership) post(event func() []protocol.Action) {
 	select {
 	case o.events <- event:
@@ -276,8 +283,8 @@
 	}
 }
 
-// start runs task on its own goroutine; what it returns is posted, and dropped if the owner has taken another
-// ballot meanwhile. It is called on run's goroutine.
+// start runs task on its own goroutine and posts the event that it returns. The event is dropped if the owner has
+// changed its ballot meanwhile. start is called on run's goroutine.
 func (o *ownership) start(task func(ctx context.Context) func() []protocol.Action) {
 	ballot := o.owner.Ballot()
 	o.tasks.Go(func() {
@@ -291,10 +298,10 @@
 	})
 }
 
-func (o *ownership) publish() {
+func (o *ownership) updateView() {
 	var waitingSince time.Time
 	if len(o.pending) > 0 {
-		waitingSince = o.pending[0].since
+		waitingSince = o.pending[0].proposedAt
 	}
 	o.view.Store(&ownedView{
 		waitingSince: waitingSince,
@@ -304,7 +311,7 @@
 	})
 }
 
-// execute does one action. It runs on run's goroutine and must not block.
+// execute carries out one action. It runs on run's goroutine and must not block.
 func (o *ownership) execute(action protocol.Action) {
 	switch typed := action.(type) {
 	case protocol.SendPrepare:
@@ -322,7 +329,7 @@
 	case protocol.EnsembleDecided:
 		o.logger.Info().Stringer(fieldBallot, o.owner.Ballot()).Uint64(fieldVersion, typed.Ensemble.Version).
 			Stringer("members", typed.Ensemble).Msg("ensemble_decided")
-		o.decided(typed.Ensemble)
+		o.onDecided(typed.Ensemble)
 	case protocol.Acknowledge:
 		o.acknowledge(typed.Through)
 	case protocol.Recovered:
@@ -336,7 +343,7 @@
 	}
 }
 
-// failed reports a store's failure now and lets it be tried again after a while.
+// failed returns an event that reports a store's failure and schedules its retry after Timing.Retry.
 func (o *ownership) failed(store protocol.StoreID) func() []protocol.Action {
 	return func() []protocol.Action {
 		o.retryLater(store)
@@ -356,12 +363,13 @@
 	})
 }
 
-// proposeEnsemble has the members decide on the next ensemble.
+// proposeEnsemble proposes the next ensemble to the members.
 func (o *ownership) proposeEnsemble(next protocol.Ensemble) {
 	o.post(func() []protocol.Action { return o.owner.ProposeEnsemble(next) })
 }
 
-// adopt has the owner prepare again where ensemble is newer than its own; one that does not serve yet starts anew.
+// adopt makes the owner prepare again if ensemble is newer than its own. An owner that is not serving gives up, and the
+// next attempt starts with the newer ensemble.
 func (o *ownership) adopt(ensemble protocol.Ensemble) {
 	o.post(func() []protocol.Action {
 		if ensemble.Version <= o.owner.Ensemble().Version {
--- a/internal/ledger/ownership_machine.go
+++ b/internal/ledger/ownership_machine.go
@@ -12,15 +12,15 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// snapshotChunkBytes is the size of a snapshot's chunks; snapshotCheck is how often it is looked
-// whether one is due.
 const (
+	// snapshotChunkBytes is the size of a snapshot's chunks.
 	snapshotChunkBytes = 1 << 20
-	snapshotCheck      = time.Second
+	// snapshotCheckInterval is the interval at which it is checked whether a snapshot is due.
+	snapshotCheckInterval = time.Second
 )
 
-// serveMachine brings a state machine up to last, lets it serve and takes its snapshots until
-// the ownership ends. All calls of the machine come from this goroutine.
+// serveMachine applies the log up to last to a new state machine, lets it serve and takes its snapshots until
+// the ownership ends. All calls of StateMachine methods are made from this goroutine.
 func (o *ownership) serveMachine(last Position) {
 	defer o.tasks.Done()
 	machine := o.factory(o.partition)
@@ -36,7 +36,7 @@
 	if quiescer, is := machine.(Quiescer); is {
 		o.quiescer.Store(&quiescer)
 	}
-	ticker := time.NewTicker(snapshotCheck)
+	ticker := time.NewTicker(snapshotCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -50,7 +50,7 @@
 	}
 }
 
-// load restores the latest snapshot and applies the records behind it.
+// load restores the latest snapshot and applies the records after it.
 func (o *ownership) load(ctx context.Context, machine StateMachine, last Position) error {
 	info, state, err := o.latestSnapshot(ctx)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// latestSnapshot returns the newest snapshot that a store can read; nil where there is none.
+// latestSnapshot returns the newest snapshot, from the first store that can read it; nil if there is none.
 func (o *ownership) latestSnapshot(ctx context.Context) (protocol.SnapshotInfo, []byte, error) {
 	var newest protocol.SnapshotInfo
 	var last error
@@ -151,7 +151,10 @@
 }
 
 // putSnapshot sends a snapshot to a store; chunk returns the chunk at an offset.
-func (o *ownership) putSnapshot(ctx context.Context, store protocol.StoreID, ballot protocol.Ballot, recoveredTo Position, info protocol.SnapshotInfo, chunk func(offset uint64) ([]byte, error)) (protocol.Acknowledgement, error) {
+func (o *ownership) putSnapshot(
+	ctx context.Context, store protocol.StoreID, ballot protocol.Ballot, recoveredTo Position, info protocol.SnapshotInfo,
+	chunk func(offset uint64) ([]byte, error),
+) (protocol.Acknowledgement, error) {
 	for offset := uint64(0); ; {
 		content, err := chunk(offset)
 		if err != nil {
@@ -185,7 +188,7 @@
 	return o.appendedRecords.Load() >= int64(o.timing.SnapshotRecords) || o.appendedBytes.Load() >= int64(o.timing.SnapshotBytes)
 }
 
-// takeSnapshot puts the machine's snapshot on every store that answers and trims what it covers.
+// takeSnapshot writes the machine's snapshot to every responding store and trims the records that it covers.
 func (o *ownership) takeSnapshot(machine StateMachine) {
 	o.appendedRecords.Store(0)
 	o.appendedBytes.Store(0)
@@ -211,7 +214,7 @@
 	}
 }
 
-// snapshotStore puts the snapshot on one store, under the ballot that view holds, and trims it.
+// snapshotStore writes the snapshot to one store, under the ballot in view, and trims the store's log.
 func (o *ownership) snapshotStore(view *ownedView, store protocol.StoreID, info protocol.SnapshotInfo, state []byte) {
 	answer, err := o.putSnapshot(o.ctx, store, view.ballot, view.recoveredTo, info, func(offset uint64) ([]byte, error) {
 		return state[offset:min(offset+snapshotChunkBytes, uint64(len(state)))], nil
--- a/internal/ledger/ownership_requests.go
+++ b/internal/ledger/ownership_requests.go
@@ -10,13 +10,13 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// storageFullRetryAfter is when a caller refused for want of room may come back.
+// storageFullRetryAfter is the retry delay for a caller refused because too few stores have disk space.
 const storageFullRetryAfter = 30 * time.Second
 
-// fetchBytes bounds the payload of one read for recovery, refill or load.
+// fetchBytes bounds the payload of one read: for recovery, for copying to a store that lacks records, or for loading.
 const fetchBytes = 1 << 20
 
-// member returns what is known of a store; the store was a member when the request was made.
+// member returns the ensemble's member with a store; the store was a member when the request was made.
 func (o *ownership) member(store protocol.StoreID) protocol.Member {
 	member, _ := o.view.Load().ensemble.Find(store)
 	return member
@@ -65,7 +65,7 @@
 	return entries, nil
 }
 
-// readStore reads at least one entry at one store, or fails.
+// readStore reads entries from one store: at least one, or it returns an error.
 func (o *ownership) readStore(ctx context.Context, store protocol.StoreID, from, to Position, maxBytes int) ([]protocol.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.timing.Request)
 	defer cancel()
@@ -136,7 +136,7 @@
 	return size
 }
 
-// readRange reads entries from some store that has them, the local one first.
+// readRange reads entries from a store that has them, trying the local one first.
 func (o *ownership) readRange(ctx context.Context, from, to Position, maxBytes int) ([]protocol.Entry, error) {
 	var last error
 	readers := o.readers(from)
@@ -158,7 +158,7 @@
 	return nil, outcome.Wrap(last, outcome.NotRun, outcome.ReasonUnavailable, "no store could read the record")
 }
 
-// readers returns the stores whose log is right up to position, in the order to try them.
+// readers returns the stores whose log is known to be valid up to position, in the order to try them.
 func (o *ownership) readers(position Position) []protocol.Holding {
 	var local, answering, failing []protocol.Holding
 	for _, holding := range o.view.Load().holdings {
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -10,20 +10,20 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// placement says where records of a partition may be: the stores of its ensemble, their spares and its owner. A node in a zone of an unknown
-// region is allowed only where all regions are.
+// placement restricts the nodes that may have records of a partition: the stores of its ensemble, spare stores and
+// the owner. A node in a zone of unknown region is allowed only if all regions are.
 type placement struct {
 	topology region.Topology
 	regions  region.Set
 }
 
-// allows says that a node in zone may have records of the partition.
+// allows reports whether a node in zone may have records of the partition.
 func (p placement) allows(zone string) bool {
 	return p.regions.Allows(p.topology.RegionOf(zone))
 }
 
 // owners narrows allowed to the nodes that may have records of the partition.
-func (p placement) owners(allowed mayOwn) mayOwn {
+func (p placement) owners(allowed memberFilter) memberFilter {
 	if !p.regions.Limited() {
 		return allowed
 	}
@@ -44,7 +44,8 @@
 	return kept
 }
 
-// survives says that the ensemble loses no acknowledged record with the disks of that many machines, nor with those of that many zones.
+// survives reports whether the ensemble keeps every acknowledged record after the loss of the disks of the given
+// number of machines, and after the loss of the disks of the given number of zones.
 func survives(ensemble protocol.Ensemble, machines, zones int) bool {
 	inZone := map[string]int{}
 	for _, member := range ensemble.Members {
--- a/internal/ledger/placement_test.go
+++ b/internal/ledger/placement_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// TestConfinedPartitionsHaveTheirOwnNumbers: no number of the head is among them, and the order in which regions are named does not count.
+// TestConfinedPartitionsHaveTheirOwnNumbers checks that numbers of confined partitions differ from those of the head and
+// do not depend on the order of the regions.
 func TestConfinedPartitionsHaveTheirOwnNumbers(t *testing.T) {
 	const largestHead = 1 << 16
 	seen := map[PartitionID]string{}
@@ -94,7 +95,7 @@
 	if one != other {
 		t.Errorf("numbers %d and %d for the same regions", one, other)
 	}
-	if place := placeOf("host", 2); place > 1 || one&(1<<confinedKeyBits-1) != place {
+	if place := keySlot("host", 2); place > 1 || one&(1<<confinedKeyBits-1) != place {
 		t.Errorf("place %d of the key, number %d", place, one)
 	}
 }
--- a/internal/ledger/protocol/model_test.go
+++ b/internal/ledger/protocol/model_test.go
@@ -88,7 +88,10 @@
 )
 
 func newModelCluster(t *rapid.T, membersDecide bool) *modelCluster {
-	w := &modelCluster{t: t, membersDecide: membersDecide, stores: map[StoreID]*modelStore{}, acknowledged: map[Position]string{}, ballots: map[Position]Ballot{}, proposedUnder: map[string]Ballot{}}
+	w := &modelCluster{
+		t: t, membersDecide: membersDecide, stores: map[StoreID]*modelStore{}, acknowledged: map[Position]string{},
+		ballots: map[Position]Ballot{}, proposedUnder: map[string]Ballot{},
+	}
 	w.ensemble = Ensemble{Version: 1, WriteQuorum: modelQuorum}
 	replicas := modelReplicas
 	w.maxWeakMembers = maxWeak
@@ -310,7 +313,7 @@
 	}
 }
 
-// checkReads checks that the record that the owner would read at a position is the acknowledged one at every store.
+// checkReads checks that every record that the owner may read from any store is the acknowledged one.
 func (w *modelCluster) checkReads(owner *modelOwner) {
 	if owner.Phase() != PhaseServing {
 		return
--- a/internal/ledger/protocol/owner_step.go
+++ b/internal/ledger/protocol/owner_step.go
@@ -66,8 +66,8 @@
 	priorAcked Position
 	// next is the position of the next entry to send.
 	next Position
-	// commitAcked is the highest commit position that the store has confirmed receiving; sending is the commit
-	// position in the request in flight.
+	// commitAcked is the highest commit position that the store has acknowledged; commitSent is the one in
+	// the request in flight.
 	commitAcked Position
 	commitSent  Position
 	inFlight    bool
--- a/internal/ledger/rendezvous.go
+++ b/internal/ledger/rendezvous.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// rank returns the rendezvous weight of name for partition; the highest is preferred.
+// rank returns the rendezvous hashing weight of name for partition; the highest weight is preferred.
 func rank(partition PartitionID, name string) uint64 {
 	var key [4]byte
 	binary.BigEndian.PutUint32(key[:], uint32(partition))
@@ -21,12 +21,12 @@
 	return digest.Sum64()
 }
 
-// mayOwn says which members may own partitions.
-type mayOwn func(member *membership.Member) bool
+// memberFilter reports whether a member may own partitions.
+type memberFilter func(member *membership.Member) bool
 
-// preferredOwner returns the member that should own partition, among those that are alive and not suspected; ok is false
-// where there is none. A suspected owner is asked before it is replaced, and declines where it serves well.
-func preferredOwner(view *membership.View, partition PartitionID, allowed mayOwn) (preferred membership.Member, ok bool) {
+// preferredOwner returns the member that should own partition, among those that are alive and not suspected; ok is
+// false if there is none. A suspected owner is asked before it is replaced, and declines if it is healthy.
+func preferredOwner(view *membership.View, partition PartitionID, allowed memberFilter) (preferred membership.Member, ok bool) {
 	var highest uint64
 	for index := range view.Members {
 		member := &view.Members[index]
@@ -40,7 +40,7 @@
 	return preferred, ok
 }
 
-// storesOf returns the live members that can be members of ensembles.
+// storesOf returns the live members that have a store.
 func storesOf(view *membership.View) []membership.Member {
 	var stores []membership.Member
 	for _, member := range view.Live() {
@@ -51,8 +51,8 @@
 	return stores
 }
 
-// chooseStores returns up to count of candidates for partition: from as many zones as there are, within
-// that by rendezvous rank. Zones in taken already have that many stores of the partition.
+// chooseStores returns up to count of the candidates for partition, spread over as many zones as possible and
+// ordered by rendezvous rank within that. taken is the number of stores that the partition already has, by zone.
 func chooseStores(candidates []membership.Member, partition PartitionID, count int, taken map[string]int) []membership.Member {
 	inZone := map[string]int{}
 	for zone, number := range taken {
--- a/internal/ledger/retirement.go
+++ b/internal/ledger/retirement.go
@@ -6,8 +6,8 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// SetRetiring names the nodes that are to be emptied: their stores are replaced in all ensembles where there are others, and
-// they own no partition any more.
+// SetRetiring sets the nodes that are being retired. Their stores are replaced in all ensembles if spare stores exist,
+// and they own no partitions. If this node is among them, it hands its partitions over.
 func (m *Manager) SetRetiring(nodes map[membership.NodeID]bool) {
 	m.retiring.Store(&nodes)
 	if nodes[m.self] && !m.leaving.Load() {
@@ -22,7 +22,7 @@
 	return nodes != nil && (*nodes)[node]
 }
 
-// mayOwn says whether a member may own partitions.
+// mayOwn reports whether a member may own partitions.
 func (m *Manager) mayOwn(member *membership.Member) bool {
 	if m.settings.OwnersOnStores && !member.Store {
 		return false
@@ -30,8 +30,8 @@
 	return !m.isRetiring(member.ID)
 }
 
-// keptStores returns the live members that can come into ensembles.
-func (m *Manager) keptStores(view *membership.View) []membership.Member {
+// eligibleStores returns the live members whose stores may be added to ensembles.
+func (m *Manager) eligibleStores(view *membership.View) []membership.Member {
 	var kept []membership.Member
 	for _, member := range storesOf(view) {
 		if !m.isRetiring(member.ID) {
@@ -41,8 +41,8 @@
 	return kept
 }
 
-// Emptied tells, from what the key-value service has now, whether no ensemble needs the store of node: it is a member of none, and
-// all members of all are full ones.
+// Emptied reports whether no ensemble needs the store of node: it is a member of none, and no ensemble has a joining
+// member. It first reads the current ensembles from the key-value service.
 func (m *Manager) Emptied(ctx context.Context, node membership.NodeID) (bool, error) {
 	if err := m.directory.load(ctx); err != nil {
 		return false, err
--- a/internal/ledger/serve_owner.go
+++ b/internal/ledger/serve_owner.go
@@ -10,7 +10,8 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// serveOwner answers who owns a partition: this node where it does and is in contact with the stores, else whom it takes for the owner.
+// serveOwner answers which node owns a partition: this node if it owns it and reaches a write quorum of its stores,
+// otherwise the node that this one believes to be the owner.
 func (m *Manager) serveOwner(_ context.Context, _ netip.AddrPort, request *ledgerpb.OwnerRequest) (*ledgerpb.OwnerResponse, error) {
 	partition := PartitionID(request.Partition)
 	if ownership, present := m.ownership(partition); present && ownership.inContact(clock.Now()) {
@@ -20,7 +21,8 @@
 	return &ledgerpb.OwnerResponse{Owner: string(hint)}, nil
 }
 
-// serveRelease gives a partition up to the node that asks, where that node is to own it, or where this node leaves or does not serve it well.
+// serveRelease releases a partition to the requesting node if that node is the preferred owner and this ownership is
+// older than Timing.Settle, or if this node is leaving or its ownership is not healthy. Otherwise it declines.
 func (m *Manager) serveRelease(ctx context.Context, _ netip.AddrPort, request *ledgerpb.ReleaseRequest) (*ledgerpb.ReleaseResponse, error) {
 	partition := PartitionID(request.Partition)
 	ownership, present := m.ownership(partition)
@@ -30,7 +32,7 @@
 	preferred, _ := preferredOwner(m.viewer.View(), partition, m.ownersOf(partition))
 	now := clock.Now()
 	settling := now.Sub(ownership.began) < m.timing.Settle
-	if (string(preferred.ID) != request.Successor || settling) && !m.leaving.Load() && ownership.servesWell(now) {
+	if (string(preferred.ID) != request.Successor || settling) && !m.leaving.Load() && ownership.healthy(now) {
 		return &ledgerpb.ReleaseResponse{}, nil
 	}
 	if !ownership.release(ctx) {
@@ -40,7 +42,7 @@
 	return &ledgerpb.ReleaseResponse{Released: true}, nil
 }
 
-// serveEnsembles answers with what this node knows of the head and the ensembles.
+// serveEnsembles answers with the head and the ensembles that this node knows.
 func (m *Manager) serveEnsembles(context.Context, netip.AddrPort, *ledgerpb.EnsemblesRequest) (*ledgerpb.EnsemblesResponse, error) {
 	return m.directory.export(), nil
 }
--- a/internal/ledger/silence_test.go
+++ b/internal/ledger/silence_test.go
@@ -12,7 +12,7 @@
 
 const testSilence = 1200 * time.Millisecond
 
-// newStorageCluster has four stores, three copies, and the timing of storage nodes.
+// newStorageCluster returns a cluster of four stores with three replicas and the timing of storage nodes.
 func newStorageCluster(t *testing.T, seed uint64) *cluster {
 	c := newCluster(t, seed)
 	c.ledger.Replicas, c.ledger.WriteQuorum, c.ledger.OwnersOnStores = 3, 2, true
@@ -24,8 +24,8 @@
 	return c
 }
 
-// TestOwnerThatItsStoresDoNotHearIsReplaced: the owner is cut off from the other nodes, yet all hold it alive, as where indirect
-// probes pass.
+// TestOwnerThatItsStoresDoNotHearIsReplaced: the owner is cut off from the other nodes, but the membership considers it
+// alive, as it does if indirect probes succeed.
 func TestOwnerThatItsStoresDoNotHearIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 21)
@@ -50,13 +50,13 @@
 		if ownership, present := cutOff.manager.ownership(0); present && ownership.inContact(time.Now()) {
 			t.Error("the owner that is cut off still calls itself the owner")
 		}
-		c.network.SetConditions(calm)
+		c.network.SetConditions(normalConditions)
 		c.nodes = others
 		c.check(0, acknowledged)
 	})
 }
 
-// TestIdleOwnerIsKept: silence without appends is no reason to replace an owner that answers.
+// TestIdleOwnerIsKept checks that an owner that responds is not replaced because it appends nothing.
 func TestIdleOwnerIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 22)
@@ -72,7 +72,8 @@
 	})
 }
 
-// TestRetiringNodeIsEmptied: its store leaves all ensembles, its partitions go to others, and then another disk may be lost.
+// TestRetiringNodeIsEmptied checks that a retiring node's store leaves all ensembles and its partitions move to other
+// nodes, and that another disk may be lost afterwards.
 func TestRetiringNodeIsEmptied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 23)
@@ -98,7 +99,7 @@
 	})
 }
 
-// TestRetiringNodeIsNotEmptyWithoutAnother: with no store to take its place it stays a member.
+// TestRetiringNodeIsNotEmptyWithoutAnother checks that a retiring store stays a member if no other store can replace it.
 func TestRetiringNodeIsNotEmptyWithoutAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 24)
@@ -117,8 +118,8 @@
 	})
 }
 
-// TestSecondDiskLostAfterAnOutage: a disk is lost while the key-value service is down, its node is back for longer than the operators give
-// it, and then another disk is lost. Each loss alone is borne, so nothing acknowledged may be gone.
+// TestSecondDiskLostAfterAnOutage: a disk is lost while the key-value service is down, its node is back for longer than
+// operators wait, and then another disk is lost. Each loss alone is survived, so no acknowledged record may be lost.
 func TestSecondDiskLostAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 25)
--- a/internal/ledger/spare_test.go
+++ b/internal/ledger/spare_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// cutOff cuts the given nodes off from all others, which goes unnoticed by the membership.
+// cutOff cuts the given nodes off from all others; the membership view does not change.
 func (c *cluster) cutOff(nodes []*testNode) {
 	apart := func(address netip.AddrPort) bool {
 		return slices.ContainsFunc(nodes, func(node *testNode) bool { return node.address == address })
@@ -23,7 +23,7 @@
 	})
 }
 
-// putFor appends values for so long, and returns those that were acknowledged.
+// putFor appends values for the given time and returns the acknowledged ones.
 func (c *cluster) putFor(name string, span time.Duration) (acknowledged []string) {
 	for began := time.Now(); time.Since(began) < span; time.Sleep(200 * time.Millisecond) {
 		acknowledged = append(acknowledged, c.put(0, fmt.Sprintf("%s-%s", name, time.Since(began))))
@@ -31,9 +31,9 @@
 	return acknowledged
 }
 
-// TestStoresThatDoNotAnswerDoNotTakeTurns: two stores were cut off for a while and replaced, and are spares again. Then they are cut off together
-// with two members, as with their zone, and all count as alive. None is taken into the ensemble for another again and again, which would leave
-// two members less for as long as that goes on.
+// TestStoresThatDoNotAnswerDoNotTakeTurns: two stores were cut off, replaced, and are spares again. Then they are cut off
+// together with two members, as if with their zone, while the membership considers all four alive. These four must not
+// replace one another in the ensemble repeatedly, which would leave it two members short for as long as it goes on.
 func TestStoresThatDoNotAnswerDoNotTakeTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -56,7 +56,7 @@
 		c.cutOff(lost)
 		acknowledged = append(acknowledged, c.putFor("second", 12*time.Second)...)
 		after, _ := owner.manager.directory.ensemble(0)
-		// Two others come in and are made full members.
+		// Two other stores are added and promoted: four changes.
 		if changes := after.Version - before.Version; changes > 4 {
 			t.Errorf("%d changes of the ensemble in 12 s, want 4 at most", changes)
 		}
@@ -68,7 +68,7 @@
 	})
 }
 
-// membersAndSpares returns the members of partition 0 other than the owner, and the nodes that are none.
+// membersAndSpares returns the members of partition 0 other than the owner, and the nodes that are not members.
 func (c *cluster) membersAndSpares(owner *testNode) (members, spares []*testNode) {
 	ensemble, _ := owner.manager.directory.ensemble(0)
 	for _, node := range c.nodes {
--- a/internal/ledger/store_client.go
+++ b/internal/ledger/store_client.go
@@ -16,16 +16,16 @@
 
 type transportMessage = proto.Message
 
-// storeClient reaches the stores of ensembles, the local one without the network.
+// storeClient sends requests to the stores of ensembles; the local store is called directly.
 type storeClient struct {
 	local  *store.Store
 	caller transport.Caller
 	viewer membership.Viewer
-	// refill bounds the bytes a second that this node's owners copy to stores that lack records.
+	// refill limits the rate, in bytes per second, at which this node's owners copy records to stores that lack them.
 	refill *rate.Limiter
 }
 
-// refillBytesPerSecond leaves room for appends on a small machine's disk and link.
+// refillBytesPerSecond leaves capacity for appends on a small machine's disk and network link.
 const refillBytesPerSecond = 32 << 20
 
 func newStoreClient(local *store.Store, caller transport.Caller, viewer membership.Viewer) *storeClient {
@@ -34,7 +34,7 @@
 	}
 }
 
-// address returns where member's node is now, or where it was when it became a member.
+// address returns the current address of the member's node, or the one from when it became a member.
 func (c *storeClient) address(member protocol.Member) (netip.AddrPort, error) {
 	if known, found := c.viewer.View().Find(membership.NodeID(member.Node)); found && known.PeerAddress.IsValid() {
 		return known.PeerAddress, nil
--- a/internal/ledger/takeover.go
+++ b/internal/ledger/takeover.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// maxTurns bounds the waits of nodes that stand behind others in taking over a partition.
-const maxTurns = 4
+// maxTakeoverTurn bounds how many checks a node waits for higher-ranked nodes before it takes over a partition.
+const maxTakeoverTurn = 4
 
-// ownerSilent says that this node's store, which has copies of the partition's records, has had no message of its owner for too long. What
-// this node knows of the ensemble may be old, so a store that ever had a message of an owner counts. The nodes' turns come one after the other.
+// ownerSilent reports whether the local store has received no message from the partition's owner for Timing.Silence
+// plus this node's takeover turn, and this node should therefore try to own the partition. The known ensemble may be
+// out of date, so a store qualifies if it has ever received a message from an owner.
 func (m *Manager) ownerSilent(partition PartitionID, control *partitionControl, now time.Time) bool {
 	if m.timing.Silence == 0 || m.local == nil || control.ownership != nil || !m.MayHold(partition, m.zone) {
 		return false
@@ -20,10 +21,10 @@
 			last = later
 		}
 	}
-	return now.Sub(last) >= m.timing.Silence+time.Duration(m.turn(partition))*m.timing.Check
+	return now.Sub(last) >= m.timing.Silence+time.Duration(m.takeoverTurn(partition))*m.timing.Check
 }
 
-// isMember says that the local store is a full member of the partition's ensemble, as far as this node knows.
+// isMember reports whether the local store is a full member of the partition's newest known ensemble.
 func (m *Manager) isMember(partition PartitionID) bool {
 	ensemble, known := m.directory.ensemble(partition)
 	if !known {
@@ -33,13 +34,13 @@
 	return found && !own.Joining
 }
 
-// turn is the number of live nodes with a store that stand before this one.
-func (m *Manager) turn(partition PartitionID) int {
+// takeoverTurn returns the number of live nodes with a store that rank above this one, at most maxTakeoverTurn.
+func (m *Manager) takeoverTurn(partition PartitionID) int {
 	before := 0
 	for _, member := range m.placementOf(partition).stores(storesOf(m.viewer.View())) {
 		if rank(partition, string(member.ID)) > rank(partition, string(m.self)) {
 			before++
 		}
 	}
-	return min(before, maxTurns)
+	return min(before, maxTakeoverTurn)
 }
