--- a/internal/ledger/confined_formation.go
+++ b/internal/ledger/confined_formation.go
@@ -11,8 +11,8 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// confinedFormation is the control goroutine's state for the formation of confined partitions.
-type confinedFormation struct {
+// confinedFormationState is the control goroutine's state for the formation of confined partitions.
+type confinedFormationState struct {
 	running bool
 	next    time.Time
 	// since is the time at which a partition was first seen without a durable ensemble.
--- a/internal/ledger/manager.go
+++ b/internal/ledger/manager.go
@@ -70,7 +70,7 @@
 	// started is set by Start. leaving is set by Handover and stays set.
 	started time.Time
 	leaving atomic.Bool
-	// The fields from loading to upkeep belong to the control goroutine.
+	// The fields from loading to confinedFormation belong to the control goroutine.
 	loading bool
 	// stale is set if an ensemble of the directory seems out of date.
 	stale    bool
@@ -78,7 +78,7 @@
 	// settingsReported is set once the settings have been compared with the ledger's head.
 	settingsReported  bool
 	partitions        map[PartitionID]*partitionControl
-	confinedFormation confinedFormation
+	confinedFormation confinedFormationState
 
 	// owned holds the current ownerships for readers on other goroutines; mutex guards it and the end of ctx.
 	mutex sync.RWMutex
@@ -134,7 +134,7 @@
 		events:    make(chan func()), partitions: map[PartitionID]*partitionControl{},
 		owned: map[PartitionID]*ownership{}, hints: newOwnerHints(),
 		topology: dependencies.Settings.Topology(), zone: dependencies.Settings.Zone,
-		confinedFormation: confinedFormation{since: map[PartitionID]time.Time{}, reported: map[PartitionID]bool{}},
+		confinedFormation: confinedFormationState{since: map[PartitionID]time.Time{}, reported: map[PartitionID]bool{}},
 	}
 	manager.ctx, manager.cancel = context.WithCancel(context.Background())
 	registerStore(dependencies.Registry, dependencies.Local)
