--- a/internal/ledger/store/codec.go
+++ b/internal/ledger/store/codec.go
@@ -16,15 +16,16 @@
 
 // Error kinds of a store.
 var (
-	// KindDamaged: what is on the disk does not match its checksum.
+	// KindDamaged: data on the disk does not match its checksum, cannot be decoded, or is missing.
 	KindDamaged = namespace.NewType("damaged")
-	// KindClosed: the store is closed or its disk has failed; nothing more is written.
+	// KindClosed: the store is closed or its disk has failed; it accepts no more requests.
 	KindClosed = namespace.NewType("closed")
 )
 
 const checksumBytes = 8
 
-// seal puts a checksum over key and value in front of value, so that a value in a wrong place shows too.
+// seal prepends a checksum over key and value to value. The key is included so that a value stored under a wrong key is
+// detected too.
 func seal(key, value []byte) []byte {
 	sealed := make([]byte, checksumBytes, checksumBytes+len(value))
 	binary.LittleEndian.PutUint64(sealed, checksum(key, value))
@@ -50,7 +51,7 @@
 	return digest.Sum64()
 }
 
-// encodeEntry writes the kind, the ballot, the ballot of birth or nothing where it is the same, and the payload.
+// encodeEntry encodes the kind, the ballot, a flag and the Born ballot if that differs from the ballot, and the payload.
 func encodeEntry(entry protocol.Entry) []byte {
 	value := make([]byte, 0, 2*binary.MaxVarintLen64+len(entry.Ballot.Owner)+len(entry.Record.Payload)+8)
 	value = binary.AppendUvarint(value, uint64(entry.Record.Kind))
@@ -71,16 +72,16 @@
 	return append(value, ballot.Owner...)
 }
 
-// entryReader takes an encoded entry apart; cut is set once it ended too soon.
+// entryReader decodes an encoded entry; cut is set if the entry is truncated.
 type entryReader struct {
-	rest []byte
-	cut  bool
+	rest      []byte
+	truncated bool
 }
 
 func (r *entryReader) number() uint64 {
 	number, size := binary.Uvarint(r.rest)
 	if size <= 0 {
-		r.cut = true
+		r.truncated = true
 		return 0
 	}
 	r.rest = r.rest[size:]
@@ -91,7 +92,7 @@
 	ballot := protocol.Ballot{Version: r.number(), Number: r.number()}
 	length := r.number()
 	if length > uint64(len(r.rest)) {
-		r.cut = true
+		r.truncated = true
 		return protocol.Ballot{}
 	}
 	ballot.Owner, r.rest = string(r.rest[:length]), r.rest[length:]
@@ -107,14 +108,14 @@
 	if reader.number() == 1 {
 		entry.Born = reader.ballot()
 	}
-	if reader.cut {
-		return protocol.Entry{}, KindDamaged.New("record is cut short")
+	if reader.truncated {
+		return protocol.Entry{}, KindDamaged.New("record is truncated")
 	}
 	entry.Record.Payload = append([]byte{}, reader.rest...)
 	return entry, nil
 }
 
-// encodeState leaves the ensemble out, which has a key of its own.
+// encodeState encodes the state without its ensemble, which is stored under a key of its own.
 func encodeState(state protocol.StoreState) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&ledgerpb.StoreState{
 		Promised: wire.FromBallot(state.Promised), Accepted: wire.FromBallot(state.Accepted),
--- a/internal/ledger/store/database.go
+++ b/internal/ledger/store/database.go
@@ -14,21 +14,22 @@
 	"github.com/sloelift/sloelift/internal/ledger/protocol"
 )
 
-// Sizes of the database's memory: small, for a node has 256 MB for control.
+// Memory sizes of the database. They are small because a node has 256 MB for its control functions.
 const (
 	cacheBytes    = 8 << 20
 	memTableBytes = 16 << 20
-	// smallestMemTable and memTablePart bound the tables, and so the logs, of a small disk: two of each may be there at once.
-	smallestMemTable = 1 << 20
-	memTablePart     = 24
+	// minMemTableBytes and memTablePart, a divisor of Options.DiskBytes, bound the in-memory tables, and thereby the
+	// logs, on a small disk: two of each may exist at once.
+	minMemTableBytes = 1 << 20
+	memTableDivisor  = 24
 )
 
-// Names below the data folder.
+// File and folder names below the data folder.
 const (
-	databaseFolder = "ledger"
-	markFile       = "ledger-synced"
-	damagedMark    = "ledger-is-damaged"
-	damagedPrefix  = "ledger-damaged-"
+	databaseFolder  = "ledger"
+	markFile        = "ledger-synced"
+	damagedMarkFile = "ledger-is-damaged"
+	damagedPrefix   = "ledger-damaged-"
 )
 
 // disk is an opened database with its incarnation and the number of its last synced write.
@@ -40,15 +41,19 @@
 	states   map[protocol.PartitionID]*protocol.StoreState
 }
 
-// faults are called by the database, on any goroutine: fatal where it can't go on, and it does not
-// return; damaged where a block does not match its checksum.
-type faults struct{ fatal, damaged func() }
+// faultHandlers holds callbacks that the database calls on any of its goroutines.
+type faultHandlers struct {
+	// fatal is called after an error from which the database cannot continue. It does not return.
+	fatal func()
+	// damaged is called if a block does not match its checksum.
+	damaged func()
+}
 
-// openDisk opens the database below folder. One that is damaged is moved aside, never
-// removed, and an empty one takes its place: the store comes back under
+// openDisk opens the database below folder. A damaged database is moved aside, never
+// removed, and replaced by an empty one: the store then has
 // another incarnation, and the owners refill it.
-func openDisk(folder string, files vfs.FS, memTable uint64, logger zerolog.Logger, faults faults) (*disk, error) {
-	opened, err := tryDisk(folder, files, memTable, logger, faults)
+func openDisk(folder string, files vfs.FS, memTable uint64, logger zerolog.Logger, faults faultHandlers) (*disk, error) {
+	opened, err := openDiskOnce(folder, files, memTable, logger, faults)
 	if err == nil || !isDamage(err) {
 		return opened, err
 	}
@@ -57,15 +62,15 @@
 	if err := files.Rename(filepath.Join(folder, databaseFolder), aside); err != nil {
 		return nil, err
 	}
-	if err := files.Remove(filepath.Join(folder, damagedMark)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := files.Remove(filepath.Join(folder, damagedMarkFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	return tryDisk(folder, files, memTable, logger, faults)
+	return openDiskOnce(folder, files, memTable, logger, faults)
 }
 
-func tryDisk(folder string, files vfs.FS, memTable uint64, logger zerolog.Logger, faults faults) (*disk, error) {
-	if _, err := files.Stat(filepath.Join(folder, damagedMark)); err == nil {
-		return nil, KindDamaged.New("a block was found to be damaged")
+func openDiskOnce(folder string, files vfs.FS, memTable uint64, logger zerolog.Logger, faults faultHandlers) (*disk, error) {
+	if _, err := files.Stat(filepath.Join(folder, damagedMarkFile)); err == nil {
+		return nil, KindDamaged.New("a damaged block was found before the restart")
 	}
 	database, err := openPebble(filepath.Join(folder, databaseFolder), files, memTable, logger, faults)
 	if err != nil {
@@ -81,7 +86,8 @@
 	return opened, nil
 }
 
-// identify reads the incarnation and the partitions' states, and checks that nothing known to be synced is missing.
+// identify reads the incarnation and the partitions' states, and checks that no write recorded in the sync mark is
+// missing.
 func (d *disk) identify(folder string, files vfs.FS) (err error) {
 	if d.id, err = incarnation(d.database); err != nil {
 		return err
@@ -120,7 +126,7 @@
 	})
 }
 
-// scan calls visit with every partition's checked value below a prefix.
+// scan calls visit with the value of every partition below a prefix, after verifying its checksum.
 func scan(database *pebble.DB, prefix byte, visit func(partition protocol.PartitionID, value []byte) error) error {
 	iterator, err := database.NewIter(&pebble.IterOptions{LowerBound: []byte{prefix}, UpperBound: []byte{prefix + 1}})
 	if err != nil {
@@ -138,7 +144,7 @@
 	return iterator.Close()
 }
 
-func openPebble(path string, files vfs.FS, memTable uint64, logger zerolog.Logger, faults faults) (*pebble.DB, error) {
+func openPebble(path string, files vfs.FS, memTable uint64, logger zerolog.Logger, faults faultHandlers) (*pebble.DB, error) {
 	cache := pebble.NewCache(cacheBytes)
 	defer cache.Unref()
 	return pebble.Open(path, &pebble.Options{
@@ -154,7 +160,7 @@
 	})
 }
 
-// isDamage tells damage of the content from trouble with reaching it, such as a
+// isDamage reports whether err means damaged content, as opposed to failed access such as a
 // missing permission, a full disk or a lock held by another process.
 func isDamage(err error) bool {
 	var typed *errorx.Error
@@ -162,7 +168,7 @@
 	return found || pebble.IsCorruptionError(err) || errors.Is(err, os.ErrNotExist)
 }
 
-// incarnation returns the name of what is on the disk; an empty disk gets a new one.
+// incarnation returns the ID of the disk's content; an empty disk gets a new ID.
 func incarnation(database *pebble.DB) (protocol.StoreID, error) {
 	value, closer, err := database.Get(incarnationKey())
 	if err == nil {
@@ -176,7 +182,7 @@
 	return protocol.StoreID(id), database.Set(incarnationKey(), []byte(id), pebble.Sync)
 }
 
-// pebbleLogger passes on errors; information is for the database's developers.
+// pebbleLogger logs the database's errors and drops its informational events, which serve only its developers.
 type pebbleLogger struct {
 	logger zerolog.Logger
 	fatal  func()
@@ -190,7 +196,7 @@
 	l.logger.Error().Msgf(format, arguments...)
 }
 
-// Fatalf marks the store as failed. It does not return: the database must not go on.
+// Fatalf logs the event and marks the store as failed. It does not return, because the database must not continue.
 func (l pebbleLogger) Fatalf(format string, arguments ...any) {
 	l.logger.Error().Msgf(format, arguments...)
 	l.fatal()
--- a/internal/ledger/store/drop.go
+++ b/internal/ledger/store/drop.go
@@ -10,8 +10,8 @@
 	"github.com/sloelift/sloelift/internal/ledger/protocol"
 )
 
-// Drop removes what the store keeps of partitions whose given, newer ensembles do not have it as a member. It
-// returns how many partitions it removed.
+// Drop removes the partitions for which a newer ensemble is given that does not have this store as a member. It
+// returns the number of removed partitions.
 func (s *Store) Drop(ctx context.Context, ensembles []protocol.Ensemble) (int, error) {
 	return run(ctx, s, 0, func(batch *pebble.Batch) (int, error) {
 		dropped := 0
--- a/internal/ledger/store/engine_bench_test.go
+++ b/internal/ledger/store/engine_bench_test.go
@@ -16,11 +16,11 @@
 
 const benchRecordBytes = 1024
 
-// engine appends one group of records durably.
+// engine durably appends one group of records; first is the position of records[0].
 type engine func(b *testing.B, first uint64, records [][]byte)
 
 func pebbleEngine(b *testing.B) engine {
-	database, err := openPebble(filepath.Join(b.TempDir(), "pebble"), vfs.Default, memTableBytes, zerolog.Nop(), faults{})
+	database, err := openPebble(filepath.Join(b.TempDir(), "pebble"), vfs.Default, memTableBytes, zerolog.Nop(), faultHandlers{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// segmentEngine is a bare file with a checksum for each record: no index, no trimming.
+// segmentEngine appends to a plain file with a checksum for each record, without an index or trimming.
 func segmentEngine(b *testing.B) engine {
 	file, err := os.Create(filepath.Join(b.TempDir(), "segment"))
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkEngines compares synced appends of groups of records.
+// BenchmarkEngines compares storage engines by their synced appends of groups of records.
 func BenchmarkEngines(b *testing.B) {
 	engines := map[string]func(*testing.B) engine{"pebble": pebbleEngine, "bbolt": bboltEngine, "segment": segmentEngine}
 	for _, name := range []string{"pebble", "bbolt", "segment"} {
--- a/internal/ledger/store/keys.go
+++ b/internal/ledger/store/keys.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/ledger/protocol"
 )
 
-// First bytes of the database's keys.
+// Key prefixes, which are the first byte of each database key.
 const (
 	prefixIncarnation = 'i'
 	prefixPartition   = 'p'
@@ -19,7 +19,7 @@
 
 func incarnationKey() []byte { return []byte{prefixIncarnation} }
 
-// writeKey holds the number of the last write.
+// writeKey returns the key under which the number of the last write is stored.
 func writeKey() []byte { return []byte{prefixWrite} }
 
 func partitionKey(partition protocol.PartitionID) []byte {
@@ -39,15 +39,15 @@
 	return protocol.Position(binary.BigEndian.Uint64(key[len(key)-8:]))
 }
 
-// snapshotKey is the key of the chunk at offset of the snapshot with the given digest.
+// snapshotKey returns the key of the chunk at offset of the snapshot with the given digest.
 func snapshotKey(partition protocol.PartitionID, digest, offset uint64) []byte {
 	key := binary.BigEndian.AppendUint32([]byte{prefixSnapshot}, uint32(partition))
 	key = binary.BigEndian.AppendUint64(key, digest)
 	return binary.BigEndian.AppendUint64(key, offset)
 }
 
-// snapshotEnd is the key behind the last chunk of the snapshot with the given digest; it is above every chunk of the
-// partition for the highest digest.
+// snapshotEnd returns the exclusive upper bound of the chunk keys of the snapshot with the given digest. For the highest
+// digest it is above every chunk key of the partition.
 func snapshotEnd(partition protocol.PartitionID, digest uint64) []byte {
 	return append(snapshotKey(partition, digest, math.MaxUint64), 0)
 }
--- a/internal/ledger/store/reads.go
+++ b/internal/ledger/store/reads.go
@@ -11,16 +11,18 @@
 	"github.com/sloelift/sloelift/internal/ledger/wire"
 )
 
-// maxReadBytes bounds the payload of one answer, whatever the request asks.
+// maxReadBytes bounds the payload of one answer, regardless of the request's MaxBytes. An answer may hold one larger
+// record.
 const maxReadBytes = 2 << 20
 
 func partitionOf(key []byte) protocol.PartitionID {
 	return protocol.PartitionID(binary.BigEndian.Uint32(key[1:5]))
 }
 
-// Read returns records as they lie on the disk. Whether they are the log's is for the caller to know.
+// Read returns consecutive records as they are on disk. The caller must know whether they belong to the log: records that
+// are not committed may be replaced later.
 func (s *Store) Read(_ context.Context, message *ledgerpb.ReadRequest) (*ledgerpb.ReadResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.ReadResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	s.reading.RLock()
--- a/internal/ledger/store/requests.go
+++ b/internal/ledger/store/requests.go
@@ -10,12 +10,12 @@
 	"github.com/sloelift/sloelift/internal/ledger/wire"
 )
 
-// Survey returns what the store has promised. Whoever asks for an earlier incarnation learns the ensemble only, which may be newer than the one in which
-// that one was.
+// Survey returns the store's promise and ensemble. A request for an earlier incarnation is answered only with the
+// ensemble, which may be newer than the one that had that incarnation as a member.
 func (s *Store) Survey(ctx context.Context, message *ledgerpb.SurveyRequest) (*ledgerpb.SurveyResponse, error) {
 	return run(ctx, s, 0, func(*pebble.Batch) (*ledgerpb.SurveyResponse, error) {
 		state := s.state(protocol.PartitionID(message.Partition))
-		if !s.is(message.Store) {
+		if !s.isID(message.Store) {
 			return &ledgerpb.SurveyResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE, Ensemble: wire.FromEnsemble(state.Ensemble)}, nil
 		}
 		return &ledgerpb.SurveyResponse{
@@ -24,9 +24,9 @@
 	})
 }
 
-// Prepare answers a would-be owner.
+// Prepare answers a candidate owner's request for a promise.
 func (s *Store) Prepare(ctx context.Context, message *ledgerpb.PrepareRequest) (*ledgerpb.PrepareResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.PrepareResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	return run(ctx, s, 0, func(batch *pebble.Batch) (*ledgerpb.PrepareResponse, error) {
@@ -47,9 +47,9 @@
 	})
 }
 
-// Propose takes the ensemble that an owner wants to follow its own.
+// Propose accepts or refuses an owner's proposal for the next ensemble.
 func (s *Store) Propose(ctx context.Context, message *ledgerpb.ProposeRequest) (*ledgerpb.ProposeResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.ProposeResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	return run(ctx, s, 0, func(batch *pebble.Batch) (*ledgerpb.ProposeResponse, error) {
@@ -62,9 +62,9 @@
 	})
 }
 
-// Append takes records from an owner.
+// Append writes records of an owner. It refuses records while the disk has less than Options.MinimumBytes free.
 func (s *Store) Append(ctx context.Context, message *ledgerpb.AppendRequest) (*ledgerpb.AppendResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.AppendResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	entries := wire.ToEntries(message.Entries, wire.ToBallot(message.Ballot))
@@ -89,7 +89,7 @@
 			Committed: protocol.Position(message.Committed), RecoveredTo: protocol.Position(message.RecoveredTo),
 		})
 		if answer.Verdict == protocol.VerdictOK {
-			s.hear(partition)
+			s.recordAppend(partition)
 		}
 		if err := s.apply(batch, partition, effect); err != nil {
 			return nil, err
@@ -101,9 +101,9 @@
 	})
 }
 
-// Trim removes records that the snapshot covers.
+// Trim removes records that are covered by the snapshot.
 func (s *Store) Trim(ctx context.Context, message *ledgerpb.TrimRequest) (*ledgerpb.TrimResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.TrimResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	return run(ctx, s, 0, func(batch *pebble.Batch) (*ledgerpb.TrimResponse, error) {
@@ -119,9 +119,9 @@
 	})
 }
 
-func (s *Store) is(store string) bool { return s.id == protocol.StoreID(store) }
+func (s *Store) isID(store string) bool { return s.id == protocol.StoreID(store) }
 
-// state returns the partition's state. It is called on the step goroutine only.
+// state returns the partition's state, and creates it if necessary. It must be called on the step goroutine.
 func (s *Store) state(partition protocol.PartitionID) *protocol.StoreState {
 	state, present := s.states[partition]
 	if !present {
@@ -132,7 +132,7 @@
 	return state
 }
 
-// apply adds effect and the partition's state to batch.
+// apply adds the effect's writes and the partition's state to batch.
 func (s *Store) apply(batch *pebble.Batch, partition protocol.PartitionID, effect protocol.Effect) error {
 	if !effect.Changed {
 		return nil
--- a/internal/ledger/store/snapshots.go
+++ b/internal/ledger/store/snapshots.go
@@ -13,16 +13,16 @@
 	"github.com/sloelift/sloelift/internal/ledger/wire"
 )
 
-// staging is a snapshot that is coming in chunk by chunk. It belongs to the step goroutine.
+// staging is the progress of a snapshot that is received chunk by chunk. It belongs to the step goroutine.
 type staging struct {
 	info   protocol.SnapshotInfo
 	next   uint64
 	digest *xxhash.Digest
 }
 
-// SnapshotPut takes one chunk; with the last one the snapshot is installed.
+// SnapshotPut writes one chunk of a snapshot. The last chunk installs the snapshot.
 func (s *Store) SnapshotPut(ctx context.Context, message *ledgerpb.SnapshotPutRequest) (*ledgerpb.SnapshotPutResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.SnapshotPutResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	free, err := s.options.Free()
@@ -71,7 +71,7 @@
 	return s.installSnapshot(batch, partition, message)
 }
 
-// installSnapshot makes the staged snapshot the partition's and removes others.
+// installSnapshot makes the staged snapshot the current one of the partition and removes all others.
 func (s *Store) installSnapshot(batch *pebble.Batch, partition protocol.PartitionID, message *ledgerpb.SnapshotPutRequest) (*ledgerpb.SnapshotPutResponse, error) {
 	state := s.state(partition)
 	info := wire.ToSnapshotInfo(message.Info)
@@ -98,7 +98,7 @@
 
 // SnapshotGet returns a chunk of the installed snapshot.
 func (s *Store) SnapshotGet(ctx context.Context, message *ledgerpb.SnapshotGetRequest) (*ledgerpb.SnapshotGetResponse, error) {
-	if !s.is(message.Store) {
+	if !s.isID(message.Store) {
 		return &ledgerpb.SnapshotGetResponse{Status: ledgerpb.Status_STATUS_WRONG_STORE}, nil
 	}
 	partition := protocol.PartitionID(message.Partition)
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -28,33 +28,33 @@
 const (
 	defaultReserveBytes = 256 << 20
 	defaultMinimumBytes = 64 << 20
-	requestQueue        = 1024
-	groupQueue          = 16
+	requestQueueLength  = 1024
+	groupQueueLength    = 16
 	maxGroupRequests    = 512
 	maxGroupBytes       = 4 << 20
 )
 
-// Options of a store. Zero values mean the defaults.
+// Options configures a store. Zero values mean the defaults.
 type Options struct {
-	// Files is the file system; tests put faults into it.
+	// Files is the file system; tests inject faults into it.
 	Files vfs.FS
 	// Free returns the free bytes of the disk.
 	Free func() (uint64, error)
-	// With less than ReserveBytes free owners start nothing new here; with less than
-	// MinimumBytes the store takes no records.
+	// With less than ReserveBytes free, owners are told that space is low and start no new work here. With less
+	// than MinimumBytes free, the store accepts no records.
 	ReserveBytes, MinimumBytes uint64
-	// DiskBytes is the size of a disk that holds nothing else; with it the free bytes are those that the database
-	// leaves, and the two bounds above are parts of it.
+	// DiskBytes is the size of a disk that holds only the store. If it is set, the free bytes are computed from the
+	// database's own usage, and ReserveBytes and MinimumBytes are at most a fixed fraction of it.
 	DiskBytes uint64
 	Logger    zerolog.Logger
 }
 
-// memTable returns the size of the database's tables in memory, on which the size of its logs depends.
+// memTable returns the size, in bytes, of the database's in-memory tables; the size of its logs depends on it.
 func (o Options) memTable() uint64 {
 	if o.DiskBytes == 0 {
 		return memTableBytes
 	}
-	return min(memTableBytes, max(smallestMemTable, o.DiskBytes/memTablePart))
+	return min(memTableBytes, max(minMemTableBytes, o.DiskBytes/memTableDivisor))
 }
 
 // Store is one disk's share of the ledger. It is safe for concurrent use.
@@ -64,32 +64,34 @@
 	options  Options
 	requests chan *request
 	groups   chan *group
-	// stop ends the goroutines; done is closed after them.
+	// stop ends the step and sync goroutines, for which done waits.
 	stop   context.CancelFunc
 	ctx    context.Context
 	done   sync.WaitGroup
 	failed atomic.Bool
-	// stuck says that the database could not go on; it is not closed then.
-	stuck atomic.Bool
-	// damaged says that the database found a damaged block; the store has then stopped.
+	// databaseDead is set after a fatal error of the database, which must then not be closed.
+	databaseDead atomic.Bool
+	// damaged is set if the database found a damaged block; the store has stopped then.
 	damaged atomic.Bool
 	folder  string
-	// reading is held shared by reads on other goroutines, and by Close so that none runs on a closed database.
+	// reading is held shared by reads on other goroutines, and exclusively by Close, so that no read runs on a closed
+	// database.
 	reading sync.RWMutex
 	fsyncs  atomic.Int64
 	// states belongs to the step goroutine after Open.
 	states map[protocol.PartitionID]*protocol.StoreState
-	// writes numbers the written groups; it belongs to the step goroutine, mark to the sync goroutine.
-	writes  uint64
+	// writes is the number of the last written group. It belongs to the step goroutine.
+	writes uint64
+	// mark belongs to the sync goroutine.
 	mark    *syncMark
 	staging map[protocol.PartitionID]*staging
 
-	// heard is when an owner's message was last taken, by partition; heardMutex guards it.
-	heardMutex sync.Mutex
-	heard      map[protocol.PartitionID]time.Time
+	// heard is the time of the last append accepted from an owner, by partition; heardMutex guards it.
+	lastHeardMutex sync.Mutex
+	lastHeard      map[protocol.PartitionID]time.Time
 }
 
-// request is one message for the step goroutine. step returns the answer to give once
+// request is a request to the step goroutine. step returns the answer, which is sent after
 // its writes are synced.
 type request struct {
 	size   int
@@ -110,18 +112,19 @@
 	answers  []answer
 }
 
-// Parts of a disk of known size, as divisors.
+// Divisors of Options.DiskBytes that bound ReserveBytes and MinimumBytes.
 const (
-	reservePart = 6
-	minimumPart = 16
+	reserveDivisor = 6
+	minimumDivisor = 16
 )
 
-// Open opens the store below folder, which must exist.
+// Open opens the store below folder, which must exist. A damaged database is moved aside and replaced by an empty one
+// under a new incarnation.
 func Open(folder string, options Options) (*Store, error) {
-	store := &Store{heard: map[protocol.PartitionID]time.Time{}}
+	store := &Store{lastHeard: map[protocol.PartitionID]time.Time{}}
 	if options.DiskBytes > 0 {
-		options.ReserveBytes = min(defaultReserveBytes, options.DiskBytes/reservePart)
-		options.MinimumBytes = min(defaultMinimumBytes, options.DiskBytes/minimumPart)
+		options.ReserveBytes = min(defaultReserveBytes, options.DiskBytes/reserveDivisor)
+		options.MinimumBytes = min(defaultMinimumBytes, options.DiskBytes/minimumDivisor)
 		options.Free = func() (uint64, error) {
 			used := store.database.Metrics().DiskSpaceUsage()
 			return options.DiskBytes - min(used, options.DiskBytes), nil
@@ -143,10 +146,10 @@
 		options.MinimumBytes = min(defaultMinimumBytes, options.ReserveBytes)
 	}
 	store.options, store.folder = options, folder
-	store.requests, store.groups = make(chan *request, requestQueue), make(chan *group, groupQueue)
+	store.requests, store.groups = make(chan *request, requestQueueLength), make(chan *group, groupQueueLength)
 	store.staging = map[protocol.PartitionID]*staging{}
 	store.ctx, store.stop = context.WithCancel(context.Background())
-	opened, err := openDisk(folder, options.Files, options.memTable(), options.Logger, faults{fatal: store.fail, damaged: store.markDamaged})
+	opened, err := openDisk(folder, options.Files, options.memTable(), options.Logger, faultHandlers{fatal: store.fail, damaged: store.markDamaged})
 	if err != nil {
 		return nil, err
 	}
@@ -161,61 +164,64 @@
 // ID returns the store's incarnation.
 func (s *Store) ID() protocol.StoreID { return s.id }
 
-// LastHeard returns when a message of the partition's owner was last taken; zero where none was since the start.
+// LastHeard returns the time of the last append accepted from the partition's owner; zero if there was none since the
+// start.
 func (s *Store) LastHeard(partition protocol.PartitionID) time.Time {
-	s.heardMutex.Lock()
-	defer s.heardMutex.Unlock()
-	return s.heard[partition]
+	s.lastHeardMutex.Lock()
+	defer s.lastHeardMutex.Unlock()
+	return s.lastHeard[partition]
 }
 
-func (s *Store) hear(partition protocol.PartitionID) {
-	s.heardMutex.Lock()
-	defer s.heardMutex.Unlock()
-	s.heard[partition] = clock.Now()
+func (s *Store) recordAppend(partition protocol.PartitionID) {
+	s.lastHeardMutex.Lock()
+	defer s.lastHeardMutex.Unlock()
+	s.lastHeard[partition] = clock.Now()
 }
 
-// Failed tells whether the disk has failed; the store then answers with errors only.
+// Failed reports whether the disk has failed; the store then answers all requests with errors.
 func (s *Store) Failed() bool { return s.failed.Load() }
 
-// Fsyncs returns how many synced writes the store has made; requests share them.
+// Fsyncs returns the number of synced writes, each of which may serve several requests.
 func (s *Store) Fsyncs() int64 { return s.fsyncs.Load() }
 
-// Close ends the goroutines and closes the database.
+// Close stops the goroutines, flushes the database and closes it.
 func (s *Store) Close() error {
 	s.stop()
 	s.done.Wait()
 	s.reading.Lock()
 	defer s.reading.Unlock()
-	if s.stuck.Load() {
-		// One of the database's goroutines was ended, so that closing it could wait for ever.
+	if s.databaseDead.Load() {
+		// One of the database's goroutines was terminated, so closing the database could block forever.
 		return nil
 	}
 	if s.failed.Load() {
-		// The failure has been logged; what closing says of it is not new.
+		// The failure has already been logged; errors of Close only repeat it.
 		_ = s.database.Close()
 		return s.mark.close()
 	}
-	// A flushed log leaves nothing whose end could be in doubt.
+	// The flush leaves no log whose tail could be taken for damaged at the next start.
 	return errors.Join(s.database.Flush(), s.database.Close(), s.mark.close())
 }
 
-// fail is called where the database can't go on, on any of its goroutines, and ends that goroutine.
+// fail is called by the database after a fatal error, on any of its goroutines. It stops the store and terminates the
+// calling goroutine.
 func (s *Store) fail() {
-	s.stuck.Store(true)
+	s.databaseDead.Store(true)
 	s.failed.Store(true)
 	s.stop()
 	runtime.Goexit()
 }
 
-// markDamaged stops the store, for a database does not mend a damaged block and later reads and compactions meet
-// it again. The mark has the next start put the database aside, so that the store is refilled as a lost one.
+// markDamaged stops the store, because the database does not repair a damaged block and later reads and compactions
+// would find it again. It creates a marker file, because of which the next start moves the database aside; owners then
+// refill the store like a lost one.
 func (s *Store) markDamaged() {
 	if s.damaged.Swap(true) {
 		return
 	}
 	s.failed.Store(true)
 	s.stop()
-	mark, err := s.options.Files.Create(filepath.Join(s.folder, damagedMark), vfs.WriteCategoryUnspecified)
+	mark, err := s.options.Files.Create(filepath.Join(s.folder, damagedMarkFile), vfs.WriteCategoryUnspecified)
 	if err == nil {
 		err = errors.Join(mark.Sync(), mark.Close())
 	}
@@ -224,7 +230,7 @@
 	}
 }
 
-// run has step run on the step goroutine and waits until what it wrote is synced.
+// run executes step on the step goroutine and waits until its writes are synced.
 func run[Answer any](ctx context.Context, s *Store, size int, step func(batch *pebble.Batch) (Answer, error)) (Answer, error) {
 	var none Answer
 	request := &request{size: size, answer: make(chan answer, 1), step: func(batch *pebble.Batch) (any, error) { return step(batch) }}
@@ -248,7 +254,7 @@
 	}
 }
 
-// stepLoop steps what has arrived, all in one write, and leaves the wait for the disk to syncLoop.
+// stepLoop executes the queued requests in groups, with one write per group, and leaves the wait for the disk to syncLoop.
 func (s *Store) stepLoop() {
 	defer s.done.Done()
 	defer close(s.groups)
@@ -300,7 +306,7 @@
 	return s.database.ApplyNoSyncWait(group.batch, pebble.Sync)
 }
 
-// sync waits until the group's write is on the disk, and marks that it is.
+// sync waits until the group's write is on the disk and updates the sync mark.
 func (s *Store) sync(group *group) error {
 	if group.batch.Empty() {
 		return nil
@@ -312,7 +318,7 @@
 	return s.mark.write(s.id, group.number)
 }
 
-// syncLoop answers requests once their writes are on the disk.
+// syncLoop answers requests after their writes are on the disk.
 func (s *Store) syncLoop() {
 	defer s.done.Done()
 	for group := range s.groups {
@@ -329,7 +335,8 @@
 	}
 }
 
-// BytesWritten returns what the database has written to its log and tables, rewriting by compactions counted.
+// BytesWritten returns the bytes that the database has written to its log and tables, including rewrites by compactions.
+// It returns 0 after the store has stopped.
 func (s *Store) BytesWritten() int64 {
 	s.reading.RLock()
 	defer s.reading.RUnlock()
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const plenty = uint64(1) << 40
+const ampleSpace = uint64(1) << 40
 
 func open(t *testing.T, folder string, files vfs.FS, free *uint64) *Store {
 	t.Helper()
@@ -31,7 +31,7 @@
 	return store
 }
 
-func shut(t *testing.T, store *Store) {
+func closeStore(t *testing.T, store *Store) {
 	t.Helper()
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 }
 
 func TestAcknowledgedRecordsSurviveACrash(t *testing.T) {
-	free := plenty
+	free := ampleSpace
 	files := vfs.NewCrashableMem()
 	store := open(t, "data", files, &free)
 	for position := range uint64(50) {
@@ -73,7 +73,7 @@
 			t.Fatalf("append: %v", response)
 		}
 	}
-	// The clone holds what was synced and a random part of what was not, as a torn tail does.
+	// The clone holds all synced data and a random part of the unsynced data, as after a crash with a torn tail.
 	for seed := range uint64(10) {
 		clone := files.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: rand.New(rand.NewPCG(seed, 0))})
 		again := open(t, "data", clone, &free)
@@ -88,12 +88,12 @@
 		if err != nil || promise.Status != ledgerpb.Status_STATUS_REFUSED {
 			t.Fatalf("the promise did not survive: %v %v", promise, err)
 		}
-		shut(t, again)
+		closeStore(t, again)
 	}
-	shut(t, store)
+	closeStore(t, store)
 }
 
-// flipByte changes the byte at a share of a file's length.
+// flipByte inverts the byte at the given fraction of a file's length.
 func flipByte(t *testing.T, files vfs.FS, path string, share float64) {
 	t.Helper()
 	file, err := files.OpenReadWrite(path, vfs.WriteCategoryUnspecified)
@@ -118,7 +118,7 @@
 	}
 }
 
-// filesOf lists the database's files with the suffix.
+// filesOf returns the paths of the database's files with the suffix.
 func filesOf(t *testing.T, files vfs.FS, folder, suffix string) []string {
 	t.Helper()
 	names, err := files.List(filepath.Join(folder, databaseFolder))
@@ -134,13 +134,13 @@
 	return paths
 }
 
-// The log of a store that crashed is damaged at one place after another: the store must come back with
-// all records, or as another one.
+// The log of a store that crashed is damaged at one offset after another. The store must come back with
+// all records, or under another incarnation.
 func TestDamagedLogIsRefused(t *testing.T) {
-	free := plenty
+	free := ampleSpace
 	folder := t.TempDir()
 	store := open(t, folder, vfs.Default, &free)
-	defer shut(t, store)
+	defer closeStore(t, store)
 	for position := range uint64(50) {
 		write(t, store, position+1, strings.Repeat("x", 1000))
 	}
@@ -158,19 +158,19 @@
 			if found := len(read(t, again, 1, 50).Entries); found != 50 {
 				t.Errorf("damaged at %d/%d, the store came back with %d of 50 records", place, places, found)
 			}
-			shut(t, again)
+			closeStore(t, again)
 			continue
 		}
 		refused++
-		shut(t, again)
+		closeStore(t, again)
 	}
 	if refused < places/2 {
-		t.Fatalf("only %d of %d damages were noticed", refused, places)
+		t.Fatalf("only %d of %d damaged logs were detected", refused, places)
 	}
 }
 
 func TestDamagedBlockStopsTheStore(t *testing.T) {
-	free := plenty
+	free := ampleSpace
 	files := vfs.NewMem()
 	store := open(t, "data", files, &free)
 	for position := range uint64(50) {
@@ -179,13 +179,13 @@
 	if err := store.database.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	shut(t, store)
+	closeStore(t, store)
 	for _, table := range filesOf(t, files, "data", ".sst") {
 		flipByte(t, files, table, 0.5)
 	}
 	again := open(t, "data", files, &free)
 	if again.ID() != store.ID() {
-		shut(t, again)
+		closeStore(t, again)
 		return
 	}
 	damaged := false
@@ -196,18 +196,18 @@
 	if !damaged || !again.Failed() {
 		t.Fatalf("damage noticed %v, store stopped %v", damaged, again.Failed())
 	}
-	shut(t, again)
+	closeStore(t, again)
 	refilled := open(t, "data", files, &free)
-	defer shut(t, refilled)
+	defer closeStore(t, refilled)
 	if refilled.ID() == store.ID() {
 		t.Fatal("the damaged store came back under its old incarnation")
 	}
 }
 
 func TestFullDiskRefusesRecordsAndKeepsThem(t *testing.T) {
-	free := plenty
+	free := ampleSpace
 	store := open(t, "data", vfs.NewMem(), &free)
-	defer shut(t, store)
+	defer closeStore(t, store)
 	if response := write(t, store, 1, "a"); response.SpaceLow {
 		t.Fatal("space is low from the start")
 	}
@@ -222,15 +222,15 @@
 	if response := read(t, store, 1, 3); len(response.Entries) != 2 {
 		t.Fatalf("records kept: %v", response)
 	}
-	free = plenty
+	free = ampleSpace
 	if response := write(t, store, 3, "c"); response.Status != ledgerpb.Status_STATUS_OK || response.SpaceLow {
 		t.Fatalf("with room again: %v", response)
 	}
 }
 
-// A disk that fails while the store runs must stop the store and not the process, and keep what was acknowledged.
+// A disk that fails while the store runs must stop the store but not the process. Acknowledged records must be kept.
 func TestFailingDiskStopsTheStore(t *testing.T) {
-	free := plenty
+	free := ampleSpace
 	memory := vfs.NewCrashableMem()
 	var failing atomic.Bool
 	files := errorfs.Wrap(memory, errorfs.InjectorFunc(func(operation errorfs.Op) error {
@@ -250,12 +250,12 @@
 	if err == nil {
 		t.Fatal("an append on a failing disk was acknowledged")
 	}
-	shut(t, store)
+	closeStore(t, store)
 	if !store.Failed() {
 		t.Fatal("the store does not know that it failed")
 	}
 	again := open(t, "data", memory.CrashClone(vfs.CrashCloneCfg{}), &free)
-	defer shut(t, again)
+	defer closeStore(t, again)
 	if again.ID() != store.ID() || len(read(t, again, 1, 20).Entries) != 20 {
 		t.Fatalf("%s came back as %s with %d of 20 records", store.ID(), again.ID(), len(read(t, again, 1, 20).Entries))
 	}
--- a/internal/ledger/store/sync_mark.go
+++ b/internal/ledger/store/sync_mark.go
@@ -12,12 +12,14 @@
 	"github.com/sloelift/sloelift/internal/ledger/protocol"
 )
 
-// syncMark is a small file that names the last synced write. The database cuts its log silently at damage within the
-// last 32 KiB, as if that were a torn tail; the mark tells the two apart. It is written after each
-// sync and not synced itself, so that it costs no fsync: after a power loss it may be old, which is safe.
+// syncMark is a small file that records the number of the last synced write. If the last 32 KiB of its log are damaged,
+// the database silently truncates the log there, as it does with a torn tail; the mark tells the two cases apart. It is
+// written after each sync but not synced itself, so that it costs no fsync: after a power loss it may be out of date,
+// which is safe.
 type syncMark struct{ file vfs.File }
 
-// A mark is the number of the write, the length of the incarnation, the incarnation, and their checksum in front.
+// The file holds an 8-byte checksum of the rest, the 8-byte number of the write, the 1-byte length of the incarnation,
+// and the incarnation.
 const (
 	markHeaderBytes = 8 + 8 + 1
 	markBytes       = markHeaderBytes + 255
@@ -34,7 +36,7 @@
 	return &syncMark{file: file}, nil
 }
 
-// read returns what the mark says; nothing where it is empty or torn.
+// read returns the incarnation and the number of its last synced write; zero values if the mark is empty or torn.
 func (m *syncMark) read() (protocol.StoreID, uint64) {
 	content := make([]byte, markBytes)
 	size, _ := m.file.ReadAt(content, 0)
@@ -61,7 +63,7 @@
 
 func (m *syncMark) close() error { return m.file.Close() }
 
-// lastWrite returns the number of the last write that the database holds.
+// lastWrite returns the number of the last write in the database.
 func lastWrite(database *pebble.DB) (uint64, error) {
 	value, closer, err := database.Get(writeKey())
 	if errors.Is(err, pebble.ErrNotFound) {
