--- a/internal/ledger/wire/wire.go
+++ b/internal/ledger/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire turns the ledger's protocol types into protobuf messages and back.
+// Package wire converts the ledger's protocol types to protobuf messages and back.
 package wire
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/internal/ledger/protocol"
 )
 
-// FromBallot returns nil for the zero ballot.
+// FromBallot encodes a ballot; the zero ballot is nil.
 func FromBallot(ballot protocol.Ballot) *ledgerpb.Ballot {
 	if ballot == (protocol.Ballot{}) {
 		return nil
@@ -14,12 +14,12 @@
 	return &ledgerpb.Ballot{Version: ballot.Version, Number: ballot.Number, Owner: ballot.Owner}
 }
 
-// ToBallot takes nil for the zero ballot.
+// ToBallot decodes a ballot; nil is the zero ballot.
 func ToBallot(message *ledgerpb.Ballot) protocol.Ballot {
 	return protocol.Ballot{Version: message.GetVersion(), Number: message.GetNumber(), Owner: message.GetOwner()}
 }
 
-// FromEnsemble returns nil for an ensemble without a version.
+// FromEnsemble encodes an ensemble; an ensemble with version 0 is nil.
 func FromEnsemble(ensemble protocol.Ensemble) *ledgerpb.Ensemble {
 	if ensemble.Version == 0 {
 		return nil
@@ -36,7 +36,7 @@
 	return message
 }
 
-// ToEnsemble takes nil for an ensemble without a version.
+// ToEnsemble decodes an ensemble; nil is an ensemble with version 0.
 func ToEnsemble(message *ledgerpb.Ensemble) protocol.Ensemble {
 	ensemble := protocol.Ensemble{
 		Partition: protocol.PartitionID(message.GetPartition()), Version: message.GetVersion(),
@@ -50,7 +50,7 @@
 	return ensemble
 }
 
-// FromProposal returns nil for no proposal.
+// FromProposal encodes a proposal; the absence of a proposal is nil.
 func FromProposal(proposal protocol.Proposal) *ledgerpb.Proposal {
 	if proposal.Ensemble.Version == 0 {
 		return nil
@@ -58,12 +58,12 @@
 	return &ledgerpb.Proposal{Ballot: FromBallot(proposal.Ballot), Ensemble: FromEnsemble(proposal.Ensemble)}
 }
 
-// ToProposal takes nil for no proposal.
+// ToProposal decodes a proposal; nil is the absence of a proposal.
 func ToProposal(message *ledgerpb.Proposal) protocol.Proposal {
 	return protocol.Proposal{Ballot: ToBallot(message.GetBallot()), Ensemble: ToEnsemble(message.GetEnsemble())}
 }
 
-// FromSnapshotInfo returns nil where there is no snapshot.
+// FromSnapshotInfo encodes a snapshot's description; the absence of a snapshot is nil.
 func FromSnapshotInfo(info protocol.SnapshotInfo) *ledgerpb.SnapshotInfo {
 	if info.UpTo == 0 {
 		return nil
@@ -71,7 +71,7 @@
 	return &ledgerpb.SnapshotInfo{UpTo: uint64(info.UpTo), KeepFrom: uint64(info.KeepFrom), Size: info.Size, Digest: info.Digest}
 }
 
-// ToSnapshotInfo takes nil for no snapshot.
+// ToSnapshotInfo decodes a snapshot's description; nil is the absence of a snapshot.
 func ToSnapshotInfo(message *ledgerpb.SnapshotInfo) protocol.SnapshotInfo {
 	return protocol.SnapshotInfo{
 		UpTo: protocol.Position(message.GetUpTo()), KeepFrom: protocol.Position(message.GetKeepFrom()),
@@ -79,7 +79,8 @@
 	}
 }
 
-// FromEntries encodes entries that are sent under ballot; those of another ballot carry their own.
+// FromEntries encodes entries that are sent under ballot. An entry's ballot is included only if it differs from that,
+// and its Born ballot only if it differs from the entry's.
 func FromEntries(entries []protocol.Entry, ballot protocol.Ballot) []*ledgerpb.Entry {
 	messages := make([]*ledgerpb.Entry, 0, len(entries))
 	for _, entry := range entries {
@@ -115,7 +116,7 @@
 	return entries
 }
 
-// FromVerdict returns the status of a verdict.
+// FromVerdict returns the status for a verdict.
 func FromVerdict(verdict protocol.Verdict) ledgerpb.Status {
 	switch verdict {
 	case protocol.VerdictOK:
@@ -129,7 +130,7 @@
 	}
 }
 
-// ToVerdict returns the verdict of a status; ok is false for a status that is none of the protocol's.
+// ToVerdict returns the verdict for a status; ok is false for a status that has no verdict.
 func ToVerdict(status ledgerpb.Status) (verdict protocol.Verdict, ok bool) {
 	switch status {
 	case ledgerpb.Status_STATUS_OK:
