--- a/internal/ledger/ledgertest/log.go
+++ b/internal/ledger/ledgertest/log.go
@@ -1,5 +1,5 @@
-// Package ledgertest holds an in-memory, single-copy partition log for the tests of
-// the slices that build a ledger.StateMachine.
+// Package ledgertest provides an in-memory, unreplicated partition log for tests of
+// packages that implement ledger.StateMachine.
 package ledgertest
 
 import (
@@ -10,15 +10,16 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Log is the log of one partition. It outlives its owners. It is safe for concurrent use.
+// Log is the log of one partition. Its records and snapshot remain when its owner changes. It is safe for concurrent use.
 type Log struct {
 	partition ledger.PartitionID
 
 	mutex sync.Mutex
 	// first is the position of records[0]; lower ones are trimmed.
-	first     ledger.Position
-	records   []ledger.Record
-	snapshot  []byte
+	first    ledger.Position
+	records  []ledger.Record
+	snapshot []byte
+	// covered is the last position whose record the snapshot includes.
 	covered   ledger.Position
 	owner     *Owned
 	appendErr error
@@ -29,8 +30,8 @@
 	return &Log{partition: partition, first: 1}
 }
 
-// Start makes machine the owner's state machine: it restores the latest snapshot, applies
-// every later record and serves. An earlier owner loses the partition first.
+// Start begins a new ownership with machine as its state machine: the machine restores the latest snapshot, applies
+// every later record and serves. The previous ownership ends first.
 func (l *Log) Start(machine ledger.StateMachine) (*Owned, error) {
 	l.mutex.Lock()
 	l.loseLocked()
@@ -71,21 +72,21 @@
 	return nil
 }
 
-// FailAppends makes every later Append return err without effect, until it is nil again.
+// FailAppends makes every later Append return err without effect; nil ends that.
 func (l *Log) FailAppends(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.appendErr = err
 }
 
-// Lose ends the present ownership. The user's Stop is not called.
+// Lose ends the current ownership. It does not call the state machine's Stop.
 func (l *Log) Lose() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.loseLocked()
 }
 
-// Records returns a copy of what is in the log and the position of the first of them.
+// Records returns the position of the first record in the log and a copy of all records.
 func (l *Log) Records() (ledger.Position, []ledger.Record) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -134,7 +135,7 @@
 	return position, nil
 }
 
-// AppendReserved is Append: the log is never full.
+// AppendReserved is the same as Append: the log is never full.
 func (o *Owned) AppendReserved(ctx context.Context, records []ledger.Record) (ledger.Position, error) {
 	return o.Append(ctx, records)
 }
@@ -142,8 +143,8 @@
 // HasRoom is always true.
 func (o *Owned) HasRoom() bool { return true }
 
-// Read returns records from position from on, at most maxBytes of payload but at least one;
-// behind the log's end it returns none.
+// Read returns records starting at position from: at least one, and otherwise at most maxBytes of payload;
+// past the end of the log it returns none.
 func (o *Owned) Read(_ context.Context, from ledger.Position, maxBytes int) ([]ledger.Record, error) {
 	o.log.mutex.Lock()
 	defer o.log.mutex.Unlock()
--- a/internal/ledger/ledgertest/log_test.go
+++ b/internal/ledger/ledgertest/log_test.go
@@ -8,26 +8,26 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-type lister struct {
+type recordingMachine struct {
 	restored []byte
 	applied  []ledger.Position
 	stop     bool
 }
 
-func (l *lister) Restore(snapshot []byte) error { l.restored = snapshot; return nil }
-func (l *lister) Apply(position ledger.Position, _ ledger.Record) error {
+func (l *recordingMachine) Restore(snapshot []byte) error { l.restored = snapshot; return nil }
+func (l *recordingMachine) Apply(position ledger.Position, _ ledger.Record) error {
 	l.applied = append(l.applied, position)
 	return nil
 }
-func (l *lister) Serve(ledger.Owned) {}
-func (l *lister) Snapshot() (ledger.Position, ledger.Position, []byte, error) {
+func (l *recordingMachine) Serve(ledger.Owned) {}
+func (l *recordingMachine) Snapshot() (ledger.Position, ledger.Position, []byte, error) {
 	return 2, 2, []byte("state"), nil
 }
-func (l *lister) Stop() { l.stop = true }
+func (l *recordingMachine) Stop() { l.stop = true }
 
 func TestLogSurvivesOwnersAndCompaction(t *testing.T) {
 	log := NewLog(7)
-	machine := &lister{}
+	machine := &recordingMachine{}
 	first, err := log.Start(machine)
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	if err := log.Compact(machine); err != nil {
 		t.Fatal(err)
 	}
-	next := &lister{}
+	next := &recordingMachine{}
 	second, err := log.Start(next)
 	if err != nil {
 		t.Fatal(err)
