--- a/internal/ledger/confined_formation.go
+++ b/internal/ledger/confined_formation.go
@@ -73,7 +73,9 @@
 
 // appendMissing appends the first ensemble of a partition that has none, once its regions have enough stores or
 // Timing.Formation has passed. An ensemble that exists and is too small is grown by maintain instead.
-func (m *Manager) appendMissing(missing []protocol.Ensemble, view *membership.View, partition PartitionID, regions region.Set, now time.Time) []protocol.Ensemble {
+func (m *Manager) appendMissing(
+	missing []protocol.Ensemble, view *membership.View, partition PartitionID, regions region.Set, now time.Time,
+) []protocol.Ensemble {
 	fixed, _ := m.directory.fixed()
 	stores := m.storesFor(partition, view)
 	since, noted := m.confinedFormation.since[partition]
--- a/internal/ledger/decision.go
+++ b/internal/ledger/decision.go
@@ -42,7 +42,8 @@
 // publish copies a decided ensemble to the key-value service if it is newer than the copy there. It runs on the
 // owner's control goroutine and is retried until it succeeds.
 func (m *Manager) publish(partition PartitionID, control *partitionControl, ensemble protocol.Ensemble, now time.Time) {
-	if !m.settings.MembersDecide || control.publishing || now.Before(control.nextPublish) || m.directory.publishedVersion(partition) >= ensemble.Version {
+	if !m.settings.MembersDecide || control.publishing || now.Before(control.nextPublish) ||
+		m.directory.publishedVersion(partition) >= ensemble.Version {
 		return
 	}
 	control.publishing = true
--- a/internal/ledger/fx.go
+++ b/internal/ledger/fx.go
@@ -48,7 +48,7 @@
 		return &Disk{}, nil
 	}
 	if err := os.MkdirAll(node.DataFolder, 0o750); err != nil {
-		return nil, fmt.Errorf("make the data folder: %w", err)
+		return nil, fmt.Errorf("create the data folder: %w", err)
 	}
 	options := store.Options{Logger: logger.With().Str(logging.FieldSlice, "ledger").Logger(), DiskBytes: uint64(node.Limits.DiskMegabytes) << 20}
 	opened, err := store.Open(node.DataFolder, options)
--- a/internal/ledger/maintenance.go
+++ b/internal/ledger/maintenance.go
@@ -58,7 +58,9 @@
 }
 
 // nextEnsemble returns the ensemble to change to, if a change is due.
-func (m *Manager) nextEnsemble(ensemble protocol.Ensemble, control *partitionControl, view *membership.View, now time.Time) (protocol.Ensemble, bool) {
+func (m *Manager) nextEnsemble(
+	ensemble protocol.Ensemble, control *partitionControl, view *membership.View, now time.Time,
+) (protocol.Ensemble, bool) {
 	fixed, _ := m.directory.fixed()
 	if control.ownership == nil {
 		return protocol.Ensemble{}, false
--- a/internal/ledger/protocol/model_decision_test.go
+++ b/internal/ledger/protocol/model_decision_test.go
@@ -69,7 +69,7 @@
 	for range rounds {
 		owner := w.startOwner(w.ensemble, w.number+1)
 		if !w.settle(owner) {
-			w.t.Fatalf("owner %d does not come to rest", owner.id)
+			w.t.Fatalf("owner %d does not settle", owner.id)
 		}
 		if owner.Ensemble().Version == w.ensemble.Version {
 			w.replaceLost(owner)
--- a/internal/ledger/protocol/model_test.go
+++ b/internal/ledger/protocol/model_test.go
@@ -332,7 +332,8 @@
 				continue
 			}
 			if value := string(entry.Record.Payload); value != w.acknowledged[position] {
-				w.t.Fatalf("owner %d reads %q at %d from %s, acknowledged is %q", owner.id, value, position, holding.Member.Store, w.acknowledged[position])
+				w.t.Fatalf("owner %d reads %q at %d from %s, acknowledged is %q",
+					owner.id, value, position, holding.Member.Store, w.acknowledged[position])
 			}
 		}
 	}
--- a/internal/ledger/protocol/protocol_test.go
+++ b/internal/ledger/protocol/protocol_test.go
@@ -244,7 +244,8 @@
 	}
 	owner := w.startOwner(w.ensemble, w.number+1)
 	if !w.settle(owner) {
-		w.t.Fatalf("owner %d does not come to rest: phase %d, %+v, %d requests, %d answers", owner.id, owner.Phase(), owner.Holdings(), len(w.requests), len(w.answers))
+		w.t.Fatalf("owner %d does not settle: phase %d, %+v, %d requests, %d answers",
+			owner.id, owner.Phase(), owner.Holdings(), len(w.requests), len(w.answers))
 	}
 	w.checkHealed(owner)
 }
--- a/internal/ledger/store/database.go
+++ b/internal/ledger/store/database.go
@@ -43,10 +43,9 @@
 
 // faultHandlers holds callbacks that the database calls on any of its goroutines.
 type faultHandlers struct {
-	// fatal is called after an error from which the database cannot continue. It does not return.
-	fatal func()
-	// damaged is called if a block does not match its checksum.
-	damaged func()
+	// fatal is called after an error from which the database cannot continue, and does not return. damaged is called
+	// if a block does not match its checksum.
+	fatal, damaged func()
 }
 
 // openDisk opens the database below folder. A damaged database is moved aside, never
--- a/internal/ledger/store/snapshots.go
+++ b/internal/ledger/store/snapshots.go
@@ -72,7 +72,9 @@
 }
 
 // installSnapshot makes the staged snapshot the current one of the partition and removes all others.
-func (s *Store) installSnapshot(batch *pebble.Batch, partition protocol.PartitionID, message *ledgerpb.SnapshotPutRequest) (*ledgerpb.SnapshotPutResponse, error) {
+func (s *Store) installSnapshot(
+	batch *pebble.Batch, partition protocol.PartitionID, message *ledgerpb.SnapshotPutRequest,
+) (*ledgerpb.SnapshotPutResponse, error) {
 	state := s.state(partition)
 	info := wire.ToSnapshotInfo(message.Info)
 	answer, effect := state.InstallSnapshot(wire.ToBallot(message.Ballot), protocol.Position(message.RecoveredTo), info)
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -86,7 +86,7 @@
 	mark    *syncMark
 	staging map[protocol.PartitionID]*staging
 
-	// heard is the time of the last append accepted from an owner, by partition; heardMutex guards it.
+	// lastHeard is the time of the last append accepted from an owner, by partition; lastHeardMutex guards it.
 	lastHeardMutex sync.Mutex
 	lastHeard      map[protocol.PartitionID]time.Time
 }
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -57,7 +57,9 @@
 
 func read(t *testing.T, store *Store, from, to uint64) *ledgerpb.ReadResponse {
 	t.Helper()
-	response, err := store.Read(context.Background(), &ledgerpb.ReadRequest{Partition: 1, Store: string(store.ID()), From: from, To: to, MaxBytes: 1 << 20})
+	response, err := store.Read(context.Background(), &ledgerpb.ReadRequest{
+		Partition: 1, Store: string(store.ID()), From: from, To: to, MaxBytes: 1 << 20,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +86,9 @@
 		if len(response.Entries) != 50 || string(response.Entries[49].Payload) != "record-50" {
 			t.Fatalf("%d records after the crash", len(response.Entries))
 		}
-		promise, err := again.Prepare(context.Background(), &ledgerpb.PrepareRequest{Partition: 1, Store: string(again.ID()), Ballot: &ledgerpb.Ballot{Version: 1}})
+		promise, err := again.Prepare(context.Background(), &ledgerpb.PrepareRequest{
+			Partition: 1, Store: string(again.ID()), Ballot: &ledgerpb.Ballot{Version: 1},
+		})
 		if err != nil || promise.Status != ledgerpb.Status_STATUS_REFUSED {
 			t.Fatalf("the promise did not survive: %v %v", promise, err)
 		}
--- a/internal/ledger/store_client.go
+++ b/internal/ledger/store_client.go
@@ -85,10 +85,14 @@
 	return callStore(ctx, c, member, methodTrim, request, &ledgerpb.TrimResponse{}, (*store.Store).Trim)
 }
 
-func (c *storeClient) snapshotPut(ctx context.Context, member protocol.Member, request *ledgerpb.SnapshotPutRequest) (*ledgerpb.SnapshotPutResponse, error) {
+func (c *storeClient) snapshotPut(
+	ctx context.Context, member protocol.Member, request *ledgerpb.SnapshotPutRequest,
+) (*ledgerpb.SnapshotPutResponse, error) {
 	return callStore(ctx, c, member, methodSnapshotPut, request, &ledgerpb.SnapshotPutResponse{}, (*store.Store).SnapshotPut)
 }
 
-func (c *storeClient) snapshotGet(ctx context.Context, member protocol.Member, request *ledgerpb.SnapshotGetRequest) (*ledgerpb.SnapshotGetResponse, error) {
+func (c *storeClient) snapshotGet(
+	ctx context.Context, member protocol.Member, request *ledgerpb.SnapshotGetRequest,
+) (*ledgerpb.SnapshotGetResponse, error) {
 	return callStore(ctx, c, member, methodSnapshotGet, request, &ledgerpb.SnapshotGetResponse{}, (*store.Store).SnapshotGet)
 }
