--- a/internal/ledger/manager.go
+++ b/internal/ledger/manager.go
@@ -296,7 +296,7 @@
 }
 
 // Handover releases this node's ownerships, each after its appends in progress, and starts no new ones. It
-// returns once all have ended, or with an error if ctx or the handover timeout of 10 s ends first.
+// returns once all have ended, or with an error if ctx ends or handoverTimeout passes first.
 func (m *Manager) Handover(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
