--- a/internal/ledger/confined.go
+++ b/internal/ledger/confined.go
@@ -22,8 +22,8 @@
 	// confinedBit is set only in the numbers of confined partitions: the head has at most 1<<16 partitions.
 	confinedBit = 1 << 31
 	// confinedKeyBits is the number of low bits that identify the key's slot among the partitions of the same regions;
-	// the bits between them and confinedBit identify the regions. If two sets of regions hash to the same number, the ensemble records
-	// which of them the partition belongs to.
+	// the bits between them and confinedBit identify the regions. If two sets of regions hash to the same number, the
+	// ensemble records which of them the partition belongs to.
 	confinedKeyBits = 10
 	// noHomeRetryAfter is the retry delay for a caller whose records have no partition within their regions: forming a
 	// new partition takes about as long.
