--- a/internal/snapshotcache/cache.go
+++ b/internal/snapshotcache/cache.go
@@ -18,36 +18,36 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// olderPatience is how long listings that are older than the copy in use are refused. The service never loses what it has acknowledged,
-// so that the next listing is newer; where it was restored from a backup it is followed all the same after this time.
-const olderPatience = 10 * time.Second
+// olderListingTimeout is how long listings older than the copy in use are refused. The service never loses acknowledged writes, so a later
+// listing is normally newer. After this time an older listing is accepted too: the service was restored from a backup.
+const olderListingTimeout = 10 * time.Second
 
 // Options of a Cache.
 type Options struct {
-	// Store is followed, and answers all calls.
+	// Store is the key-value service that is cached. It serves all calls.
 	Store     platform.KeyValue
 	Caller    transport.Caller
 	Registrar transport.Registrar
 	Viewer    membership.Viewer
-	// Join takes the address of a node through which this one can join the others.
+	// Join receives the address of a node through which this node can join the cluster.
 	Join func(address netip.AddrPort)
-	// Unanswered says that neither this node nor one that watches for it gets answers of the service.
+	// Unanswered reports whether the service answers neither this node nor a node that watches on its behalf.
 	Unanswered func() bool
-	// Lister returns the node that reads long lists from the service for the others that keep them; found is false where none is known. nil has each
-	// node read them. A list of up to MostShort entries is not long.
+	// Lister returns the node that reads long lists from the service on behalf of the other nodes; found is false if none is known. If Lister is
+	// nil, each node reads them itself. A list is long if it has more than MostShort entries.
 	Lister    func() (lister Lister, found bool)
 	MostShort int
-	// Seeds are nodes to ask; some may be gone.
+	// Seeds are nodes to fetch copies from; some may no longer exist.
 	Seeds []netip.AddrPort
-	// DataFolder is empty on a node that keeps nothing; such a node offers no copies.
+	// DataFolder is empty on a node without persistent storage; such a node offers no copies.
 	DataFolder string
-	// RandomSeed drives the choice of whom to ask.
+	// RandomSeed seeds the choice of the nodes to fetch from.
 	RandomSeed uint64
 	Registerer prometheus.Registerer
 	Logger     zerolog.Logger
 }
 
-// Cache is a key-value service that keeps what is followed. It is safe for concurrent use.
+// Cache wraps a key-value service and keeps copies of the prefixes that are followed. It is safe for concurrent use.
 type Cache struct {
 	platform.KeyValue
 	options Options
@@ -58,25 +58,26 @@
 	cancel      context.CancelFunc
 	unsubscribe func()
 	running     sync.WaitGroup
-	// complete is closed once all prefixes are listed. A signal in wake has other nodes asked at once, one in unsaved has the file written.
+	// complete is closed once the service has listed all prefixes. A signal on wake triggers a fetch round at once, one on unsaved a write of
+	// the file.
 	complete chan struct{}
 	wake     chan struct{}
 	unsaved  chan struct{}
 
-	// offersBy belongs to the goroutine that offers copies.
-	offersBy offersBy
+	// targetCache is accessed only by the goroutine that offers copies.
+	targetCache targetCache
 
-	// taking is held while copies are handed to take functions, and while a listing ends the use of copies, so that no copy comes after a
-	// listing.
-	taking sync.Mutex
-	// mutex guards the fields below; it may be taken while taking is held.
+	// takeMutex is held while copies are passed to take functions, and while a listing ends the use of copies, so that no copy is passed
+	// after a listing.
+	takeMutex sync.Mutex
+	// mutex guards the fields below. Lock order: takeMutex before mutex.
 	mutex    sync.Mutex
 	contents map[string]*content
 	peers    *peers
-	// remembered are the nodes that the file named.
-	remembered []machine
-	started    time.Time
-	// confirmed is closed when the service has answered what is below a prefix, and another one takes its place.
+	// savedMachines are the nodes listed in the file.
+	savedMachines []machine
+	started       time.Time
+	// confirmed is closed and replaced each time the service confirms the content of a prefix.
 	confirmed chan struct{}
 }
 
@@ -98,7 +99,7 @@
 	return cache, nil
 }
 
-// Supply has copies of what lies below prefix kept, and given to take, each newer than the one before, until the service lists the prefix.
+// Supply caches prefix and passes copies of its content to take, each newer than the previous one, until the service lists the prefix.
 // take is called by one goroutine at a time, and not after List has returned.
 func (c *Cache) Supply(prefix string, take func(copied platform.Listing)) {
 	c.mutex.Lock()
@@ -106,7 +107,7 @@
 	c.contents[prefix] = &content{take: take}
 }
 
-// Start reads the file and begins to wait for the first listings. It does not wait for them.
+// Start loads the file and starts the background goroutines. It does not wait for the first listings.
 func (c *Cache) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -114,24 +115,24 @@
 	if c.file != nil {
 		c.load()
 		c.unsubscribe = c.options.Viewer.Subscribe(func(*membership.View) { subscription.Signal(c.unsaved) })
-		c.running.Go(func() { c.keepSaved(ctx) })
+		c.running.Go(func() { c.saveLoop(ctx) })
 		c.running.Go(func() { c.offerCopies(ctx) })
 	}
 	c.running.Go(func() { c.supply(ctx) })
 }
 
-// Stop ends the questions to other nodes and the writing of the file.
+// Stop stops all goroutines: fetching from other nodes, offering copies and writing the file.
 func (c *Cache) Stop() {
 	c.unsubscribe()
 	c.cancel()
 	c.running.Wait()
 }
 
-// List reads all keys below prefix from the service, or what has changed of a long list from the node that does so for others; it ends the use of
-// copies of prefix.
+// List reads all keys below prefix from the service; of a long list it reads only the changes, from the lister node. It ends the use of copies
+// of prefix.
 func (c *Cache) List(ctx context.Context, prefix string) (platform.Listing, error) {
-	listing, caughtUp := c.catchUp(ctx, prefix)
-	if !caughtUp {
+	listing, answered := c.listFromLister(ctx, prefix)
+	if !answered {
 		var err error
 		if listing, err = c.KeyValue.List(ctx, prefix); err != nil {
 			return listing, err
@@ -143,87 +144,87 @@
 	return listing, nil
 }
 
-// Settle ends the use of copies of prefix, and keeps none of it, on a node that learns in another way what lies below it.
+// Settle ends the use of copies of prefix and drops its cached content. It is called on a node that gets the content in another way.
 func (c *Cache) Settle(prefix string) {
-	c.taking.Lock()
-	defer c.taking.Unlock()
+	c.takeMutex.Lock()
+	defer c.takeMutex.Unlock()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.contents[prefix]
-	if held == nil {
+	cached := c.contents[prefix]
+	if cached == nil {
 		return
 	}
-	held.entries, held.revision, held.encoded = nil, 0, nil
-	if !held.listed {
-		held.listed = true
+	cached.entries, cached.revision, cached.encoded = nil, 0, nil
+	if !cached.listed {
+		cached.listed = true
 		c.noteListed()
 	}
 }
 
-// takeListing takes in what the service lists; an error says that the copy in use is newer.
+// takeListing stores a listing of the service. It returns an error if the copy in use is newer.
 func (c *Cache) takeListing(prefix string, listing platform.Listing, now time.Time) error {
-	c.taking.Lock()
-	defer c.taking.Unlock()
+	c.takeMutex.Lock()
+	defer c.takeMutex.Unlock()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.contents[prefix]
-	if held == nil {
+	cached := c.contents[prefix]
+	if cached == nil {
 		return nil
 	}
-	if held.older(listing, now) {
-		c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", held.supplied).
+	if cached.refusesOlder(listing, now) {
+		c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.suppliedRevision).
 			Msg("service_older_than_copy")
-		return platform.KindUnavailable.New("listed at revision %d, the copy in use is of %d", listing.Revision, held.supplied)
+		return platform.KindUnavailable.New("the service lists revision %d, which is older than the copy in use, revision %d", listing.Revision, cached.suppliedRevision)
 	}
-	if !held.listed && held.supplied > 0 {
-		c.logger.Info().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", held.supplied).
-			Str("source", held.source).Msg("copy_confirmed")
+	if !cached.listed && cached.suppliedRevision > 0 {
+		c.logger.Info().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.suppliedRevision).
+			Str("source", cached.source).Msg("copy_confirmed")
 	}
-	held.replace(listing, now, "")
-	c.noteConfirmed(held, now)
-	if !held.listed {
-		held.listed = true
+	cached.replace(listing, now, "")
+	c.noteConfirmed(cached, now)
+	if !cached.listed {
+		cached.listed = true
 		c.noteListed()
 	}
 	subscription.Signal(c.unsaved)
 	return nil
 }
 
-// older says that a listing is behind the copy in use, and not for long.
-func (c *content) older(listing platform.Listing, now time.Time) bool {
-	if c.listed || listing.Revision >= c.supplied {
+// refusesOlder reports whether a listing is refused because it is older than the copy in use; after olderListingTimeout it is accepted.
+func (c *content) refusesOlder(listing platform.Listing, now time.Time) bool {
+	if c.listed || listing.Revision >= c.suppliedRevision {
 		return false
 	}
 	if c.olderSince.IsZero() {
 		c.olderSince = now
 	}
-	return now.Sub(c.olderSince) < olderPatience
+	return now.Sub(c.olderSince) < olderListingTimeout
 }
 
-// noteListed closes complete once no prefix is left that the service has not listed. The mutex is held.
+// noteListed updates the metric and closes complete once the service has listed all prefixes. The mutex must be held.
 func (c *Cache) noteListed() {
 	c.setInUse()
-	for _, held := range c.contents {
-		if !held.listed {
+	for _, cached := range c.contents {
+		if !cached.listed {
 			return
 		}
 	}
 	close(c.complete)
 }
 
-// setInUse sets the number of prefixes of which a copy is in use. The mutex is held.
+// setInUse updates the metric of the prefixes served from a copy. The mutex must be held.
 func (c *Cache) setInUse() {
 	inUse := 0
-	for _, held := range c.contents {
-		if !held.listed && held.supplied > 0 {
+	for _, cached := range c.contents {
+		if !cached.listed && cached.suppliedRevision > 0 {
 			inUse++
 		}
 	}
 	c.metrics.inUse.Set(float64(inUse))
 }
 
-// listedAll says that the service has listed all prefixes.
-func (c *Cache) listedAll() bool {
+// allListed reports whether the service has listed all prefixes.
+func (c *Cache) allListed() bool {
 	select {
 	case <-c.complete:
 		return true
@@ -232,7 +233,7 @@
 	}
 }
 
-// Watch delivers changes as the service does, and keeps them.
+// Watch delivers the changes of the service and applies them to the cached content.
 func (c *Cache) Watch(ctx context.Context, prefix string, fromRevision int64) (<-chan platform.WatchEvent, error) {
 	source, err := c.KeyValue.Watch(ctx, prefix, fromRevision)
 	if err != nil || !c.keeps(prefix) {
@@ -246,38 +247,38 @@
 			select {
 			case events <- event:
 			case <-ctx.Done():
-				// The source ends with ctx too; what it still has is read, so that it is not held up.
+				// The source ends with ctx too. It is drained so that its sender does not block.
 			}
 		}
 	}()
 	return events, nil
 }
 
-// keeps says that copies of prefix are kept.
+// keeps reports whether prefix is cached.
 func (c *Cache) keeps(prefix string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.contents[prefix] != nil
 }
 
-// takeChange takes in an event of a watch.
+// takeChange applies a watch event to the cached content.
 func (c *Cache) takeChange(prefix string, event platform.WatchEvent, now time.Time) {
 	if event.Err != nil {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.contents[prefix]
-	if held.entries == nil || event.Revision < held.revision {
-		// What a watch that has ended still holds may be older than a listing since.
+	cached := c.contents[prefix]
+	if cached.entries == nil || event.Revision < cached.revision {
+		// Events still buffered by an ended watch may be older than a later listing.
 		return
 	}
 	if len(event.Changed)+len(event.Deleted) == 0 {
-		held.revision, held.encoded = event.Revision, nil
-		c.noteConfirmed(held, now)
+		cached.revision, cached.encoded = event.Revision, nil
+		c.noteConfirmed(cached, now)
 		return
 	}
-	held.apply(event, now)
-	c.noteConfirmed(held, now)
+	cached.apply(event, now)
+	c.noteConfirmed(cached, now)
 	subscription.Signal(c.unsaved)
 }
--- a/internal/snapshotcache/cache_test.go
+++ b/internal/snapshotcache/cache_test.go
@@ -11,10 +11,10 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// soon is longer than a start takes to get copies from nodes that answer at once.
-const soon = 2 * listingPatience
+// soon is longer than a starting node needs to get copies from nodes that respond at once.
+const soon = 2 * firstListingTimeout
 
-// TestNormalStartAsksNobody: where the service answers at once nobody is asked, and it is called as often as without copies.
+// TestNormalStartAsksNobody: if the service answers at once, no other node is asked and the service is called once per node.
 func TestNormalStartAsksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -24,8 +24,8 @@
 			c.start(number, nodeOptions{store: store, seeds: []netip.AddrPort{addressOf(1)}})
 		}
 		time.Sleep(5 * time.Second)
-		for _, each := range c.nodes {
-			each.wantCopies()
+		for _, running := range c.nodes {
+			running.wantCopies()
 		}
 		if store.listed() != len(c.nodes) || c.asked() != 0 {
 			t.Errorf("%d listings by %d nodes, %d calls between them", store.listed(), len(c.nodes), c.asked())
@@ -34,12 +34,12 @@
 	})
 }
 
-// TestStartWithoutServiceTakesNewestCopy: copies of three ages; whatever the order of the answers the newest stays.
+// TestStartWithoutServiceTakesNewestCopy: three nodes have copies of different revisions; the newest wins in any order of the responses.
 func TestStartWithoutServiceTakesNewestCopy(t *testing.T) {
 	for _, revisions := range [][]int64{{5, 6, 7}, {7, 6, 5}, {6, 7, 5}} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t)
-			// Answers come one after the other, in the order of the nodes.
+			// Responses arrive one after the other, in the order of the nodes.
 			c.network.SetConditions(func(from, _ netip.AddrPort) memory.Conditions {
 				return memory.Conditions{Delay: time.Duration(from.Addr().As4()[3]) * time.Millisecond}
 			})
@@ -52,7 +52,7 @@
 			time.Sleep(soon)
 			copies, _, held := late.state()
 			if held[prefix+"a"] != "revision 7" || !slices.IsSorted(copies) {
-				t.Errorf("goes by %q after copies %v", held[prefix+"a"], copies)
+				t.Errorf("content in use is %q after copies %v", held[prefix+"a"], copies)
 			}
 			late.wantServed(7)
 			c.stop()
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestListingEndsCopies: the service comes back with a newer content, and nothing is asked or taken from then on.
+// TestListingEndsCopies: once the service has listed a newer content, no node is asked and no copy is used.
 func TestListingEndsCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -81,13 +81,13 @@
 			t.Errorf("copies %v, listings %v, holds %v", copies, listings, held)
 		}
 		if c.asked() != asked {
-			t.Errorf("%d nodes asked though the service has listed", c.asked()-asked)
+			t.Errorf("%d calls to other nodes after the service has listed the prefix", c.asked()-asked)
 		}
 		c.stop()
 	})
 }
 
-// TestSlowServiceIsTakenOver: a service that takes 300 ms: one copy meanwhile, then the listing, and no copy again.
+// TestSlowServiceIsTakenOver: the service takes 300 ms to answer. The node uses one copy until then, and none after the listing.
 func TestSlowServiceIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -105,7 +105,7 @@
 	})
 }
 
-// TestOlderListingIsRefused: a node never goes back behind the copy that it goes by, unless the service insists.
+// TestOlderListingIsRefused: a listing older than the copy in use is refused until olderListingTimeout has passed.
 func TestOlderListingIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -114,19 +114,19 @@
 		store := serviceAt(3)
 		store.delay = 200 * time.Millisecond
 		late := c.start(2, nodeOptions{store: store, seeds: []netip.AddrPort{holder.address}})
-		time.Sleep(olderPatience / 2)
+		time.Sleep(olderListingTimeout / 2)
 		if _, listings, held := late.state(); len(listings) > 0 || held[prefix+"a"] != "revision 9" {
-			t.Errorf("went back to listings %v", listings)
+			t.Errorf("accepted older listings %v", listings)
 		}
-		time.Sleep(olderPatience)
+		time.Sleep(olderListingTimeout)
 		if _, listings, _ := late.state(); !slices.Equal(listings, []int64{3}) {
-			t.Errorf("listings %v of a service that was restored", listings)
+			t.Errorf("listings %v of a service restored from a backup", listings)
 		}
 		c.stop()
 	})
 }
 
-// TestCopyIsRenewed: the service answers other nodes, not this one; what they learn comes here within the time that changes may take.
+// TestCopyIsRenewed: the service answers other nodes but not this one. Their changes arrive here within one renewInterval.
 func TestCopyIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -145,7 +145,7 @@
 	})
 }
 
-// TestCutOffNodeAsksSeldom: a node that reaches nobody goes by nothing, and does not flood its links; reached again, it gets a copy.
+// TestCutOffNodeAsksSeldom: a node that reaches no other node limits its rate of fetches, and gets a copy once the network heals.
 func TestCutOffNodeAsksSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -158,17 +158,17 @@
 		late := c.start(2, nodeOptions{store: silentService(), seeds: []netip.AddrPort{holder.address}})
 		time.Sleep(10 * time.Second)
 		late.wantCopies()
-		if most := int(10*time.Second/askTimeout) + 1; c.asked() > most || c.asked() == 0 {
+		if most := int(10*time.Second/fetchTimeout) + 1; c.asked() > most || c.asked() == 0 {
 			t.Errorf("%d calls in 10 s, want %d at most", c.asked(), most)
 		}
 		c.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions { return memory.Conditions{} })
-		time.Sleep(askTimeout + 2*askInterval)
+		time.Sleep(fetchTimeout + 2*fetchInterval)
 		late.wantCopies(5)
 		c.stop()
 	})
 }
 
-// TestSeedsThatAreGoneCostLittle: of the seeds none answers, silently or at once; a member that the node knows does.
+// TestSeedsThatAreGoneCostLittle: no seed answers, by timeout or by an immediate error. The node gets a copy from a member that it knows.
 func TestSeedsThatAreGoneCostLittle(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -182,24 +182,25 @@
 				store: silentService(), seeds: []netip.AddrPort{addressOf(101), addressOf(102), addressOf(103)},
 				members: []membership.Member{memberOf(1, false)},
 			})
-			time.Sleep(soon + askInterval)
+			time.Sleep(soon + fetchInterval)
 			late.wantCopies(5)
 			c.stop()
 		})
 	}
 }
 
-// TestAnswerBehindListingIsDropped: a copy that comes after the service has listed, also a newer one: the watch brings what is newer.
+// TestAnswerBehindListingIsDropped: a copy that arrives after the listing is dropped even if it is newer, since the watch delivers newer
+// content.
 func TestAnswerBehindListingIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		c.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
-			return memory.Conditions{Delay: listingPatience}
+			return memory.Conditions{Delay: firstListingTimeout}
 		})
 		holder := c.start(1, nodeOptions{store: serviceAt(5)})
 		time.Sleep(soon)
 		store := serviceAt(4)
-		store.delay = 2 * listingPatience
+		store.delay = 2 * firstListingTimeout
 		late := c.start(2, nodeOptions{store: store, seeds: []netip.AddrPort{holder.address}})
 		time.Sleep(time.Second)
 		late.wantCopies()
--- a/internal/snapshotcache/copy.go
+++ b/internal/snapshotcache/copy.go
@@ -11,28 +11,28 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// content is what is known of one prefix. The cache's mutex guards it.
+// content is the cached content of one prefix. The cache's mutex guards it.
 type content struct {
-	// entries are those at revision, by key; nil while nothing is known. takenAt is the time of day at which a node took them from the
-	// service, source the disk or the node that they came from, empty for the service.
+	// entries are the entries at revision, by key; nil while nothing is known. takenAt is the wall-clock time at which a node read them from
+	// the service. source is "disk" or the address of the node that sent them; empty for the service.
 	entries  map[string]platform.Entry
 	revision int64
 	takenAt  time.Time
 	source   string
-	// confirmedAt is when the service last answered what is below the prefix: a listing, or a watch from there on.
+	// confirmedAt is when the service last confirmed the content, by a listing or by an event of a watch.
 	confirmedAt time.Time
-	// listed says that the service has listed the prefix to this process; from then on no copy is taken.
+	// listed is set once the service has listed the prefix to this process; from then on copies are ignored.
 	listed bool
-	// take is given the copies; supplied is the revision of the last one, 0 for none.
-	take     func(copied platform.Listing)
-	supplied int64
-	// olderSince is when the service first listed an older state than the copy in use; zero where it has not.
+	// take receives the copies; suppliedRevision is the revision of the last one, 0 if there was none.
+	take             func(copied platform.Listing)
+	suppliedRevision int64
+	// olderSince is when the service first listed an older revision than the copy in use; zero if it has not.
 	olderSince time.Time
-	// encoded is the message made of entries, revision and takenAt; nil after one of them changed.
+	// encoded caches the message built from entries, revision and takenAt; nil after one of them changed.
 	encoded *snapshotcachepb.Copy
 }
 
-// replace makes a listing the content.
+// replace replaces the content with a listing.
 func (c *content) replace(listing platform.Listing, takenAt time.Time, source string) {
 	c.entries = make(map[string]platform.Entry, len(listing.Entries))
 	for _, entry := range listing.Entries {
@@ -41,7 +41,7 @@
 	c.revision, c.takenAt, c.source, c.encoded = listing.Revision, takenAt, source, nil
 }
 
-// apply takes in a change that the service delivered.
+// apply applies a watch event of the service.
 func (c *content) apply(event platform.WatchEvent, now time.Time) {
 	for _, entry := range event.Changed {
 		c.entries[entry.Key] = entry
@@ -58,7 +58,7 @@
 	return platform.Listing{Revision: c.revision, Entries: entries}
 }
 
-// message returns the content of prefix as it is sent and saved. It must not be changed.
+// message returns the encoded content, as it is sent and saved. The caller must not modify it.
 func (c *content) message(prefix string) *snapshotcachepb.Copy {
 	if c.encoded != nil {
 		return c.encoded
@@ -72,8 +72,8 @@
 	return message
 }
 
-// decode reads a copy; sound is false where it cannot be the content of its prefix at its revision.
-func decode(message *snapshotcachepb.Copy) (listing platform.Listing, takenAt time.Time, sound bool) {
+// decode decodes a copy. valid is false if it contains a key outside its prefix or an entry newer than its revision, or has no revision.
+func decode(message *snapshotcachepb.Copy) (listing platform.Listing, takenAt time.Time, valid bool) {
 	listing.Revision = message.GetRevision()
 	for _, entry := range message.GetEntries() {
 		if !strings.HasPrefix(entry.GetKey(), message.GetPrefix()) || entry.GetModRevision() > message.GetRevision() {
--- a/internal/snapshotcache/ended_watch_test.go
+++ b/internal/snapshotcache/ended_watch_test.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// TestOldChangeAfterAListingIsNotKept: a watch that has ended delivers what it still holds, which is older than a listing since.
+// TestOldChangeAfterAListingIsNotKept: an ended watch delivers buffered events that are older than a later listing; they are ignored.
 func TestOldChangeAfterAListingIsNotKept(t *testing.T) {
 	entry := func(value string, revision int64) platform.Entry {
 		return platform.Entry{Key: "p/a", Value: []byte(value), ModRevision: revision}
--- a/internal/snapshotcache/exchange.go
+++ b/internal/snapshotcache/exchange.go
@@ -22,19 +22,19 @@
 )
 
 const (
-	// listingPatience is how long the first listings are waited for before copies are asked for: the service answers within some
+	// firstListingTimeout is how long to wait for the first listings before copies are fetched. The service normally answers within some
 	// milliseconds, and a caller at a node without a configuration waits no longer than 250 ms.
-	listingPatience = 40 * time.Millisecond
-	// askedAtOnce is how many nodes are asked together, so that the newest of several answers counts and silent nodes cost no time.
-	askedAtOnce = 3
-	// askTimeout bounds the wait for one answer: a connection and two ways between regions, on a node that starts as well.
-	askTimeout = 400 * time.Millisecond
-	// askInterval is how often more nodes are asked while something is not known at all.
-	askInterval = 100 * time.Millisecond
-	// mostSent is the number of entries up to which a content is sent to another node: longer ones are no node's to keep whole.
-	mostSent = 1024
-	// renewInterval is how often newer copies are asked for while the service does not answer: it may answer other nodes, and changes
-	// must be known everywhere within 2 s.
+	firstListingTimeout = 40 * time.Millisecond
+	// peersPerRound is how many nodes are asked in parallel, so that the newest of several responses is used and a silent node causes no delay.
+	peersPerRound = 3
+	// fetchTimeout is the deadline of one fetch: connection setup and a round trip between regions, to a node that may be starting too.
+	fetchTimeout = 400 * time.Millisecond
+	// fetchInterval is the time between fetch rounds while the content of some prefix is unknown.
+	fetchInterval = 100 * time.Millisecond
+	// maxSentEntries is the largest number of entries of a prefix that is sent to another node. No node keeps longer lists as a whole.
+	maxSentEntries = 1024
+	// renewInterval is the time between fetch rounds for newer copies while the service does not answer this node. It may answer other
+	// nodes, and changes must reach all nodes within 2 s.
 	renewInterval = 700 * time.Millisecond
 )
 
@@ -50,30 +50,30 @@
 		})
 }
 
-// newer returns the copies that are newer than what the asking node has.
+// newer returns the copies that are newer than those of the requesting node.
 func (c *Cache) newer(request *snapshotcachepb.FetchRequest) *snapshotcachepb.FetchResponse {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	response := &snapshotcachepb.FetchResponse{}
 	for _, known := range request.GetKnown() {
-		held := c.contents[known.GetPrefix()]
-		if held != nil && held.entries != nil && len(held.entries) <= mostSent && held.revision > known.GetRevision() {
-			response.Copies = append(response.Copies, held.message(known.GetPrefix()))
+		cached := c.contents[known.GetPrefix()]
+		if cached != nil && cached.entries != nil && len(cached.entries) <= maxSentEntries && cached.revision > known.GetRevision() {
+			response.Copies = append(response.Copies, cached.message(known.GetPrefix()))
 		}
 	}
 	c.metrics.served.Add(float64(len(response.Copies)))
 	return response
 }
 
-// takeOffer has the node that offers copies asked next, and at once where something is missing here. It is also a contact through which
-// this node can join the others.
+// takeOffer makes the offering node the next one to fetch from, and starts a fetch round at once if the content of some prefix is unknown. The
+// offering node also serves as a contact through which this node can join the cluster.
 func (c *Cache) takeOffer(from netip.AddrPort) {
-	if c.listedAll() {
+	if c.allListed() {
 		return
 	}
 	c.mutex.Lock()
 	c.peers.add(fromOffer, from)
-	missing := c.missing()
+	missing := c.hasUnknownPrefix()
 	c.mutex.Unlock()
 	c.options.Join(from)
 	if missing {
@@ -81,19 +81,19 @@
 	}
 }
 
-// supply takes copies into use until the service has listed all prefixes.
+// supply fetches copies and puts them into use until the service has listed all prefixes.
 func (c *Cache) supply(ctx context.Context) {
-	if !c.wait(ctx, listingPatience, nil) {
+	if !c.wait(ctx, firstListingTimeout, nil) {
 		return
 	}
-	c.logger.Warn().Dur("waited", listingPatience).Msg("service_not_answering")
+	c.logger.Warn().Dur("waited", firstListingTimeout).Msg("service_not_answering")
 	c.handOver()
 	for {
-		c.ask(ctx)
+		c.fetchRound(ctx)
 		c.mutex.Lock()
 		interval := renewInterval
-		if c.missing() {
-			interval = askInterval
+		if c.hasUnknownPrefix() {
+			interval = fetchInterval
 		}
 		c.mutex.Unlock()
 		if !c.wait(ctx, interval, c.wake) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// wait waits for duration, or for a signal in wake, where it is not nil; false where there is nothing more to wait for.
+// wait waits for duration or for a signal on wake, which may be nil. It returns false if the service has listed all prefixes or ctx has ended.
 func (c *Cache) wait(ctx context.Context, duration time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -117,44 +117,44 @@
 	return true
 }
 
-// missing says that of some prefix nothing is known, and copies of it are of use. The mutex is held.
-func (c *Cache) missing() bool {
-	for _, held := range c.contents {
-		if held.entries == nil && !held.listed {
+// hasUnknownPrefix reports whether some prefix has neither a copy nor a listing. The mutex must be held.
+func (c *Cache) hasUnknownPrefix() bool {
+	for _, cached := range c.contents {
+		if cached.entries == nil && !cached.listed {
 			return true
 		}
 	}
 	return false
 }
 
-// ask asks some nodes, without waiting for their answers.
-func (c *Cache) ask(ctx context.Context) {
+// fetchRound starts fetches from peersPerRound nodes without waiting for the responses.
+func (c *Cache) fetchRound(ctx context.Context) {
 	machines := c.machines()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, known := range machines {
-		origin := fromOthers
+		origin := fromOtherMember
 		if known.store {
-			origin = fromStores
+			origin = fromStoreMember
 		}
 		if known.id != c.options.Viewer.View().Self {
 			c.peers.add(origin, known.address)
 		}
 	}
 	request := &snapshotcachepb.FetchRequest{}
-	for prefix, held := range c.contents {
-		if !held.listed {
-			request.Known = append(request.Known, &snapshotcachepb.Known{Prefix: prefix, Revision: held.revision})
+	for prefix, cached := range c.contents {
+		if !cached.listed {
+			request.Known = append(request.Known, &snapshotcachepb.Known{Prefix: prefix, Revision: cached.revision})
 		}
 	}
-	for _, address := range c.peers.choose(askedAtOnce) {
+	for _, address := range c.peers.choose(peersPerRound) {
 		c.running.Go(func() { c.fetch(ctx, address, request) })
 	}
 }
 
-// fetch takes the answer of one node.
+// fetch fetches newer copies from one node and puts them into use.
 func (c *Cache) fetch(ctx context.Context, address netip.AddrPort, request *snapshotcachepb.FetchRequest) {
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	response := &snapshotcachepb.FetchResponse{}
 	err := c.options.Caller.Call(bounded, address, methodFetch, request, response)
@@ -171,32 +171,32 @@
 	c.handOver()
 }
 
-// handOver hands the copies that are newer than those in use to the take functions of their prefixes.
+// handOver passes copies that are newer than those in use to the take functions of their prefixes.
 func (c *Cache) handOver() {
-	c.taking.Lock()
-	defer c.taking.Unlock()
+	c.takeMutex.Lock()
+	defer c.takeMutex.Unlock()
 	for _, fresh := range c.fresh(clock.Now()) {
 		fresh.take(fresh.listing)
 	}
 }
 
-// freshCopy is a copy to be taken into use.
+// freshCopy is a copy to be put into use.
 type freshCopy struct {
 	take    func(copied platform.Listing)
 	listing platform.Listing
 }
 
-// fresh returns the copies that are newer than those in use, and notes that they are in use.
+// fresh returns the copies that are newer than those in use, and marks them as in use.
 func (c *Cache) fresh(now time.Time) (all []freshCopy) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for prefix, held := range c.contents {
-		if !held.listed && held.revision > held.supplied {
-			held.supplied = held.revision
-			all = append(all, freshCopy{held.take, held.listing()})
-			c.metrics.taken.WithLabelValues(kindOf(held.source)).Inc()
-			c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, held.revision).Int("entries", len(held.entries)).
-				Dur("age", max(0, now.Sub(held.takenAt))).Str("source", held.source).Msg("serving_from_copy")
+	for prefix, cached := range c.contents {
+		if !cached.listed && cached.revision > cached.suppliedRevision {
+			cached.suppliedRevision = cached.revision
+			all = append(all, freshCopy{cached.take, cached.listing()})
+			c.metrics.taken.WithLabelValues(sourceLabel(cached.source)).Inc()
+			c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, cached.revision).Int("entries", len(cached.entries)).
+				Dur("age", max(0, now.Sub(cached.takenAt))).Str("source", cached.source).Msg("serving_from_copy")
 			subscription.Signal(c.unsaved)
 		}
 	}
@@ -204,8 +204,8 @@
 	return all
 }
 
-// kindOf is a source as the metrics name it: the disk, or any node.
-func kindOf(source string) string {
+// sourceLabel returns the metric label of a source: "disk" or "node".
+func sourceLabel(source string) string {
 	if source == sourceDisk {
 		return sourceDisk
 	}
--- a/internal/snapshotcache/file.go
+++ b/internal/snapshotcache/file.go
@@ -18,22 +18,22 @@
 	// fileFolder and fileName are below the data folder.
 	fileFolder = "copies"
 	fileName   = "newest"
-	// fileMode lets the owner only read the file, which holds tenants' keys.
+	// fileMode allows access by the owner only: the file contains tenants' keys.
 	fileMode   = 0o600
 	folderMode = 0o700
-	// checksumBytes is the XXH64 of what follows it, big endian.
+	// checksumBytes is the size of the leading checksum: the XXH64 of the rest of the file, big endian.
 	checksumBytes = 8
-	// maxFileBytes bounds the file. The service takes values up to 1 MiB, and one message between nodes holds 4 MiB.
+	// maxFileBytes limits the content of the file. The service accepts values of up to 1 MiB, and a message between nodes holds up to 4 MiB.
 	maxFileBytes = 3 << 20
 )
 
-// errDamaged says that a file was not written whole.
+// errDamaged means that the file was not completely written, or was modified.
 var errDamaged = errors.New("checksum does not match")
 
-// file is where copies outlast a loss of power. It belongs to one goroutine at a time.
+// file stores copies on disk, to survive a power loss. It must be used by one goroutine at a time.
 type file struct{ folder string }
 
-// newFile returns the file below a data folder; nil where there is none.
+// newFile returns the file below a data folder; nil if dataFolder is empty.
 func newFile(dataFolder string) *file {
 	if dataFolder == "" {
 		return nil
@@ -43,29 +43,29 @@
 
 func (f *file) path() string { return filepath.Join(f.folder, fileName) }
 
-// load returns what was saved last, nil where nothing was.
+// load returns the saved content; nil if the file does not exist.
 func (f *file) load() (*snapshotcachepb.Saved, error) {
-	held, err := os.ReadFile(f.path())
+	data, err := os.ReadFile(f.path())
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(held) < checksumBytes || binary.BigEndian.Uint64(held) != xxhash.Sum64(held[checksumBytes:]) {
+	if len(data) < checksumBytes || binary.BigEndian.Uint64(data) != xxhash.Sum64(data[checksumBytes:]) {
 		return nil, fmt.Errorf("%s: %w", f.path(), errDamaged)
 	}
 	saved := &snapshotcachepb.Saved{}
-	if err := proto.Unmarshal(held[checksumBytes:], saved); err != nil {
+	if err := proto.Unmarshal(data[checksumBytes:], saved); err != nil {
 		return nil, fmt.Errorf("decode %s: %w", f.path(), err)
 	}
 	return saved, nil
 }
 
-// save replaces the file as a whole: a loss of power leaves the old one or the new one.
+// save replaces the file atomically: after a power loss either the old or the new one is found.
 func (f *file) save(encoded []byte) error {
 	if len(encoded) > maxFileBytes {
-		return fmt.Errorf("%d bytes are over the limit of %d", len(encoded), maxFileBytes)
+		return fmt.Errorf("saved copies: %d bytes exceed the limit of %d", len(encoded), maxFileBytes)
 	}
 	if err := os.MkdirAll(f.folder, folderMode); err != nil {
 		return err
@@ -93,7 +93,7 @@
 	return written.Sync()
 }
 
-// syncFolder makes a rename last.
+// syncFolder makes a rename durable.
 func syncFolder(folder string) (err error) {
 	opened, err := os.Open(folder)
 	if err != nil {
--- a/internal/snapshotcache/harness_test.go
+++ b/internal/snapshotcache/harness_test.go
@@ -23,22 +23,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// prefix is what the nodes follow.
+// prefix is the prefix that the nodes follow.
 const prefix = "k/"
 
-// cluster is some nodes on one network.
+// cluster is a set of nodes on one network.
 type cluster struct {
 	t       *testing.T
 	network *memory.Network
 	nodes   []*node
-	// fetches counts what nodes ask each other.
+	// fetches counts the calls between nodes.
 	mutex   sync.Mutex
 	fetches int
 }
 
 func newCluster(t *testing.T) *cluster { return &cluster{t: t, network: memory.NewNetwork(1)} }
 
-// node is one process with a Cache whose prefix is followed.
+// node is one process with a Cache that follows prefix.
 type node struct {
 	cluster   *cluster
 	cache     *Cache
@@ -48,16 +48,16 @@
 	running   sync.WaitGroup
 	mutex     sync.Mutex
 	view      membership.View
-	// copies are the revisions of the copies taken, listings those of the service's listings, in their order.
+	// copies and listings are the revisions of the copies and listings received, in order.
 	copies   []int64
 	listings []int64
 	joined   []netip.AddrPort
 	unheard  bool
-	// held is the content that the node goes by.
+	// held is the content in use on the node.
 	held map[string]string
 }
 
-// nodeOptions say what a node knows at its start.
+// nodeOptions are the service, folder, seeds and members that a node starts with.
 type nodeOptions struct {
 	store   platform.KeyValue
 	folder  string
@@ -101,7 +101,7 @@
 	return c.fetches
 }
 
-// start starts node number; it follows prefix as discovery does.
+// start starts node number, which follows prefix like the discovery service does.
 func (c *cluster) start(number int, options nodeOptions) *node {
 	c.t.Helper()
 	access, err := memory.NewTransport(c.network, addressOf(number), prometheus.NewRegistry())
@@ -169,7 +169,7 @@
 	}
 }
 
-// stop ends a node as a loss of power does for the others.
+// stop stops a node; to the other nodes this looks like a power loss.
 func (n *node) stop() {
 	n.cancel()
 	n.cache.Stop()
@@ -178,14 +178,14 @@
 }
 
 func (c *cluster) stop() {
-	for _, each := range c.nodes {
-		each.stop()
+	for _, running := range c.nodes {
+		running.stop()
 	}
 	c.nodes = nil
 	synctest.Wait()
 }
 
-// state returns what a node has taken so far.
+// state returns the revisions that a node has received so far and the content in use.
 func (n *node) state() (copies, listings []int64, held map[string]string) {
 	synctest.Wait()
 	n.mutex.Lock()
@@ -197,7 +197,7 @@
 	return slices.Clone(n.copies), slices.Clone(n.listings), held
 }
 
-// wantCopies checks which copies a node has taken.
+// wantCopies checks the revisions of the copies that a node has received.
 func (n *node) wantCopies(want ...int64) {
 	n.cluster.t.Helper()
 	if copies, _, _ := n.state(); !slices.Equal(copies, want) {
@@ -205,11 +205,11 @@
 	}
 }
 
-// wantServed checks which revision a node hands to one that knows nothing.
+// wantServed checks which revision a node sends to one that has no content.
 func (n *node) wantServed(want int64) {
 	n.cluster.t.Helper()
 	response := n.cache.newer(&snapshotcachepb.FetchRequest{Known: []*snapshotcachepb.Known{{Prefix: prefix}}})
 	if len(response.Copies) != 1 || response.Copies[0].Revision != want {
-		n.cluster.t.Errorf("hands out %v, want revision %d", response.Copies, want)
+		n.cluster.t.Errorf("sends %v, want revision %d", response.Copies, want)
 	}
 }
--- a/internal/snapshotcache/metrics.go
+++ b/internal/snapshotcache/metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics show copies at work.
+// metrics are the metrics of a Cache.
 type metrics struct {
-	// inUse is the number of prefixes for which a copy is in use; taken counts copies by source, served answers with copies, saves files
-	// by result.
+	// inUse is the number of prefixes served from a copy. taken counts copies put into use, by source. served counts copies sent to other
+	// nodes. saves counts writes of the file, by result.
 	inUse  prometheus.Gauge
 	taken  *prometheus.CounterVec
 	served prometheus.Counter
@@ -19,7 +19,7 @@
 )
 
 func newMetrics(registerer prometheus.Registerer) (*metrics, error) {
-	made := &metrics{
+	created := &metrics{
 		inUse: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sloelift_snapshotcache_prefixes_by_copy", Help: "Prefixes of the key-value service that this node knows by a copy only.",
 		}),
@@ -33,10 +33,10 @@
 			Name: "sloelift_snapshotcache_saves_total", Help: "Writes of the file of copies, by result.",
 		}, []string{"result"}),
 	}
-	for _, collector := range []prometheus.Collector{made.inUse, made.taken, made.served, made.saves} {
+	for _, collector := range []prometheus.Collector{created.inUse, created.taken, created.served, created.saves} {
 		if err := registerer.Register(collector); err != nil {
 			return nil, err
 		}
 	}
-	return made, nil
+	return created, nil
 }
--- a/internal/snapshotcache/offers.go
+++ b/internal/snapshotcache/offers.go
@@ -17,66 +17,66 @@
 )
 
 const (
-	// offerInterval is how often copies are offered while the service does not answer. A node that starts without a disk and knows nobody
-	// waits this long at most; each node gets offerers messages of a few bytes in that time.
+	// offerInterval is how often copies are offered while the service does not answer. It bounds the wait of a starting node that has no disk
+	// and knows no other node. Each node receives offerersPerNode messages of a few bytes per interval.
 	offerInterval = 200 * time.Millisecond
-	// offerers is how many nodes offer copies to each node, so that two of them may be lost.
-	offerers = 3
-	// rememberFor is how long after a start the nodes count that the file named: this node may not have found them again before, also where
-	// the service answers.
-	rememberFor = time.Minute
+	// offerersPerNode is how many nodes offer copies to each node, so that two of them may fail.
+	offerersPerNode = 3
+	// savedMachinesLifetime is how long after the start the nodes listed in the file count as known. This node may not have rediscovered
+	// them earlier, even if the service answers.
+	savedMachinesLifetime = time.Minute
 )
 
-// offerCopies offers copies to this node's share of the others while the service does not answer, until ctx ends.
+// offerCopies offers copies to the nodes that targetsOf assigns to this one, while the service does not answer, until ctx ends.
 func (c *Cache) offerCopies(ctx context.Context) {
-	if !pause.Sleep(ctx, listingPatience) {
+	if !pause.Sleep(ctx, firstListingTimeout) {
 		return
 	}
 	c.offer()
 	pause.Every(ctx, offerInterval, func(time.Time) { c.offer() })
 }
 
-// offer offers copies once, where there are some and the service does not answer.
+// offer offers copies once, if the service does not answer and this node has a copy of every prefix that is not listed.
 func (c *Cache) offer() {
-	if c.listedAll() && !c.options.Unanswered() {
+	if c.allListed() && !c.options.Unanswered() {
 		return
 	}
 	c.mutex.Lock()
-	missing := c.missing()
+	missing := c.hasUnknownPrefix()
 	c.mutex.Unlock()
 	if missing {
 		return
 	}
 	for _, address := range c.offerTargets() {
-		// A message that is lost is sent again in the next interval.
+		// A lost message is repeated in the next interval.
 		_ = c.options.Caller.Send(address, methodOffer, &snapshotcachepb.Offer{})
 	}
 }
 
-// offerTargets returns the nodes to which this one offers, worked out once for each view of the members: that takes a step for each node and each
-// node with a data folder.
+// offerTargets returns the nodes to which this node offers copies. They are computed once per membership view, since the cost is the number of
+// nodes times the number of nodes with a data folder.
 func (c *Cache) offerTargets() []netip.AddrPort {
 	view := c.options.Viewer.View()
-	remembering := clock.Since(c.started) < rememberFor
-	if c.offersBy.view != view || c.offersBy.remembering != remembering {
-		c.offersBy = offersBy{view: view, remembering: remembering, targets: offerTo(view.Self, c.machines())}
+	withSaved := clock.Since(c.started) < savedMachinesLifetime
+	if c.targetCache.view != view || c.targetCache.withSaved != withSaved {
+		c.targetCache = targetCache{view: view, withSaved: withSaved, targets: targetsOf(view.Self, c.machines())}
 	}
-	return c.offersBy.targets
+	return c.targetCache.targets
 }
 
-// offersBy are the nodes to which this one offers by one view of the members.
-type offersBy struct {
-	view        *membership.View
-	remembering bool
-	targets     []netip.AddrPort
+// targetCache holds the offer targets computed for one membership view.
+type targetCache struct {
+	view      *membership.View
+	withSaved bool
+	targets   []netip.AddrPort
 }
 
-// machines returns the nodes that are known, sorted by ID: the members, and for a while after the start those that the file named.
+// machines returns the known nodes, sorted by ID: the members and, for savedMachinesLifetime after the start, those listed in the file.
 func (c *Cache) machines() []machine {
 	known := map[membership.NodeID]machine{}
-	if clock.Since(c.started) < rememberFor {
+	if clock.Since(c.started) < savedMachinesLifetime {
 		c.mutex.Lock()
-		for _, named := range c.remembered {
+		for _, named := range c.savedMachines {
 			known[named.id] = named
 		}
 		c.mutex.Unlock()
@@ -89,25 +89,25 @@
 	return slices.SortedFunc(maps.Values(known), func(a, b machine) int { return cmp.Compare(a.id, b.id) })
 }
 
-// offerTo returns the nodes to which self offers: those of whose offerers, the first of the nodes with a data folder by a digest of both
-// names, it is one.
-func offerTo(self membership.NodeID, machines []machine) (addresses []netip.AddrPort) {
-	own := func(target machine) uint64 { return affinity(self, target.id) }
+// targetsOf returns the nodes to which self offers copies, chosen by rendezvous hashing: each node is served by the offerersPerNode nodes with
+// a data folder that have the highest affinity for it.
+func targetsOf(self membership.NodeID, machines []machine) (addresses []netip.AddrPort) {
+	ownAffinity := func(target machine) uint64 { return affinity(self, target.id) }
 	for _, target := range machines {
-		before := 0
+		higherRanked := 0
 		for _, other := range machines {
-			if other.store && other.id != self && other.id != target.id && affinity(other.id, target.id) > own(target) {
-				before++
+			if other.store && other.id != self && other.id != target.id && affinity(other.id, target.id) > ownAffinity(target) {
+				higherRanked++
 			}
 		}
-		if target.id != self && before < offerers {
+		if target.id != self && higherRanked < offerersPerNode {
 			addresses = append(addresses, target.address)
 		}
 	}
 	return addresses
 }
 
-// affinity ranks the nodes that may offer to target.
+// affinity returns the rendezvous hash by which the offerers of target are ranked.
 func affinity(offerer, target membership.NodeID) uint64 {
 	return xxhash.Sum64String(string(offerer) + "\x00" + string(target))
 }
--- a/internal/snapshotcache/peers.go
+++ b/internal/snapshotcache/peers.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// origin says how a peer is known; of peers that were asked as often the lower one is asked first.
+// origin is how a peer became known. Of peers with equally many attempts, the one with the lower origin is asked first.
 type origin int
 
 const (
-	// fromOffer is a node that says that it has copies.
+	// fromOffer is a node that has offered copies.
 	fromOffer origin = iota
-	// fromSeed is a node of the settings, usually with a data folder.
+	// fromSeed is a node named in the settings, usually one with a data folder.
 	fromSeed
-	// fromStores is a member, or a remembered node, with a data folder; fromOthers one without.
-	fromStores
-	fromOthers
+	// fromStoreMember is a member, or a node listed in the file, with a data folder; fromOtherMember is one without.
+	fromStoreMember
+	fromOtherMember
 )
 
-// maxPeers bounds the nodes that are known to be asked.
+// maxPeers limits the number of known peers.
 const maxPeers = 4096
 
 // peer is a node that can be asked for copies.
 type peer struct {
 	origin origin
-	// asked is how often it was, asking that it is right now.
-	asked  int
-	asking bool
+	// attempts counts the fetches from this peer; inFlight is set while one is in flight.
+	attempts int
+	inFlight bool
 }
 
-// peers chooses whom to ask. The cache's mutex guards it.
+// peers chooses the nodes to fetch copies from. The cache's mutex guards it.
 type peers struct {
 	random *rand.Rand
 	known  map[netip.AddrPort]*peer
@@ -41,53 +41,53 @@
 	return &peers{random: random, known: map[netip.AddrPort]*peer{}}
 }
 
-// add adds nodes; one that is known already keeps the better of its origins. Who offers copies is asked next, though it was asked before.
+// add adds nodes. A known node keeps the lower of its origins. A node that offers copies is asked next, even if it was asked before.
 func (p *peers) add(origin origin, addresses ...netip.AddrPort) {
 	for _, address := range addresses {
-		held := p.known[address]
-		if held == nil {
+		entry := p.known[address]
+		if entry == nil {
 			if len(p.known) < maxPeers && address.IsValid() {
 				p.known[address] = &peer{origin: origin}
 			}
 			continue
 		}
-		held.origin = min(held.origin, origin)
+		entry.origin = min(entry.origin, origin)
 		if origin == fromOffer {
-			held.asked = 0
+			entry.attempts = 0
 		}
 	}
 }
 
-// choose returns up to count nodes that are not being asked: those first that were asked least, by their origins, and at random among
-// equals. They count as being asked until done.
+// choose returns up to count nodes with no fetch in flight, ordered by attempts, then by origin, then at random. They count as in flight
+// until done.
 func (p *peers) choose(count int) []netip.AddrPort {
 	type candidate struct {
 		address netip.AddrPort
 		*peer
-		draw uint64
+		tiebreak uint64
 	}
 	var candidates []candidate
-	for address, held := range p.known {
-		if !held.asking {
-			candidates = append(candidates, candidate{address, held, 0})
+	for address, entry := range p.known {
+		if !entry.inFlight {
+			candidates = append(candidates, candidate{address, entry, 0})
 		}
 	}
-	// The order of a map is no order that a seed repeats.
+	// Map iteration order is not reproducible from a seed.
 	slices.SortFunc(candidates, func(a, b candidate) int { return a.address.Compare(b.address) })
 	for index := range candidates {
-		candidates[index].draw = p.random.Uint64()
+		candidates[index].tiebreak = p.random.Uint64()
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.asked, b.asked), cmp.Compare(a.origin, b.origin), cmp.Compare(a.draw, b.draw))
+		return cmp.Or(cmp.Compare(a.attempts, b.attempts), cmp.Compare(a.origin, b.origin), cmp.Compare(a.tiebreak, b.tiebreak))
 	})
 	var chosen []netip.AddrPort
-	for _, each := range candidates[:min(count, len(candidates))] {
-		each.asking = true
-		each.asked++
-		chosen = append(chosen, each.address)
+	for _, picked := range candidates[:min(count, len(candidates))] {
+		picked.inFlight = true
+		picked.attempts++
+		chosen = append(chosen, picked.address)
 	}
 	return chosen
 }
 
-// done notes that a node that was asked has answered, or will not.
-func (p *peers) done(address netip.AddrPort) { p.known[address].asking = false }
+// done records that the fetch from a node has ended, with or without a response.
+func (p *peers) done(address netip.AddrPort) { p.known[address].inFlight = false }
--- a/internal/snapshotcache/power_loss_test.go
+++ b/internal/snapshotcache/power_loss_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// powerLoss is a system of storage nodes and edges that has run, and lost all its power.
+// powerLoss is a cluster of storage nodes and edges in which all nodes have lost power.
 type powerLoss struct {
 	*cluster
 	folders []string
@@ -21,7 +21,7 @@
 	edges   int
 }
 
-// losePower runs stores and edges by a service at revision, and ends them all.
+// losePower runs stores and edges with a service at revision, and then stops all of them.
 func losePower(t *testing.T, stores, edges int, revision int64) *powerLoss {
 	system := &powerLoss{cluster: newCluster(t), stores: stores, edges: edges}
 	store := serviceAt(revision)
@@ -43,7 +43,7 @@
 	return system
 }
 
-// restart starts all nodes while the service is silent; none knows another but by its disk.
+// restart starts all nodes while the service is silent. They know other nodes only from their disks.
 func (p *powerLoss) restart() (edges []*node) {
 	for number := 1; number <= p.stores+p.edges; number++ {
 		options := nodeOptions{store: silentService()}
@@ -57,7 +57,8 @@
 	return edges
 }
 
-// TestLossOfAllPower: only the disks of storage nodes remember; they reach out to the edges, which know nobody.
+// TestLossOfAllPower: after a power loss only the disks of storage nodes have copies. Storage nodes offer them to the edges, which know no
+// other node.
 func TestLossOfAllPower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		system := losePower(t, 5, 12, 7)
@@ -69,14 +70,14 @@
 				t.Errorf("%s holds %v", edge.address, held)
 			}
 			if len(edge.joined) == 0 {
-				t.Errorf("%s knows nobody to join", edge.address)
+				t.Errorf("%s knows no node to join", edge.address)
 			}
 		}
 		system.stop()
 	})
 }
 
-// TestLossOfAllPowerAndTwoDisks: two of the disks come back empty; every edge still has an offerer.
+// TestLossOfAllPowerAndTwoDisks: two of the disks are empty after the restart; every edge still has an offerer.
 func TestLossOfAllPowerAndTwoDisks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		system := losePower(t, 5, 12, 7)
@@ -87,14 +88,14 @@
 		}
 		edges := system.restart()
 		time.Sleep(soon + 2*offerInterval)
-		for _, each := range append(edges, system.nodes[0], system.nodes[1]) {
-			each.wantCopies(7)
+		for _, restarted := range append(edges, system.nodes[0], system.nodes[1]) {
+			restarted.wantCopies(7)
 		}
 		system.stop()
 	})
 }
 
-// TestDamagedFileIsNotTaken: a file that was not written whole, or was changed; the node goes by the others' copies.
+// TestDamagedFileIsNotTaken: a file that is truncated or modified is not used.
 func TestDamagedFileIsNotTaken(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -128,7 +129,7 @@
 	}
 }
 
-// TestOwnFileIsTaken: a storage node alone goes by its own file, and an older copy of another node does not replace it.
+// TestOwnFileIsTaken: a single storage node uses its own file, and an older copy of another node does not replace it.
 func TestOwnFileIsTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		system := losePower(t, 1, 0, 7)
@@ -141,7 +142,7 @@
 	})
 }
 
-// TestFileIsWrittenSeldom: many changes in one second are one write.
+// TestFileIsWrittenSeldom: many changes within one second are written once.
 func TestFileIsWrittenSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -156,7 +157,7 @@
 		}
 		saved, err := newFile(folder).load()
 		if err != nil || saved.Copies[0].Revision == store.revision {
-			t.Errorf("revision %d saved at once (%v), though more changes may follow", saved.Copies[0].Revision, err)
+			t.Errorf("revision %d saved before saveInterval has passed (%v)", saved.Copies[0].Revision, err)
 		}
 		time.Sleep(2 * saveInterval)
 		if saved, err = newFile(folder).load(); err != nil || saved.Copies[0].Revision != store.revision {
@@ -178,7 +179,7 @@
 	return info.ModTime().UnixNano()
 }
 
-// TestOffersWhileServiceIsAway: nodes that run on, while the service answers nobody, offer to those that start and know nobody.
+// TestOffersWhileServiceIsAway: while the service is down, running nodes offer copies to starting nodes that know no other node.
 func TestOffersWhileServiceIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -197,7 +198,8 @@
 	})
 }
 
-// TestEachNodeHasSeveralOfferers: whatever nodes there are, all that know them agree on three offerers for each, none of them itself.
+// TestEachNodeHasSeveralOfferers: for random sets of nodes, each node has offerersPerNode offerers, or all other storage nodes if there are
+// fewer.
 func TestEachNodeHasSeveralOfferers(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -213,11 +215,11 @@
 			}
 		}
 		offered := map[netip.AddrPort]int{}
-		for _, each := range machines {
-			if !each.store {
+		for _, offerer := range machines {
+			if !offerer.store {
 				continue
 			}
-			for _, address := range offerTo(each.id, machines) {
+			for _, address := range targetsOf(offerer.id, machines) {
 				offered[address]++
 			}
 		}
@@ -226,23 +228,23 @@
 			if target.store {
 				others--
 			}
-			if got := offered[target.address]; got != min(offerers, others) {
-				t.Errorf("%s has %d offerers of %d", target.id, got, others)
+			if got := offered[target.address]; got != min(offerersPerNode, others) {
+				t.Errorf("%s has %d offerersPerNode of %d", target.id, got, others)
 			}
 		}
 	}
 }
 
-// TestTooLargeFileIsNotWritten: the file before it stays.
+// TestTooLargeFileIsNotWritten: content over the size limit is refused and the previous file stays.
 func TestTooLargeFileIsNotWritten(t *testing.T) {
 	held := newFile(t.TempDir())
 	if err := held.save([]byte{}); err != nil {
 		t.Fatal(err)
 	}
 	if err := held.save(make([]byte, maxFileBytes+1)); err == nil {
-		t.Error("written, though over the limit")
+		t.Error("written although over the size limit")
 	}
 	if _, err := held.load(); err != nil {
-		t.Errorf("the file before it is gone: %v", err)
+		t.Errorf("the previous file is gone: %v", err)
 	}
 }
--- a/internal/snapshotcache/saving.go
+++ b/internal/snapshotcache/saving.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// saveInterval bounds how often the file is written: each write is two syncs on the disk on which jobs are recorded, and during a
-	// release the replicas change several times a second.
+	// saveInterval is the minimum time between writes of the file. Each write takes two syncs on the disk that also stores the jobs, and
+	// during a release the replicas change several times a second.
 	saveInterval = time.Second
 	// sourceDisk is the source of a copy from this node's own file.
 	sourceDisk = "disk"
 )
 
-// machine is another node, or this one.
+// machine is a node of the cluster; store is set if it has a data folder.
 type machine struct {
 	id      membership.NodeID
 	address netip.AddrPort
 	store   bool
 }
 
-// load takes in the file. Its copies are handed to nodes that ask, and taken into use where the service does not answer.
+// load reads the file. Its copies are served to other nodes, and used here if the service does not answer.
 func (c *Cache) load() {
 	saved, err := c.file.load()
 	if err != nil {
@@ -50,12 +50,12 @@
 			continue
 		}
 		known := machine{id: membership.NodeID(named.GetId()), address: address, store: named.GetStore()}
-		c.remembered = append(c.remembered, known)
+		c.savedMachines = append(c.savedMachines, known)
 	}
 }
 
-// keepSaved writes the file after changes, until ctx ends.
-func (c *Cache) keepSaved(ctx context.Context) {
+// saveLoop writes the file after changes, until ctx ends.
+func (c *Cache) saveLoop(ctx context.Context) {
 	last := uint64(0)
 	for {
 		select {
@@ -70,9 +70,9 @@
 	}
 }
 
-// save writes the file unless its content is the one with the digest last. It returns the digest of what the file holds.
+// save writes the file unless the digest of its content is last. It returns the digest of the file's content.
 func (c *Cache) save(last uint64) uint64 {
-	saved := c.saved()
+	saved := c.fileContent()
 	if len(saved.Copies) == 0 {
 		return last
 	}
@@ -93,15 +93,15 @@
 	return digest
 }
 
-// saved is what the file is to hold.
-func (c *Cache) saved() *snapshotcachepb.Saved {
+// fileContent returns the content to be written to the file.
+func (c *Cache) fileContent() *snapshotcachepb.Saved {
 	machines := c.machines()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	saved := &snapshotcachepb.Saved{}
-	for prefix, held := range c.contents {
-		if held.entries != nil {
-			saved.Copies = append(saved.Copies, held.message(prefix))
+	for prefix, cached := range c.contents {
+		if cached.entries != nil {
+			saved.Copies = append(saved.Copies, cached.message(prefix))
 		}
 	}
 	slices.SortFunc(saved.Copies, func(a, b *snapshotcachepb.Copy) int { return cmp.Compare(a.Prefix, b.Prefix) })
@@ -111,17 +111,18 @@
 	return saved
 }
 
-// takeCopy takes in a copy from source where it is newer than what is known and the service has listed nothing yet. The mutex is held.
+// takeCopy stores a copy from source if it is newer than the cached content and the service has not listed the prefix yet. The mutex must be
+// held.
 func (c *Cache) takeCopy(message *snapshotcachepb.Copy, source string) {
-	held := c.contents[message.GetPrefix()]
-	if held == nil || held.listed || message.GetRevision() <= held.revision {
+	cached := c.contents[message.GetPrefix()]
+	if cached == nil || cached.listed || message.GetRevision() <= cached.revision {
 		return
 	}
-	listing, takenAt, sound := decode(message)
-	if !sound {
+	listing, takenAt, valid := decode(message)
+	if !valid {
 		c.logger.Warn().Str(logging.FieldPrefix, message.GetPrefix()).Int64(logging.FieldRevision, message.GetRevision()).Str("source", source).
 			Msg("copy_unsound")
 		return
 	}
-	held.replace(listing, takenAt, source)
+	cached.replace(listing, takenAt, source)
 }
--- a/internal/snapshotcache/service_test.go
+++ b/internal/snapshotcache/service_test.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// service is a key-value service that can be silent or slow.
+// service is a fake key-value service that can be silent or slow.
 type service struct {
 	platform.KeyValue
 	mutex    sync.Mutex
@@ -90,14 +90,14 @@
 	return s.lists
 }
 
-// serviceAt is an answering service at revision with one key that names it.
+// serviceAt returns a responding service at revision, with one key whose value names the revision.
 func serviceAt(revision int64) *service {
-	at := newService(revision - 1)
-	at.put(prefix+"a", fmt.Sprint("revision ", revision))
-	return at
+	created := newService(revision - 1)
+	created.put(prefix+"a", fmt.Sprint("revision ", revision))
+	return created
 }
 
-// silentService answers nothing.
+// silentService returns a service that never answers.
 func silentService() *service {
 	silent := newService(0)
 	silent.silent = true
--- a/internal/snapshotcache/since.go
+++ b/internal/snapshotcache/since.go
@@ -17,20 +17,20 @@
 const methodSince transport.Method = "snapshotcache.since"
 
 const (
-	// sinceHold is how long a question for changes is held until the service has confirmed what is known: it answers a node that watches it once
-	// a second.
-	sinceHold = 1200 * time.Millisecond
-	// sinceTimeout bounds the wait for the answer, which has all keys of a long list.
-	sinceTimeout = sinceHold + 300*time.Millisecond
+	// sinceMaxWait limits how long a request for changes waits until the service has confirmed the cached content. The service confirms it to a
+	// watching node once a second.
+	sinceMaxWait = 1200 * time.Millisecond
+	// sinceTimeout is the deadline of the call. The response contains all keys of a long list.
+	sinceTimeout = sinceMaxWait + 300*time.Millisecond
 )
 
-// Lister is the node that reads a long list from the service for the others that keep it.
+// Lister is the node that reads long lists from the service on behalf of the others.
 type Lister struct {
 	Address netip.AddrPort
 	Self    bool
 }
 
-// handleSince answers other nodes that keep a long list.
+// handleSince registers the method by which other nodes request the changes of a long list.
 func (c *Cache) handleSince() {
 	transport.Handle(c.options.Registrar, methodSince, func() *snapshotcachepb.SinceRequest { return &snapshotcachepb.SinceRequest{} },
 		func(ctx context.Context, _ netip.AddrPort, request *snapshotcachepb.SinceRequest) (*snapshotcachepb.SinceResponse, error) {
@@ -38,20 +38,20 @@
 		})
 }
 
-// answerSince waits until the service has confirmed what is known of the prefix since the question came: the answer is then as new as a listing of
-// the asking node would have been.
+// answerSince waits until the service has confirmed the content of the prefix after the request arrived. The response is then as recent as a
+// listing by the requesting node would have been.
 func (c *Cache) answerSince(ctx context.Context, request *snapshotcachepb.SinceRequest) (*snapshotcachepb.SinceResponse, error) {
-	came := clock.Now()
-	over := time.NewTimer(sinceHold)
-	defer over.Stop()
+	receivedAt := clock.Now()
+	timeout := time.NewTimer(sinceMaxWait)
+	defer timeout.Stop()
 	for {
-		response, confirmed := c.since(request, came)
+		response, confirmed := c.since(request, receivedAt)
 		if response != nil {
 			return response, nil
 		}
 		select {
 		case <-confirmed:
-		case <-over.C:
+		case <-timeout.C:
 			return nil, outcome.New(outcome.NotRun, outcome.ReasonUnavailable, "the key-value service does not confirm the list here")
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -59,16 +59,16 @@
 	}
 }
 
-// since returns the answer, nil while it is not confirmed; confirmed is closed at the next confirmation.
-func (c *Cache) since(request *snapshotcachepb.SinceRequest, came time.Time) (response *snapshotcachepb.SinceResponse, confirmed <-chan struct{}) {
+// since returns the response; nil while the content is not confirmed. confirmed is closed at the next confirmation.
+func (c *Cache) since(request *snapshotcachepb.SinceRequest, receivedAt time.Time) (response *snapshotcachepb.SinceResponse, confirmed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.contents[request.GetPrefix()]
-	if held == nil || !held.listed || held.entries == nil || !held.confirmedAt.After(came) {
+	cached := c.contents[request.GetPrefix()]
+	if cached == nil || !cached.listed || cached.entries == nil || !cached.confirmedAt.After(receivedAt) {
 		return nil, c.confirmed
 	}
-	response = &snapshotcachepb.SinceResponse{Revision: held.revision}
-	for key, entry := range held.entries {
+	response = &snapshotcachepb.SinceResponse{Revision: cached.revision}
+	for key, entry := range cached.entries {
 		response.Keys = append(response.Keys, key)
 		if entry.ModRevision > request.GetRevision() {
 			response.Changed = append(response.Changed, encodeEntry(entry))
@@ -77,16 +77,16 @@
 	return response, nil
 }
 
-// noteConfirmed notes that the service has just answered what is below a prefix. The mutex is held.
-func (c *Cache) noteConfirmed(held *content, now time.Time) {
-	held.confirmedAt = now
+// noteConfirmed records that the service has just confirmed the content of a prefix. The mutex must be held.
+func (c *Cache) noteConfirmed(cached *content, now time.Time) {
+	cached.confirmedAt = now
 	close(c.confirmed)
 	c.confirmed = make(chan struct{})
 }
 
-// catchUp brings a long list, which this node keeps and has missed changes of, up to date at the node that reads it from the service for all:
-// each reading takes many calls. It returns false where the service is to be asked.
-func (c *Cache) catchUp(ctx context.Context, prefix string) (platform.Listing, bool) {
+// listFromLister updates a cached long list with the changes that this node has missed, read from the lister node, since each listing of it by
+// the service takes many calls. It returns false if the service must be asked.
+func (c *Cache) listFromLister(ctx context.Context, prefix string) (platform.Listing, bool) {
 	known, revision := c.longContent(prefix)
 	if known == nil {
 		return platform.Listing{}, false
@@ -106,19 +106,20 @@
 	return merge(known, revision, response)
 }
 
-// longContent returns what is known of a prefix that the service has listed, and its revision; nil where that is not long.
+// longContent returns the entries and the revision of a prefix that the service has listed; nil if the list is not long.
 func (c *Cache) longContent(prefix string) (map[string]platform.Entry, int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	held := c.contents[prefix]
-	if held == nil || !held.listed || c.options.Lister == nil || len(held.entries) <= c.options.MostShort {
+	cached := c.contents[prefix]
+	if cached == nil || !cached.listed || c.options.Lister == nil || len(cached.entries) <= c.options.MostShort {
 		return nil, 0
 	}
-	return maps.Clone(held.entries), held.revision
+	return maps.Clone(cached.entries), cached.revision
 }
 
-// merge returns the listing that known, as of revision, becomes by an answer; whole is false where the answer is older, or lacks something.
-func merge(known map[string]platform.Entry, revision int64, response *snapshotcachepb.SinceResponse) (listing platform.Listing, whole bool) {
+// merge applies a response to known, the entries at revision, and returns the resulting listing. complete is false if the response is older
+// than revision or an entry is missing.
+func merge(known map[string]platform.Entry, revision int64, response *snapshotcachepb.SinceResponse) (listing platform.Listing, complete bool) {
 	if response.GetRevision() < revision {
 		return platform.Listing{}, false
 	}
--- a/internal/snapshotcache/since_test.go
+++ b/internal/snapshotcache/since_test.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// TestMerge: what is known becomes the listing that the other node has, or none is made of it.
+// TestMerge: applying a response to the known entries gives the listing of the lister node; an older or incomplete response gives none.
 func TestMerge(t *testing.T) {
 	const revision = 5
 	known := func() map[string]platform.Entry {
@@ -26,9 +26,9 @@
 		{"older than what is known", &snapshotcachepb.SinceResponse{Revision: 4, Keys: []string{"a"}}, nil},
 		{"a key of which nothing came", &snapshotcachepb.SinceResponse{Revision: 7, Keys: []string{"a", "c"}}, nil},
 	} {
-		listing, whole := merge(known(), revision, test.response)
-		if whole != (test.want != nil) || len(listing.Entries) != len(test.want) {
-			t.Errorf("%s: %+v, %t", test.name, listing, whole)
+		listing, complete := merge(known(), revision, test.response)
+		if complete != (test.want != nil) || len(listing.Entries) != len(test.want) {
+			t.Errorf("%s: %+v, %t", test.name, listing, complete)
 		}
 		for _, entry := range listing.Entries {
 			if entry.ModRevision != test.want[entry.Key] {
