--- a/internal/config/check_together.go
+++ b/internal/config/check_together.go
@@ -7,8 +7,8 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// CheckTogether checks files, by name, as if together they were the whole
-// configuration. It returns a *ValidationError for each file with problems.
+// CheckTogether checks the files, given by name, as if they were together the whole
+// configuration. It returns one *ValidationError for each file with problems.
 func CheckTogether(files map[string]*File) []error {
 	names := make([]string, 0, len(files))
 	for name := range files {
--- a/internal/config/declaration.go
+++ b/internal/config/declaration.go
@@ -28,10 +28,10 @@
 func (t *Tenant) name() string   { return t.Name }
 func (j *Job) name() string      { return j.Name }
 
-// Kinds lists all kinds in the order in which they refer to each other.
+// Kinds lists all kinds. A kind refers only to kinds before it.
 var Kinds = []Kind{KindModel, KindService, KindPriority, KindTenant, KindJob}
 
-// ValueOf returns an empty Value of the kind; nil for an unknown kind.
+// ValueOf returns a new zero Value of the kind; nil for an unknown kind.
 func ValueOf(kind Kind) Value {
 	switch kind {
 	case KindModel:
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// ID names a declaration.
+// ID identifies a declaration.
 type ID struct {
 	Kind Kind
 	Name string
@@ -57,15 +57,15 @@
 // String returns "Kind name".
 func (id ID) String() string { return string(id.Kind) + " " + id.Name }
 
-// Declaration is one declared object. Positions tell where its fields stand in the
-// file it came from; they are empty for one read from the key-value service.
+// Declaration is one declared object. Positions are those of its fields in the
+// operators' file; empty for a declaration read from the key-value service.
 type Declaration struct {
 	ID
 	Value     Value
 	Positions strictyaml.Positions
 }
 
-// NewDeclaration wraps a value.
+// NewDeclaration returns the Declaration of a value, without positions.
 func NewDeclaration(value Value) Declaration {
 	return Declaration{ID: ID{Kind: value.kind(), Name: value.name()}, Value: value}
 }
@@ -88,7 +88,7 @@
 	return body
 }
 
-// declarationSet holds declarations by their ID.
+// declarationSet maps IDs to declarations.
 type declarationSet map[ID]Declaration
 
 func newDeclarationSet(declarations []Declaration) declarationSet {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,4 +1,4 @@
-// Package config holds the operators' declarations: their types, the strict
-// parser with positions, the store that applies a file whole or not at all, and
-// the immutable Snapshot of the revision in force.
+// Package config contains the operators' declarations: their types, the strict
+// parser that reports positions, the store that applies files atomically, and
+// the immutable Snapshot of one revision of the configuration.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// ConflictError says that the configuration has moved on from the revision that an
-// operator expected. Nothing was changed.
+// ConflictError means that the current revision of the configuration is not the one
+// that the operator expected. Nothing was changed.
 type ConflictError struct {
 	Expected int64 `json:"expected"`
 	Present  int64 `json:"present"`
-	// Overwritten are the changes that the file would make to the present revision.
+	// Overwritten are the changes that the file would make to the current revision.
 	Overwritten []Change `json:"overwritten"`
 }
 
@@ -27,12 +27,12 @@
 	return text + "; it would " + strings.Join(names, ", ")
 }
 
-// InUseError says that declarations refer to one that was to be withdrawn. Nothing
-// was changed.
+// InUseError means that a declaration to be withdrawn is referred to by others.
+// Nothing was changed.
 type InUseError struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Users are "Kind name" of the declarations that refer to it.
+	// Users are the declarations that refer to it, as "Kind name".
 	Users []string `json:"users"`
 }
 
--- a/internal/config/field_check.go
+++ b/internal/config/field_check.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// dnsLabel is the form of every name.
+// dnsLabel is the pattern that every name must match.
 var dnsLabel = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 var fieldValidator = newFieldValidator()
@@ -25,7 +25,8 @@
 	mustRegister(validate, "dns_label", func(field validator.FieldLevel) bool {
 		return dnsLabel.MatchString(field.Field().String())
 	})
-	// findRepeated checks "unique" itself, so that the items are checked all the same.
+	// "unique" is checked by findRepeated. The validator's own check would stop before
+	// the rules of the items.
 	mustRegister(validate, uniqueRule, func(validator.FieldLevel) bool { return true })
 	mustRegister(validate, "inner_path", func(field validator.FieldLevel) bool {
 		return isInnerPath(field.Field().String())
@@ -39,12 +40,12 @@
 	}
 }
 
-// isInnerPath tells whether a path stays below the folder it is relative to.
+// isInnerPath reports whether a path stays below the folder it is relative to.
 func isInnerPath(name string) bool {
 	return !path.IsAbs(name) && !strings.Contains(name, "\\") && name != ".." && !strings.HasPrefix(path.Clean(name), "../")
 }
 
-// checkFields checks each field of a value by its validate tag.
+// checkFields checks each field of a value against its validate tag.
 func checkFields(value Value, positions strictyaml.Positions) []Problem {
 	problems := findRepeated(value, positions)
 	var failures validator.ValidationErrors
@@ -53,7 +54,7 @@
 	}
 	for _, failure := range failures {
 		_, field, _ := strings.Cut(failure.Namespace(), ".")
-		problems = append(problems, Problem{Position: positions.Find(field), Field: field, Message: allowed(failure)})
+		problems = append(problems, Problem{Position: positions.Find(field), Field: field, Message: allowedMessage(failure)})
 	}
 	return problems
 }
@@ -63,7 +64,7 @@
 	uniqueRule  = "unique"
 )
 
-// findRepeated finds items that stand twice in a list whose items must differ.
+// findRepeated returns a problem for each repeated item of a list tagged "unique".
 func findRepeated(value Value, positions strictyaml.Positions) []Problem {
 	var problems []Problem
 	content := reflect.ValueOf(value).Elem()
@@ -74,21 +75,21 @@
 		if !isList || !slices.Contains(rules, uniqueRule) {
 			continue
 		}
-		first := map[string]string{}
+		firstPaths := map[string]string{}
 		for position, item := range items {
 			path := fmt.Sprintf("%s[%d]", strictyaml.FieldName(field), position)
-			if earlier, repeated := first[item]; repeated {
+			if earlier, repeated := firstPaths[item]; repeated {
 				problems = append(problems, Problem{Position: positions.Find(path), Field: path, Message: "stands in the list already, as " + earlier})
 				continue
 			}
-			first[item] = path
+			firstPaths[item] = path
 		}
 	}
 	return problems
 }
 
-// allowed tells what a field may hold.
-func allowed(failure validator.FieldError) string {
+// allowedMessage returns the message that describes what a field may contain.
+func allowedMessage(failure validator.FieldError) string {
 	limit := failure.Param()
 	switch failure.Tag() {
 	case "required":
@@ -98,9 +99,9 @@
 	case "inner_path":
 		return fmt.Sprintf("%q is not allowed; give a relative path that stays below the file's folder", quoted(failure))
 	case "min":
-		return fmt.Sprintf("wants at least %s%s, not %v", limit, unitOf(failure), shown(failure))
+		return fmt.Sprintf("wants at least %s%s, not %v", limit, unitOf(failure), shownValue(failure))
 	case "max":
-		return fmt.Sprintf("wants at most %s%s, not %v", limit, unitOf(failure), shown(failure))
+		return fmt.Sprintf("wants at most %s%s, not %v", limit, unitOf(failure), shownValue(failure))
 	case "len":
 		return fmt.Sprintf("wants exactly %s characters, not %d", limit, len(fmt.Sprint(failure.Value())))
 	case "hexadecimal":
@@ -125,7 +126,7 @@
 	return ""
 }
 
-func shown(failure validator.FieldError) any {
+func shownValue(failure validator.FieldError) any {
 	switch failure.Kind() {
 	case reflect.Slice, reflect.String:
 		return reflect.ValueOf(failure.Value()).Len()
--- a/internal/config/keyvalue_fake_test.go
+++ b/internal/config/keyvalue_fake_test.go
@@ -9,15 +9,15 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// fakeKeyValue keeps entries in memory. fault decides, for each commit, how its
-// answer is lost; the other calls never fail.
+// fakeKeyValue keeps entries in memory. fault returns the fault of each commit; the
+// other calls never fail.
 type fakeKeyValue struct {
 	platform.KeyValue
 	mutex    sync.Mutex
 	revision int64
 	entries  map[string]platform.Entry
 	fault    func() commitFault
-	// effect sees each transaction that takes effect, under the lock.
+	// effect is called, under the lock, with each transaction that takes effect.
 	effect func(platform.Transaction)
 }
 
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -21,7 +21,7 @@
 	// Version is the version that replicas should serve.
 	Version  string   `yaml:"version" json:"version" validate:"required,max=128"`
 	Adapters []string `yaml:"adapters,omitempty" json:"adapters,omitempty" validate:"unique,dive,dns_label"`
-	// ContextTokens bounds prompt and answer together.
+	// ContextTokens limits the tokens of prompt and answer together.
 	ContextTokens int `yaml:"contextTokens" json:"contextTokens" validate:"required,min=1"`
 }
 
@@ -30,24 +30,24 @@
 	Name string `yaml:"name" json:"name" validate:"required,dns_label"`
 	// Models are names of Model declarations; the first is the default.
 	Models []string `yaml:"models" json:"models" validate:"required,min=1,unique,dive,dns_label"`
-	// MaxConcurrentPerReplica bounds online streams on one replica.
+	// MaxConcurrentPerReplica limits the concurrent online streams of one replica.
 	MaxConcurrentPerReplica int `yaml:"maxConcurrentPerReplica" json:"maxConcurrentPerReplica" validate:"required,min=1"`
-	// BatchConcurrentPerReplica bounds batch streams on one replica.
+	// BatchConcurrentPerReplica limits the concurrent batch streams of one replica.
 	BatchConcurrentPerReplica int `yaml:"batchConcurrentPerReplica" json:"batchConcurrentPerReplica" validate:"min=0"`
-	// QueueLimit bounds online requests waiting on one node.
+	// QueueLimit limits the online requests queued on one node.
 	QueueLimit int `yaml:"queueLimit" json:"queueLimit" validate:"min=0"`
-	// RequestTimeout bounds an online request from acceptance to last token.
+	// RequestTimeout limits an online request from acceptance to its last token.
 	RequestTimeout time.Duration `yaml:"requestTimeout" json:"requestTimeout" validate:"required,min=1ms"`
-	// RetryBudgetPercent is the share of requests that may be retries.
+	// RetryBudgetPercent is the maximum share of requests that are retries, in percent.
 	RetryBudgetPercent int `yaml:"retryBudgetPercent" json:"retryBudgetPercent" validate:"min=0,max=100"`
 }
 
-// Priority declares a priority that requests and jobs name.
+// Priority declares a priority that requests and jobs refer to by name.
 type Priority struct {
 	Name string `yaml:"name" json:"name" validate:"required,dns_label"`
 	// Rank orders priorities; a higher one goes first.
 	Rank int `yaml:"rank" json:"rank" validate:"min=0,max=1000"`
-	// Online says that requests of this priority are online; others are batch.
+	// Online marks a priority of online requests; others are for batch jobs.
 	Online bool `yaml:"online" json:"online"`
 }
 
@@ -58,14 +58,15 @@
 	KeyDigests []string `yaml:"keyDigests" json:"keyDigests" validate:"required,min=1,unique,dive,len=64,hexadecimal,lowercase"`
 	// Services are the services that the tenant may use; empty means all.
 	Services []string `yaml:"services,omitempty" json:"services,omitempty" validate:"unique,dive,dns_label"`
-	// RequestsPerSecond and Burst limit online requests of the tenant in all; 0 is no limit.
+	// RequestsPerSecond and Burst limit the tenant's online requests on all nodes
+	// together; 0 is no limit.
 	RequestsPerSecond float64 `yaml:"requestsPerSecond" json:"requestsPerSecond" validate:"min=0"`
 	Burst             int     `yaml:"burst" json:"burst" validate:"min=0"`
 	// MaxConcurrent limits the tenant's online requests in flight on one node; 0 is no limit.
 	MaxConcurrent int `yaml:"maxConcurrent" json:"maxConcurrent" validate:"min=0"`
-	// Weight is the tenant's share where tenants compete.
+	// Weight is the tenant's relative share when tenants compete.
 	Weight int `yaml:"weight" json:"weight" validate:"min=0"`
-	// MaxJobItems bounds the items of one job; 0 is the system's own bound.
+	// MaxJobItems limits the items of one job; 0 means the system's own limit.
 	MaxJobItems int `yaml:"maxJobItems" json:"maxJobItems" validate:"min=0"`
 }
 
@@ -77,7 +78,7 @@
 	Priority string `yaml:"priority" json:"priority" validate:"required,dns_label"`
 	// Deadline is the time from acceptance within which the job should complete.
 	Deadline time.Duration `yaml:"deadline" json:"deadline" validate:"required,min=1s"`
-	// Retention is how long results stay readable after the job ended.
+	// Retention is how long results stay readable after the end of the job.
 	Retention time.Duration `yaml:"retention" json:"retention" validate:"required,min=1s"`
 	// NotRepeatable marks all items of the job: each runs at most once.
 	NotRepeatable bool `yaml:"notRepeatable,omitempty" json:"notRepeatable,omitempty"`
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -7,15 +7,15 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// ValidationError lists every problem of a file with line, column, field and what
-// is allowed.
+// ValidationError lists all problems of a file, each with line, column, field and
+// what is allowed.
 type ValidationError = strictyaml.ValidationError
 
 // Problem is one entry of a ValidationError.
 type Problem = strictyaml.Problem
 
-// File is a parsed operators' file: declarations that are each valid, whose
-// references are not checked yet.
+// File is a parsed operators' file. Each declaration is valid by itself; references
+// between declarations are not checked yet.
 type File struct {
 	Declarations []Declaration
 }
@@ -27,7 +27,7 @@
 		problems = []Problem{{Message: "the file holds no declaration"}}
 	}
 	parsed := &File{}
-	first := map[ID]strictyaml.Position{}
+	firstPositions := map[ID]strictyaml.Position{}
 	for _, document := range documents {
 		declaration, found := parseDocument(document)
 		problems = append(problems, found...)
@@ -35,12 +35,12 @@
 			continue
 		}
 		position := declaration.Positions.Find("name")
-		if earlier, repeated := first[declaration.ID]; repeated {
+		if earlier, repeated := firstPositions[declaration.ID]; repeated {
 			problems = append(problems, Problem{Position: position, Field: "name",
 				Message: fmt.Sprintf("%s is declared twice in this file; first at %d:%d", declaration.ID, earlier.Line, earlier.Column)})
 			continue
 		}
-		first[declaration.ID] = position
+		firstPositions[declaration.ID] = position
 		parsed.Declarations = append(parsed.Declarations, declaration)
 	}
 	if err := strictyaml.NewValidationError(problems); err != nil {
@@ -62,12 +62,12 @@
 		return Declaration{}, []Problem{{Position: position, Field: kindKey, Message: message}}
 	}
 	positions, problems := document.Decode(value, kindKey)
-	faulty := map[string]bool{}
+	invalidFields := map[string]bool{}
 	for _, problem := range problems {
-		faulty[problem.Field] = true
+		invalidFields[problem.Field] = true
 	}
 	for _, problem := range checkFields(value, positions) {
-		if !faulty[problem.Field] {
+		if !invalidFields[problem.Field] {
 			problems = append(problems, problem)
 		}
 	}
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -50,7 +50,7 @@
 	return invalid[0].Error() + "\n"
 }
 
-// maxErrorBytes bounds what a file of any content makes an operator read.
+// maxErrorBytes is the largest size allowed for the error text of any file.
 const maxErrorBytes = 64 << 10
 
 func TestParseKeepsHugeInputBounded(t *testing.T) {
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -11,45 +11,45 @@
 	ActionWithdraw = "withdraw"
 )
 
-// edit is what an operator asks for: declarations to put, and one to withdraw.
+// edit is a requested change: declarations to put, or one to withdraw.
 type edit struct {
 	put      []Declaration
 	withdraw *ID
 }
 
-// plan is an edit worked out against one revision.
+// plan is the effect of an edit on one revision.
 type plan struct {
 	changes []Change
-	// objects are the changes of object keys that lead there.
+	// objects are the corresponding changes of object keys.
 	objects []platform.Change
 }
 
-// planEdit checks the configuration that the edit leads to and lists the changes.
-// Declarations that stay as they are make no change.
-func planEdit(present declarationSet, wanted edit) (plan, error) {
-	if wanted.withdraw != nil {
-		return planWithdraw(present, *wanted.withdraw)
+// planEdit checks the configuration that results from the edit and returns the
+// changes. Unchanged declarations are left out.
+func planEdit(current declarationSet, requested edit) (plan, error) {
+	if requested.withdraw != nil {
+		return planWithdraw(current, *requested.withdraw)
 	}
-	resulting := make(declarationSet, len(present)+len(wanted.put))
-	for id, declaration := range present {
+	resulting := make(declarationSet, len(current)+len(requested.put))
+	for id, declaration := range current {
 		resulting[id] = declaration
 	}
-	for _, declaration := range wanted.put {
+	for _, declaration := range requested.put {
 		resulting[declaration.ID] = declaration
 	}
 	if err := newReferenceError(resulting); err != nil {
 		return plan{}, err
 	}
 	var planned plan
-	for _, declaration := range wanted.put {
-		planned.add(present, declaration)
+	for _, declaration := range requested.put {
+		planned.add(current, declaration)
 	}
 	return planned, nil
 }
 
-func (p *plan) add(present declarationSet, declaration Declaration) {
+func (p *plan) add(current declarationSet, declaration Declaration) {
 	change := Change{Kind: declaration.Kind, Name: declaration.Name, Action: ActionCreate, After: declaration.YAML()}
-	if before, exists := present[declaration.ID]; exists {
+	if before, exists := current[declaration.ID]; exists {
 		change.Action, change.Before = ActionReplace, before.YAML()
 	}
 	if change.Before == change.After {
@@ -59,12 +59,12 @@
 	p.objects = append(p.objects, platform.Change{Key: objectKey(declaration.ID), Value: declaration.JSON()})
 }
 
-func planWithdraw(present declarationSet, id ID) (plan, error) {
-	declaration, exists := present[id]
+func planWithdraw(current declarationSet, id ID) (plan, error) {
+	declaration, exists := current[id]
 	if !exists {
-		return plan{}, newAbsentError(id)
+		return plan{}, newNotFoundError(id)
 	}
-	if users := usersOf(present.sorted(), id); len(users) > 0 {
+	if users := usersOf(current.sorted(), id); len(users) > 0 {
 		return plan{}, &InUseError{Kind: id.Kind, Name: id.Name, Users: users}
 	}
 	return plan{
--- a/internal/config/reference_check.go
+++ b/internal/config/reference_check.go
@@ -37,8 +37,9 @@
 	return list
 }
 
-// checkReferences checks the whole configuration that a change would lead to.
-// Declarations that are not of the file have no position; the problem names them.
+// checkReferences checks the whole configuration that would result from a change. A
+// declaration that is not in the file has no position; the message of its problem
+// names it instead.
 func checkReferences(resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	for _, declaration := range resulting.sorted() {
@@ -56,7 +57,8 @@
 	return append(problems, checkKeyDigests(resulting)...)
 }
 
-// checkJob: a job is batch work, for a service that its tenant may use.
+// checkJob checks that the priority of a job is a batch priority and that its tenant
+// may use its service.
 func checkJob(declaration Declaration, job *Job, resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	if priority, present := resulting[ID{KindPriority, job.Priority}]; present && priority.Value.(*Priority).Online {
@@ -73,8 +75,8 @@
 	return problems
 }
 
-// checkRanks keeps each batch priority below every online one, because engines
-// order by rank alone.
+// checkRanks checks that each batch priority ranks below every online priority,
+// because engines order requests by rank alone.
 func checkRanks(resulting declarationSet) []referenceProblem {
 	var lowest *Priority
 	for _, declaration := range resulting.sorted() {
@@ -97,7 +99,7 @@
 	return problems
 }
 
-// checkKeyDigests keeps a key from naming two tenants.
+// checkKeyDigests checks that no key belongs to two tenants.
 func checkKeyDigests(resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	owners := map[string]string{}
@@ -154,7 +156,7 @@
 	return strings.Join(names, ", ")
 }
 
-// UsersOf lists, as "Kind name", the declarations that refer to id.
+// UsersOf returns, as "Kind name", the declarations that refer to id.
 func UsersOf(snapshot *Snapshot, id ID) []string {
 	return usersOf(snapshot.Declarations(), id)
 }
--- a/internal/config/relay/cache.go
+++ b/internal/config/relay/cache.go
@@ -16,20 +16,20 @@
 const (
 	cacheFolder = "config"
 	cacheFile   = "document"
-	// cacheMode lets the owner only read the file, which holds digests of tenants' keys.
+	// cacheMode allows access by the owner only: the file contains digests of tenants' keys.
 	cacheMode       = 0o600
 	cacheFolderMode = 0o700
 )
 
-// cache keeps the last document on disk, for a start of all nodes while the key-value
-// service is down. It belongs to one goroutine.
+// cache stores the last document on disk, so that all nodes can restart while the
+// key-value service is down. It is used by one goroutine.
 type cache struct{ folder string }
 
 func newCache(dataFolder string) *cache {
 	return &cache{folder: filepath.Join(dataFolder, cacheFolder)}
 }
 
-// load returns the document that was saved last, nil where there is none. A damaged file is an error.
+// load returns the saved document; nil if there is none. A damaged file is an error.
 func (c *cache) load() (*document, error) {
 	path := filepath.Join(c.folder, cacheFile)
 	encoded, err := os.ReadFile(path)
@@ -43,16 +43,16 @@
 	if err := proto.Unmarshal(encoded, message); err != nil {
 		return nil, fmt.Errorf("decode %s: %w", path, err)
 	}
-	saved, sound := decodeDocument(message)
-	if !sound {
+	saved, valid := decodeDocument(message)
+	if !valid {
 		return nil, fmt.Errorf("%s: %w", path, errDamaged)
 	}
 	return saved, nil
 }
 
-// save replaces the file as a whole: a crash leaves the old one or the new one.
-func (c *cache) save(held *document) error {
-	encoded, err := proto.Marshal(encodeDocument(held))
+// save replaces the file atomically: after a crash either the old or the new one is found.
+func (c *cache) save(saved *document) error {
+	encoded, err := proto.Marshal(encodeDocument(saved))
 	if err != nil {
 		return fmt.Errorf("encode the configuration: %w", err)
 	}
@@ -78,21 +78,22 @@
 	return file.Sync()
 }
 
-// keep saves the document held after each signal on changed until ctx ends.
-func (s *Service) keep(ctx context.Context, disk *cache, changed <-chan struct{}) {
+// saveLoop saves the latest document after each signal on changed, until ctx ends.
+func (s *Service) saveLoop(ctx context.Context, disk *cache, changed <-chan struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		}
-		if err := disk.save(s.held.Load()); err != nil {
+		if err := disk.save(s.latest.Load()); err != nil {
 			s.logger.Warn().Err(err).Msg("configuration_not_saved")
 		}
 	}
 }
 
-// startCache loads what is on disk and keeps it up to date; it returns nil where there is nothing.
+// startCache returns the document on disk, nil if there is none, and starts the goroutine
+// that saves later documents.
 func (s *Service) startCache(ctx context.Context) *document {
 	if s.options.DataFolder == "" {
 		return nil
@@ -102,6 +103,6 @@
 	if err != nil {
 		s.logger.Warn().Err(err).Msg("saved_configuration_unusable")
 	}
-	s.running.Go(func() { s.keep(ctx, disk, s.changed) })
+	s.running.Go(func() { s.saveLoop(ctx, disk, s.changed) })
 	return saved
 }
--- a/internal/config/relay/cluster_test.go
+++ b/internal/config/relay/cluster_test.go
@@ -22,14 +22,14 @@
 
 const networkDelay = time.Millisecond
 
-// cluster is some nodes on virtual time with the stand-in platform in process. Membership is
-// a directory that all see at once.
+// cluster is a set of nodes in virtual time with the fake platform in process. Membership is
+// a directory whose changes all nodes see at once.
 type cluster struct {
 	t       testing.TB
 	network *memory.Network
-	// open makes a node's ends; it is newMemoryEnds unless a test replaces it.
+	// open creates a node's transport and key-value client; newMemoryEndpoint unless a test replaces it.
 	open func(*clusterNode) (peerTransport, port.KeyValue)
-	// gossip uses the real membership in place of the directory.
+	// gossip enables the real membership in place of the directory.
 	gossip   bool
 	platform *platform.Server
 	zones    []string
@@ -49,7 +49,7 @@
 	registry  *prometheus.Registry
 	service   *relay.Service
 	members   *membership.Service
-	// dataFolder is empty on a node that keeps nothing.
+	// dataFolder is empty on a node without persistent storage.
 	dataFolder string
 
 	mutex     sync.Mutex
@@ -65,7 +65,7 @@
 	for zone := range zones {
 		c.zones = append(c.zones, fmt.Sprintf("zone-%d", zone))
 	}
-	c.open = newMemoryEnds
+	c.open = newMemoryEndpoint
 	c.lose(0)
 	for index := range zones * nodesPerZone {
 		address := netip.AddrFrom4([4]byte{127, 1, byte(index % zones), byte(index / zones)})
@@ -78,14 +78,14 @@
 	return c
 }
 
-// lose sets the share of frames that vanish.
+// lose sets the share of frames that are lost, and heals a cut.
 func (c *cluster) lose(share float64) {
 	c.network.SetConditions(func(_, _ netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: networkDelay, Jitter: networkDelay, Loss: share}
 	})
 }
 
-// cutZone cuts the first zone off from the others.
+// cutZone partitions the first zone from the others.
 func (c *cluster) cutZone() {
 	c.network.SetConditions(func(from, to netip.AddrPort) memory.Conditions {
 		return memory.Conditions{Delay: networkDelay, Cut: (zoneByte(from) == 0) != (zoneByte(to) == 0)}
@@ -106,11 +106,11 @@
 	}
 }
 
-// peerTransport is a node's end of the network.
+// peerTransport is a node's endpoint in the network.
 type peerTransport interface {
 	transport.Caller
 	transport.Registrar
-	// Start returns the address that others reach this end at.
+	// Start returns the address at which others reach this endpoint.
 	Start() netip.AddrPort
 	Stop()
 }
@@ -122,30 +122,30 @@
 	return t.Address()
 }
 
-func newMemoryEnds(node *clusterNode) (peerTransport, port.KeyValue) {
+func newMemoryEndpoint(node *clusterNode) (peerTransport, port.KeyValue) {
 	c := node.cluster
-	end, err := memory.NewTransport(c.network, node.member.PeerAddress, node.registry)
+	endpoint, err := memory.NewTransport(c.network, node.member.PeerAddress, node.registry)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return memoryTransport{end}, c.platform.KeyValue(node.member.Zone)
+	return memoryTransport{endpoint}, c.platform.KeyValue(node.member.Zone)
 }
 
 func (n *clusterNode) start() {
 	n.seed += 1000
 	n.registry = prometheus.NewRegistry()
-	end, keyValue := n.cluster.open(n)
-	n.transport = end
+	endpoint, keyValue := n.cluster.open(n)
+	n.transport = endpoint
 	options := relay.Options{
-		Self: n.member, Viewer: &viewer{cluster: n.cluster, self: n.member.ID}, Caller: end,
+		Self: n.member, Viewer: &viewer{cluster: n.cluster, self: n.member.ID}, Caller: endpoint,
 		KeyValue: keyValue, Logger: zerolog.Nop(), Seed: n.seed,
 		Registerer: n.registry, DataFolder: n.dataFolder,
 	}
 	if n.cluster.gossip {
-		n.members = n.newMembership(end)
+		n.members = n.newMembership(endpoint)
 		options.Viewer, options.Reporter = n.members, n.members
 	}
-	service, err := relay.New(options, end)
+	service, err := relay.New(options, endpoint)
 	if err != nil {
 		n.cluster.t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 		defer n.mutex.Unlock()
 		n.revisions = append(n.revisions, snapshot.Revision)
 	})
-	n.member.PeerAddress = end.Start()
+	n.member.PeerAddress = endpoint.Start()
 	n.cluster.setLive(n, true)
 	if n.members != nil {
 		n.members.Start()
@@ -164,8 +164,8 @@
 	n.service.Start()
 }
 
-// newMembership joins through the first nodes.
-func (n *clusterNode) newMembership(end peerTransport) *membership.Service {
+// newMembership returns a membership service whose seeds are the first two nodes of each zone.
+func (n *clusterNode) newMembership(endpoint peerTransport) *membership.Service {
 	self := n.member
 	self.Incarnation = n.seed
 	var seeds []netip.AddrPort
@@ -174,14 +174,14 @@
 	}
 	members, err := membership.New(membership.Options{
 		Self: self, Seeds: seeds, Timing: membership.DefaultTiming(), RandomSeed: n.seed,
-	}, end, nil, n.registry, zerolog.Nop())
+	}, endpoint, nil, n.registry, zerolog.Nop())
 	if err != nil {
 		n.cluster.t.Fatal(err)
 	}
 	return members
 }
 
-// stop ends a node without its telling the others.
+// stop stops a node without notice to the others.
 func (n *clusterNode) stop() {
 	n.service.Stop()
 	if n.members != nil {
@@ -199,8 +199,8 @@
 	}
 }
 
-// wantRising fails where a revision was not higher than the one before.
-func (c *cluster) wantRising() {
+// wantIncreasing checks that each node's revisions are strictly increasing.
+func (c *cluster) wantIncreasing() {
 	c.t.Helper()
 	for _, node := range c.nodes {
 		node.mutex.Lock()
@@ -213,7 +213,7 @@
 	}
 }
 
-// apply accepts a file that declares one tenant and returns its revision.
+// apply applies a file that declares one tenant and returns its revision.
 func (c *cluster) apply(name string) int64 {
 	c.t.Helper()
 	store := config.NewStore(c.platform.KeyValue(platform.AnyZone), zerolog.Nop())
@@ -229,20 +229,20 @@
 	return []byte("kind: Tenant\nname: " + name + "\nkeyDigests: [\"" + digest + "\"]\n")
 }
 
-// wantSpread waits until every node that which selects has revision and is ready, and
-// returns how long it took.
-func (c *cluster) wantSpread(revision int64, within time.Duration, which func(*clusterNode) bool) time.Duration {
+// wantSpread waits until all selected nodes have revision and are ready, and returns how
+// long it took.
+func (c *cluster) wantSpread(revision int64, within time.Duration, selected func(*clusterNode) bool) time.Duration {
 	c.t.Helper()
 	const poll = 5 * time.Millisecond
 	started := time.Now()
 	for time.Since(started) < within {
-		if c.spread(revision, which) {
+		if c.spread(revision, selected) {
 			return time.Since(started)
 		}
 		time.Sleep(poll)
 	}
 	for _, node := range c.nodes {
-		if which(node) && (node.service.Current().Revision != revision || !node.ready()) {
+		if selected(node) && (node.service.Current().Revision != revision || !node.ready()) {
 			c.t.Errorf("%s has revision %d, ready %v, want %d within %s",
 				node.member.ID, node.service.Current().Revision, node.ready(), revision, within)
 		}
@@ -251,9 +251,9 @@
 	return 0
 }
 
-func (c *cluster) spread(revision int64, which func(*clusterNode) bool) bool {
+func (c *cluster) spread(revision int64, selected func(*clusterNode) bool) bool {
 	for _, node := range c.nodes {
-		if which(node) && (node.service.Current().Revision != revision || !node.ready()) {
+		if selected(node) && (node.service.Current().Revision != revision || !node.ready()) {
 			return false
 		}
 	}
@@ -294,7 +294,7 @@
 	}
 }
 
-// setLive changes what the membership says of a node.
+// setLive adds a node to the directory or removes it, and notifies the subscribers.
 func (c *cluster) setLive(node *clusterNode, live bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -307,7 +307,7 @@
 	}
 }
 
-// calls are those to the platform so far.
+// calls returns the number of calls to the platform so far.
 func (c *cluster) calls() int64 {
 	var total int64
 	for _, count := range c.platform.Counters() {
--- a/internal/config/relay/document.go
+++ b/internal/config/relay/document.go
@@ -7,26 +7,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of the deltas that a node keeps for peers that are behind.
+// Limits of the deltas that a node keeps for peers that are behind.
 const (
 	maxKeptDeltas     = 64
 	maxKeptDeltaBytes = 256 << 10
 )
 
-// errDamaged is the error of a document whose content does not give the hash that came with it.
-var errDamaged = errors.New("the document does not have the hash it was sent with")
+// errDamaged is the error of a document whose content does not match its hash.
+var errDamaged = errors.New("the content of the document does not match its hash")
 
-// document is the whole configuration of one revision as stored. It is immutable.
+// document is the whole configuration at one revision, in its stored form. It is immutable.
 type document struct {
 	revision int64
-	// storeRevision is a revision of the key-value service at which this document was the
-	// present one; a watch goes on right behind it. 0 is not known.
+	// storeRevision is a revision of the key-value service at which this document was
+	// current; a watch continues at the next one. 0 means unknown.
 	storeRevision int64
-	// objects holds the stored declarations by key relative to config.KeyPrefix.
+	// objects are the stored declarations, by key relative to config.KeyPrefix.
 	objects map[string][]byte
 	// hash is the sum of the objects' hashes.
 	hash uint64
-	// deltas are the last changes, contiguous up to revision.
+	// deltas are the most recent changes, contiguous up to revision.
 	deltas []*delta
 }
 
@@ -36,19 +36,19 @@
 	storeRevision int64
 	changed       map[string][]byte
 	withdrawn     []string
-	// hash is the document's after the change.
+	// hash is the hash of the document after the change.
 	hash uint64
 }
 
 func newDocument(revision, storeRevision int64, objects map[string][]byte) *document {
-	made := &document{revision: revision, storeRevision: storeRevision, objects: objects}
+	created := &document{revision: revision, storeRevision: storeRevision, objects: objects}
 	for key, value := range objects {
-		made.hash += hashObject(key, value)
+		created.hash += hashObject(key, value)
 	}
-	return made
+	return created
 }
 
-// hashObject hashes key and value with a separator that no key contains.
+// hashObject hashes key and value, separated by a byte that no key contains.
 func hashObject(key string, value []byte) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key)
@@ -57,8 +57,8 @@
 	return digest.Sum64()
 }
 
-// apply returns the document after next, whose revision is d.revision+1. Its hash is
-// computed from the content, not taken from next.
+// apply returns the document that results from next, whose revision must be
+// d.revision+1. The hash is computed from the content, not copied from next.
 func (d *document) apply(next *delta) *document {
 	objects := maps.Clone(d.objects)
 	if objects == nil {
@@ -84,12 +84,13 @@
 		storeRevision: max(d.storeRevision, next.storeRevision),
 		objects:       objects,
 		hash:          hash,
-		deltas:        keepDeltas(d.deltas, next),
+		deltas:        appendDelta(d.deltas, next),
 	}
 }
 
-// keepDeltas appends next to a copy and drops the oldest over the bounds.
-func keepDeltas(kept []*delta, next *delta) []*delta {
+// appendDelta returns a copy of kept with next appended, without the oldest deltas
+// beyond the limits.
+func appendDelta(kept []*delta, next *delta) []*delta {
 	all := append(append(make([]*delta, 0, len(kept)+1), kept...), next)
 	bytes := 0
 	first := len(all)
@@ -114,7 +115,7 @@
 	return size
 }
 
-// deltasAfter returns the deltas from revision on; complete is false where some are no longer kept.
+// deltasAfter returns the deltas after revision; complete is false if some are no longer kept.
 func (d *document) deltasAfter(revision int64) (deltas []*delta, complete bool) {
 	missing := d.revision - revision
 	if missing < 0 || missing > int64(len(d.deltas)) {
@@ -123,7 +124,7 @@
 	return d.deltas[int64(len(d.deltas))-missing:], true
 }
 
-// withStoreRevision returns the same configuration, known to be the present one at storeRevision.
+// withStoreRevision returns the same configuration, known to be current at storeRevision.
 func (d *document) withStoreRevision(storeRevision int64) *document {
 	changed := *d
 	changed.storeRevision = max(d.storeRevision, storeRevision)
--- a/internal/config/relay/events.go
+++ b/internal/config/relay/events.go
@@ -8,40 +8,41 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// digest is what a node tells of the configuration it holds.
+// digest summarizes the configuration of a node.
 type digest struct {
 	revision int64
 	hash     uint64
-	// known is false on a node that has not learned any configuration yet.
+	// known is false on a node that has no configuration yet.
 	known bool
-	// ready says that the sender serves by it.
+	// ready is set if the configuration is in force at the sender.
 	ready bool
-	// asks wants an answer in any case.
+	// asks requests a digest in return in any case.
 	asks bool
 }
 
 // event is an input of protocol.step.
 type event interface{ isEvent() }
 
-// Events. now is the time since the node started.
+// Events.
 type (
+	// eventTick reports the time since the node started.
 	eventTick struct{ now time.Duration }
 	eventView struct{ view *membership.View }
 
-	// eventSaved, which comes first, holds what was on disk.
+	// eventSaved delivers the document loaded from disk, before all events of the store and of peers.
 	eventSaved struct{ document *document }
 
-	// eventListed answers actionList.
+	// eventListed is the result of actionList.
 	eventListed struct {
 		listing platform.Listing
 		err     error
 	}
-	// eventHeadRead answers actionReadHead.
+	// eventHeadRead is the result of actionReadHead.
 	eventHeadRead struct {
 		revision int64
 		err      error
 	}
-	// eventWatched is one event of watch number watch; one with Err ends it.
+	// eventWatched is an event of watch number watch; an event with Err ends the watch.
 	eventWatched struct {
 		watch   uint64
 		changed platform.WatchEvent
@@ -55,7 +56,7 @@
 		from   netip.AddrPort
 		digest digest
 	}
-	// eventPulled answers actionPull. Neither deltas nor document is set where the peer knew nothing newer.
+	// eventPulled is the result of actionPull. Neither deltas nor document is set if the peer has nothing newer.
 	eventPulled struct {
 		from     netip.AddrPort
 		deltas   []*delta
@@ -81,7 +82,7 @@
 type (
 	// actionPublish puts document in force.
 	actionPublish struct{ document *document }
-	// actionReady says, once, that the node may serve by what is in force.
+	// actionReady marks the node as ready. It is returned once.
 	actionReady struct{}
 
 	actionList     struct{}
@@ -101,13 +102,13 @@
 		to     netip.AddrPort
 		digest digest
 	}
-	// actionPull asks a peer for what comes after revision, or for the whole document where known is false.
+	// actionPull requests the changes after revision from a peer, or the whole document if known is false.
 	actionPull struct {
 		from     netip.AddrPort
 		revision int64
 		known    bool
 	}
-	// actionReport logs something that should not be; it changes nothing.
+	// actionReport logs and counts a problem.
 	actionReport struct {
 		problem problem
 		from    netip.AddrPort
@@ -126,12 +127,12 @@
 func (actionPull) isAction()       {}
 func (actionReport) isAction()     {}
 
-// problem names what actionReport logs.
+// problem is the log event and metric label of an actionReport.
 type problem string
 
 const (
-	problemStoreUnreadable problem = "configuration_store_unreadable"
-	problemStoreAway       problem = "configuration_store_away"
-	problemContentDiffers  problem = "configuration_content_differs"
-	problemStoreWentBack   problem = "configuration_store_older_than_in_force"
+	problemStoreUnreadable  problem = "configuration_store_unreadable"
+	problemStoreUnavailable problem = "configuration_store_away"
+	problemContentDiffers   problem = "configuration_content_differs"
+	problemStoreOlder       problem = "configuration_store_older_than_in_force"
 )
--- a/internal/config/relay/fx.go
+++ b/internal/config/relay/fx.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Module provides config.Source and *Service, and tells the revision in force to the RevisionReporter.
+// Module provides config.Source and *Service, and reports the revision in force to the RevisionReporter.
 var Module = fx.Module("config-relay", fx.Provide(
 	provide,
 	func(service *Service) config.Source { return service },
@@ -34,26 +34,26 @@
 	Logger     zerolog.Logger
 }
 
-func provide(given params) (*Service, error) {
+func provide(dependencies params) (*Service, error) {
 	service, err := New(Options{
 		Self: membership.Member{
-			ID:          membership.NodeID(given.Settings.Node),
-			Region:      given.Settings.Region,
-			Zone:        given.Settings.Zone,
-			PeerAddress: given.Settings.PeerAddress,
+			ID:          membership.NodeID(dependencies.Settings.Node),
+			Region:      dependencies.Settings.Region,
+			Zone:        dependencies.Settings.Zone,
+			PeerAddress: dependencies.Settings.PeerAddress,
 		},
-		Viewer:     given.Viewer,
-		Caller:     given.Caller,
-		KeyValue:   given.KeyValue,
-		Reporter:   given.Reporter,
-		DataFolder: given.Settings.DataFolder,
-		Registerer: given.Registerer,
-		Logger:     given.Logger,
-	}, given.Registrar)
+		Viewer:     dependencies.Viewer,
+		Caller:     dependencies.Caller,
+		KeyValue:   dependencies.KeyValue,
+		Reporter:   dependencies.Reporter,
+		DataFolder: dependencies.Settings.DataFolder,
+		Registerer: dependencies.Registerer,
+		Logger:     dependencies.Logger,
+	}, dependencies.Registrar)
 	if err != nil {
 		return nil, err
 	}
-	given.Lifecycle.Append(fx.Hook{
+	dependencies.Lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			service.Start()
 			return nil
--- a/internal/config/relay/messages.go
+++ b/internal/config/relay/messages.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// decodeDocument returns false where the content does not have the hash it was sent with.
+// decodeDocument returns false if the content does not match the hash.
 func decodeDocument(from *configpb.Document) (*document, bool) {
 	decoded := newDocument(from.GetRevision(), from.GetStoreRevision(), decodeObjects(from.GetObjects()))
 	return decoded, decoded.hash == from.GetHash()
@@ -74,19 +74,20 @@
 	}
 }
 
-// answerPull answers a peer from held, which is nil on a node that knows no configuration.
-func answerPull(held *document, request *configpb.PullRequest) *configpb.PullResponse {
-	if held == nil || request.GetKnown() && request.GetRevision() >= held.revision {
+// answerPull returns the response to a pull: the deltas after the requested revision if they
+// are kept, else the whole document. latest is nil on a node without a configuration.
+func answerPull(latest *document, request *configpb.PullRequest) *configpb.PullResponse {
+	if latest == nil || request.GetKnown() && request.GetRevision() >= latest.revision {
 		return &configpb.PullResponse{}
 	}
 	if request.GetKnown() {
-		if deltas, complete := held.deltasAfter(request.GetRevision()); complete {
+		if deltas, complete := latest.deltasAfter(request.GetRevision()); complete {
 			response := &configpb.PullResponse{}
-			for _, one := range deltas {
-				response.Deltas = append(response.Deltas, encodeDelta(one))
+			for _, kept := range deltas {
+				response.Deltas = append(response.Deltas, encodeDelta(kept))
 			}
 			return response
 		}
 	}
-	return &configpb.PullResponse{Document: encodeDocument(held)}
+	return &configpb.PullResponse{Document: encodeDocument(latest)}
 }
--- a/internal/config/relay/protocol.go
+++ b/internal/config/relay/protocol.go
@@ -8,27 +8,28 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// protocol is the control state of one node. It belongs to one goroutine, reads no clock and
-// does no I/O; its random choices come from its seed.
+// protocol is the state machine of one node. It is used by one goroutine, reads no clock and
+// does no I/O; its random choices are determined by its seed.
 type protocol struct {
 	self   membership.Member
 	random *rand.Rand
 	now    time.Duration
 	peers  peers
-	// viewFloor is the highest revision that the membership has heard of.
+	// viewFloor is the highest revision reported by any other member in a membership view.
 	viewFloor int64
 
-	// held is the highest configuration known; nil until one is known. It is in force once the node is ready.
-	held   *document
+	// latest is the configuration with the highest known revision; nil if none is known. It is in force once
+	// the node is ready.
+	latest *document
 	source sourceState
 	gossip gossipState
 	ready  readyState
 
-	// actions collects the outputs of the present step.
+	// actions collects the outputs of the current step.
 	actions []action
 }
 
-// newProtocol returns the state of a node that just started.
+// newProtocol returns the initial state of a starting node.
 func newProtocol(self membership.Member, seed uint64) *protocol {
 	random := rand.New(rand.NewPCG(seed, seed))
 	return &protocol{
@@ -40,7 +41,7 @@
 	}
 }
 
-// step takes one event and returns what to do. The actions are in order.
+// step processes one event and returns the resulting actions in order.
 func (p *protocol) step(input event) []action {
 	p.actions = nil
 	switch typed := input.(type) {
@@ -49,21 +50,21 @@
 		p.tickSource()
 		p.tickGossip()
 	case eventView:
-		p.takeView(typed.view)
+		p.handleView(typed.view)
 	case eventSaved:
-		p.takeSaved(typed.document)
+		p.handleSaved(typed.document)
 	case eventListed:
-		p.takeListing(typed)
+		p.handleListing(typed)
 	case eventHeadRead:
-		p.takeHead(typed)
+		p.handleHead(typed)
 	case eventWatched:
-		p.takeWatched(typed)
+		p.handleWatched(typed)
 	case eventDelta:
-		p.takeDelta(typed)
+		p.handleDelta(typed)
 	case eventDigest:
-		p.takeDigest(typed)
+		p.handleDigest(typed)
 	case eventPulled:
-		p.takePulled(typed)
+		p.handlePulled(typed)
 	}
 	p.checkReady()
 	return p.actions
@@ -71,7 +72,7 @@
 
 func (p *protocol) do(output action) { p.actions = append(p.actions, output) }
 
-func (p *protocol) takeView(view *membership.View) {
+func (p *protocol) handleView(view *membership.View) {
 	live := view.Live()
 	p.peers = peersOf(p.self, live)
 	p.source.wanted = isWatcher(p.self, live)
@@ -85,42 +86,42 @@
 	}
 }
 
-// takeSaved holds what was on disk, which may be old: the store is asked before it is watched.
-func (p *protocol) takeSaved(saved *document) {
+// handleSaved adopts the document loaded from disk. It may be outdated, so the store is listed before it is watched.
+func (p *protocol) handleSaved(saved *document) {
 	if p.adopt(saved) {
 		p.source.mustList = true
 	}
 }
 
-// revision is that held; -1 where none is known, which is below the empty configuration's 0.
+// revision returns the revision of latest; -1 if none is known, which is below the empty configuration's 0.
 func (p *protocol) revision() int64 {
-	if p.held == nil {
+	if p.latest == nil {
 		return -1
 	}
-	return p.held.revision
+	return p.latest.revision
 }
 
-// adopt holds next, and puts it in force on a node that is ready. It is the only place that changes the
-// revision, and it never lowers it.
+// adopt makes next the latest document, and publishes it if the node is ready. It is the only place that changes
+// the revision, and it never decreases it.
 func (p *protocol) adopt(next *document) bool {
 	if next.revision <= p.revision() {
 		return false
 	}
-	p.held = next
+	p.latest = next
 	if p.ready.done {
 		p.do(actionPublish{document: next})
 	}
-	p.spreadRumour()
+	p.announceRevision()
 	return true
 }
 
-// adoptDelta puts a change from a peer in force if it is the next one and leads to the hash that the
-// peer has. sound is false where the hash differs.
-func (p *protocol) adoptDelta(next *delta) (sound bool) {
-	if p.held == nil || next.revision != p.held.revision+1 {
+// adoptDelta applies a delta from a peer if it is the next one and the resulting hash matches that of the peer.
+// valid is false if the hash differs.
+func (p *protocol) adoptDelta(next *delta) (valid bool) {
+	if p.latest == nil || next.revision != p.latest.revision+1 {
 		return true
 	}
-	document := p.held.apply(next)
+	document := p.latest.apply(next)
 	if document.hash != next.hash {
 		return false
 	}
@@ -128,15 +129,15 @@
 	return true
 }
 
-// digest tells what this node has in force.
+// digest returns the digest of the latest document, to be sent to peers.
 func (p *protocol) digest(asks bool) digest {
-	if p.held == nil {
+	if p.latest == nil {
 		return digest{asks: asks}
 	}
-	return digest{revision: p.held.revision, hash: p.held.hash, known: true, ready: p.ready.done, asks: asks}
+	return digest{revision: p.latest.revision, hash: p.latest.hash, known: true, ready: p.ready.done, asks: asks}
 }
 
-// pick returns up to count random ones of candidates, without repetition.
+// pick returns up to count randomly chosen candidates, without repetition.
 func (p *protocol) pick(candidates []netip.AddrPort, count int) []netip.AddrPort {
 	count = min(count, len(candidates))
 	picked := make([]netip.AddrPort, 0, count)
@@ -146,7 +147,7 @@
 	return picked
 }
 
-// jittered returns a time between half of and one and a half times wait.
+// jittered returns a random duration between 0.5 and 1.5 times wait.
 func jittered(random *rand.Rand, wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(random.Int64N(int64(wait)))
 }
--- a/internal/config/relay/protocol_gossip.go
+++ b/internal/config/relay/protocol_gossip.go
@@ -9,26 +9,27 @@
 // Timing and spread of the digests.
 const (
 	digestInterval = time.Second
-	// askInterval is how often a node that is not ready yet asks its peers.
+	// askInterval is the interval at which a node that is not ready asks its peers for their digests.
 	askInterval = 200 * time.Millisecond
-	// askPeers is how many peers it asks each time.
+	// askPeers is how many peers of its own zone, and of other zones, it asks each time.
 	askPeers = 3
-	// rumourZonePeers and rumourOtherPeers get a digest at once when a revision is new here.
-	rumourZonePeers  = 2
-	rumourOtherPeers = 1
-	// maxPushedBytes bounds the changes that are sent to a peer that is behind without its asking.
+	// announceZonePeers and announceOtherPeers are how many peers of the own and of other zones get a digest at once
+	// when a new revision is adopted.
+	announceZonePeers  = 2
+	announceOtherPeers = 1
+	// maxPushedBytes limits the deltas that are sent, without a request, to a peer that is behind.
 	maxPushedBytes = 16 << 10
 )
 
-// gossipState is a node's side towards its peers.
+// gossipState is the state of a node towards its peers.
 type gossipState struct {
 	nextDigest time.Duration
-	// pulling is set while a pull is under way.
+	// pulling is set while a pull is in flight.
 	pulling bool
-	// pullWhole asks for the whole document next, since a delta did not fit what is held.
-	pullWhole bool
-	// ahead is a peer known to have a higher revision.
-	ahead         netip.AddrPort
+	// pullDocument makes the next pull request the whole document, after a delta whose hash did not match.
+	pullDocument bool
+	// aheadPeer is a peer known to have a higher revision.
+	aheadPeer     netip.AddrPort
 	aheadRevision int64
 }
 
@@ -59,33 +60,33 @@
 	}
 }
 
-// spreadRumour tells a few peers of a revision that is new here.
-func (p *protocol) spreadRumour() { p.sendDigests(rumourZonePeers, rumourOtherPeers, false) }
+// announceRevision sends a digest to a few peers after a new revision was adopted.
+func (p *protocol) announceRevision() { p.sendDigests(announceZonePeers, announceOtherPeers, false) }
 
-func (p *protocol) takeDelta(received eventDelta) {
+func (p *protocol) handleDelta(received eventDelta) {
 	next := received.delta
-	if next.revision > p.revision()+1 || p.held == nil {
-		p.learnAhead(received.from, next.revision)
+	if next.revision > p.revision()+1 || p.latest == nil {
+		p.noteAheadPeer(received.from, next.revision)
 		return
 	}
 	if !p.adoptDelta(next) {
-		p.gossip.pullWhole = true
-		p.learnAhead(received.from, next.revision)
+		p.gossip.pullDocument = true
+		p.noteAheadPeer(received.from, next.revision)
 	}
 }
 
-func (p *protocol) takeDigest(received eventDigest) {
+func (p *protocol) handleDigest(received eventDigest) {
 	theirs := received.digest
 	if theirs.known {
-		p.ready.confirm(received.from, theirs)
+		p.ready.addReport(received.from, theirs)
 		switch {
 		case theirs.revision > p.revision():
-			p.learnAhead(received.from, theirs.revision)
-		case theirs.revision == p.revision() && theirs.hash != p.held.hash:
+			p.noteAheadPeer(received.from, theirs.revision)
+		case theirs.revision == p.revision() && theirs.hash != p.latest.hash:
 			p.do(actionReport{problem: problemContentDiffers, from: received.from})
 		}
 	}
-	behind := p.held != nil && (!theirs.known || theirs.revision < p.held.revision)
+	behind := p.latest != nil && (!theirs.known || theirs.revision < p.latest.revision)
 	if behind && theirs.known && p.pushMissing(received.from, theirs.revision) {
 		behind = false
 	}
@@ -94,65 +95,66 @@
 	}
 }
 
-// pushMissing sends the changes after revision to a peer, if they are kept and small.
+// pushMissing sends the deltas after revision to a peer. It returns false if some are no longer kept or they exceed
+// maxPushedBytes.
 func (p *protocol) pushMissing(to netip.AddrPort, revision int64) bool {
-	deltas, complete := p.held.deltasAfter(revision)
+	deltas, complete := p.latest.deltasAfter(revision)
 	if !complete {
 		return false
 	}
 	size := 0
-	for _, one := range deltas {
-		size += one.size()
+	for _, missing := range deltas {
+		size += missing.size()
 	}
 	if size > maxPushedBytes {
 		return false
 	}
-	for _, one := range deltas {
-		p.do(actionSendDelta{to: []netip.AddrPort{to}, delta: one})
+	for _, missing := range deltas {
+		p.do(actionSendDelta{to: []netip.AddrPort{to}, delta: missing})
 	}
 	return true
 }
 
-// learnAhead notes a peer that is ahead and pulls from it unless a pull is under way.
-func (p *protocol) learnAhead(from netip.AddrPort, revision int64) {
-	if revision > p.gossip.aheadRevision || !p.gossip.ahead.IsValid() {
-		p.gossip.ahead, p.gossip.aheadRevision = from, revision
+// noteAheadPeer records a peer with a higher revision and pulls from it unless a pull is in flight.
+func (p *protocol) noteAheadPeer(from netip.AddrPort, revision int64) {
+	if revision > p.gossip.aheadRevision || !p.gossip.aheadPeer.IsValid() {
+		p.gossip.aheadPeer, p.gossip.aheadRevision = from, revision
 	}
-	p.pullAhead()
+	p.pullFromAheadPeer()
 }
 
-func (p *protocol) pullAhead() {
+func (p *protocol) pullFromAheadPeer() {
 	gossip := &p.gossip
-	if gossip.pulling || !gossip.ahead.IsValid() || gossip.aheadRevision <= p.revision() {
+	if gossip.pulling || !gossip.aheadPeer.IsValid() || gossip.aheadRevision <= p.revision() {
 		return
 	}
 	gossip.pulling = true
 	p.do(actionPull{
-		from:     gossip.ahead,
+		from:     gossip.aheadPeer,
 		revision: max(p.revision(), 0),
-		known:    p.held != nil && !gossip.pullWhole,
+		known:    p.latest != nil && !gossip.pullDocument,
 	})
-	gossip.ahead, gossip.aheadRevision = netip.AddrPort{}, 0
+	gossip.aheadPeer, gossip.aheadRevision = netip.AddrPort{}, 0
 }
 
-func (p *protocol) takePulled(pulled eventPulled) {
+func (p *protocol) handlePulled(pulled eventPulled) {
 	p.gossip.pulling = false
 	if pulled.err == nil {
 		p.adoptPulled(pulled)
 	}
-	p.pullAhead()
+	p.pullFromAheadPeer()
 }
 
 func (p *protocol) adoptPulled(pulled eventPulled) {
 	if pulled.document != nil {
 		p.adopt(pulled.document)
-		p.gossip.pullWhole = false
+		p.gossip.pullDocument = false
 		return
 	}
 	for _, next := range pulled.deltas {
 		if !p.adoptDelta(next) {
-			p.gossip.pullWhole = true
-			p.learnAhead(pulled.from, next.revision)
+			p.gossip.pullDocument = true
+			p.noteAheadPeer(pulled.from, next.revision)
 			return
 		}
 	}
--- a/internal/config/relay/protocol_ready.go
+++ b/internal/config/relay/protocol_ready.go
@@ -6,58 +6,59 @@
 )
 
 const (
-	// confirmingPeers is how many peers must have told their revision before a node serves by
-	// what peers know alone; fewer where fewer live.
+	// confirmingPeers is how many peers must have reported their revision before a node becomes ready
+	// without the key-value service; in a smaller cluster, all peers.
 	confirmingPeers = 3
-	// readyTimeout bounds the wait for a revision that the membership has heard of and no peer has, and for a peer
-	// that serves already; there is none where all nodes started while the key-value service is down.
+	// readyTimeout limits the wait for a revision that the membership reports but no peer has, and for a peer that is
+	// ready. If all nodes start while the key-value service is down, no peer is.
 	readyTimeout = 10 * time.Second
 )
 
-// readyState decides when a node that just started may serve, so that it does not serve by an older
-// revision than it did before.
+// readyState decides when a starting node is ready, so that it does not serve an older revision than before its
+// restart.
 type readyState struct {
 	done             bool
 	confirmedByStore bool
-	// confirmed holds what peers told last.
-	confirmed map[netip.AddrPort]digest
+	// reports are the last digests of peers.
+	reports map[netip.AddrPort]digest
 }
 
 func newReadyState() readyState {
-	return readyState{confirmed: make(map[netip.AddrPort]digest)}
+	return readyState{reports: make(map[netip.AddrPort]digest)}
 }
 
-func (r *readyState) confirm(from netip.AddrPort, told digest) {
+func (r *readyState) addReport(from netip.AddrPort, reported digest) {
 	if !r.done {
-		r.confirmed[from] = told
+		r.reports[from] = reported
 	}
 }
 
 func (p *protocol) checkReady() {
-	if p.ready.done || p.held == nil {
+	if p.ready.done || p.latest == nil {
 		return
 	}
 	if p.ready.confirmedByStore || p.confirmedByPeers() {
 		p.ready.done = true
-		p.ready.confirmed = nil
-		p.do(actionPublish{document: p.held})
+		p.ready.reports = nil
+		p.do(actionPublish{document: p.latest})
 		p.do(actionReady{})
 	}
 }
 
-// confirmedByPeers says that enough peers have told their revision, one that serves among them, and none
-// a higher one than is held.
+// confirmedByPeers reports whether enough peers have reported their revision, none of them a higher one than the
+// latest here, and at least one of them is ready and no member is known to have a higher revision. The last two
+// conditions are dropped after readyTimeout.
 func (p *protocol) confirmedByPeers() bool {
-	anyServes := false
-	for _, told := range p.ready.confirmed {
-		if told.revision > p.held.revision {
+	anyReady := false
+	for _, reported := range p.ready.reports {
+		if reported.revision > p.latest.revision {
 			return false
 		}
-		anyServes = anyServes || told.ready
+		anyReady = anyReady || reported.ready
 	}
 	needed := min(confirmingPeers, len(p.peers.zone)+len(p.peers.other))
-	if needed == 0 || len(p.ready.confirmed) < needed {
+	if needed == 0 || len(p.ready.reports) < needed {
 		return false
 	}
-	return p.now >= readyTimeout || anyServes && p.held.revision >= p.viewFloor
+	return p.now >= readyTimeout || anyReady && p.latest.revision >= p.viewFloor
 }
--- a/internal/config/relay/protocol_source.go
+++ b/internal/config/relay/protocol_source.go
@@ -12,22 +12,22 @@
 
 // Timing of the calls to the key-value service.
 const (
-	// startSpread spreads the first calls of nodes that start together.
-	startSpread = 400 * time.Millisecond
-	// viewSettled is how long no member may have been found before a node that just started trusts that
-	// it is a watcher; viewTimeout bounds the wait.
-	viewSettled = 400 * time.Millisecond
-	viewTimeout = 2 * time.Second
-	// firstSourceWait and maxSourceWait bound the growing wait after a failure.
-	firstSourceWait = 250 * time.Millisecond
-	maxSourceWait   = 4 * time.Second
-	// headPollPerZone times the number of zones is how often a watcher reads the head, so that watches
-	// that died silently are noticed: once in 1.5 s by one of all watchers, however many zones there are.
+	// startJitter is the maximum random delay of the first call, to spread the calls of nodes that start together.
+	startJitter = 400 * time.Millisecond
+	// viewSettleTime is how long the number of live members must be unchanged before a starting node relies on
+	// being a watcher; viewTimeout limits the wait.
+	viewSettleTime = 400 * time.Millisecond
+	viewTimeout    = 2 * time.Second
+	// minSourceBackoff and maxSourceBackoff bound the exponential backoff after a failure.
+	minSourceBackoff = 250 * time.Millisecond
+	maxSourceBackoff = 4 * time.Second
+	// headPollPerZone times the number of zones is the interval at which a watcher reads the head, to detect
+	// watches that died silently. All watchers together read it once in 1.5 s, whatever the number of zones.
 	headPollPerZone = 3 * time.Second
-	// maxHeadFailures ends a watch beside which the head can't be read.
+	// maxHeadFailures is the number of consecutive failures to read the head after which a watch is ended.
 	maxHeadFailures = 2
-	// pollInsteadOfWatchAfter failures a watcher lists at each try.
-	pollInsteadOfWatchAfter = 2
+	// listAfterFailures is the number of consecutive failures from which on a watcher lists at each try.
+	listAfterFailures = 2
 )
 
 var errNoStoreRevision = errors.New("the listing has no revision to watch from")
@@ -40,28 +40,28 @@
 	sourceWatching
 )
 
-// sourceState is a watcher's side towards the key-value service.
+// sourceState is the state of a node towards the key-value service.
 type sourceState struct {
-	// wanted says that this node should watch.
+	// wanted is set if this node should be a watcher.
 	wanted bool
 	phase  sourcePhase
-	// watch numbers the watches; events of earlier ones are dropped.
+	// watch is the number of the current watch; events of earlier watches are dropped.
 	watch uint64
-	// mustList is set where a watch cannot go on from what is held.
+	// mustList is set if a watch cannot continue from the latest document.
 	mustList bool
 	failures int
 	nextTry  time.Duration
-	// liveMembers is their number in the present view, which is so since liveSince.
+	// liveMembers is the number of live members in the current view, unchanged since liveSince.
 	liveMembers int
 	liveSince   time.Duration
-	// readingHead is set while a read of the head is under way.
+	// readingHead is set while a read of the head is in flight.
 	readingHead  bool
 	headFailures int
 	nextHeadPoll time.Duration
 }
 
 func newSourceState(random *rand.Rand) sourceState {
-	return sourceState{wanted: true, nextTry: time.Duration(random.Int64N(int64(startSpread)))}
+	return sourceState{wanted: true, nextTry: time.Duration(random.Int64N(int64(startJitter)))}
 }
 
 func (p *protocol) tickSource() {
@@ -81,16 +81,16 @@
 	}
 }
 
-// waitsForView says that a node that just started is still finding members, one of which
-// may have what it would ask the service for.
+// waitsForView reports whether a starting node is still discovering members, one of which
+// may have the configuration that it would list otherwise.
 func (p *protocol) waitsForView() bool {
-	return !p.ready.done && p.now < viewTimeout && p.now < p.source.liveSince+viewSettled
+	return !p.ready.done && p.now < viewTimeout && p.now < p.source.liveSince+viewSettleTime
 }
 
-// trySource watches from what is held, or lists where that is not known to be enough.
+// trySource starts a watch from the latest document, or a listing if a watch may miss changes.
 func (p *protocol) trySource() {
 	source := &p.source
-	if source.mustList || p.held == nil || p.held.storeRevision == 0 {
+	if source.mustList || p.latest == nil || p.latest.storeRevision == 0 {
 		source.phase = sourceListing
 		p.do(actionList{})
 		return
@@ -99,7 +99,7 @@
 	source.watch++
 	source.headFailures = 0
 	source.nextHeadPoll = p.now + jittered(p.random, p.headPollInterval())
-	p.do(actionWatch{watch: source.watch, fromRevision: p.held.storeRevision + 1})
+	p.do(actionWatch{watch: source.watch, fromRevision: p.latest.storeRevision + 1})
 }
 
 func (p *protocol) headPollInterval() time.Duration {
@@ -112,51 +112,51 @@
 	p.do(actionStopWatch{})
 }
 
-// sourceFailed waits longer after each failure.
-func (p *protocol) sourceFailed() {
+// scheduleSourceRetry counts a failure and schedules the next try with exponential backoff and jitter.
+func (p *protocol) scheduleSourceRetry() {
 	source := &p.source
 	source.phase = sourceIdle
-	wait := min(firstSourceWait<<min(source.failures, 10), maxSourceWait)
+	wait := min(minSourceBackoff<<min(source.failures, 10), maxSourceBackoff)
 	source.failures++
-	source.mustList = source.mustList || source.failures >= pollInsteadOfWatchAfter
+	source.mustList = source.mustList || source.failures >= listAfterFailures
 	source.nextTry = p.now + jittered(p.random, wait)
 }
 
-func (p *protocol) takeListing(listed eventListed) {
+func (p *protocol) handleListing(listed eventListed) {
 	if p.source.phase != sourceListing {
 		return
 	}
 	if listed.err != nil {
-		p.do(actionReport{problem: problemStoreAway, err: listed.err})
-		p.sourceFailed()
+		p.do(actionReport{problem: problemStoreUnavailable, err: listed.err})
+		p.scheduleSourceRetry()
 		return
 	}
 	read, err := documentOf(listed.listing)
 	if err != nil {
 		p.do(actionReport{problem: problemStoreUnreadable, err: err})
-		p.sourceFailed()
+		p.scheduleSourceRetry()
 		return
 	}
-	p.takeStoredDocument(read)
+	p.adoptStoredDocument(read)
 }
 
-func (p *protocol) takeStoredDocument(read *document) {
+func (p *protocol) adoptStoredDocument(read *document) {
 	switch {
 	case read.storeRevision == 0:
 		p.do(actionReport{problem: problemStoreUnreadable, err: errNoStoreRevision})
-		p.sourceFailed()
+		p.scheduleSourceRetry()
 		return
 	case read.revision < p.revision():
-		// A stale answer, or a service that lost its data: what is in force stays.
-		p.do(actionReport{problem: problemStoreWentBack})
-		p.sourceFailed()
+		// A stale response, or a service that lost data: keep the latest document.
+		p.do(actionReport{problem: problemStoreOlder})
+		p.scheduleSourceRetry()
 		return
-	case p.held != nil && read.revision == p.held.revision && read.hash != p.held.hash:
+	case p.latest != nil && read.revision == p.latest.revision && read.hash != p.latest.hash:
 		p.do(actionReport{problem: problemContentDiffers})
-		p.sourceFailed()
+		p.scheduleSourceRetry()
 		return
-	case p.held != nil && read.revision == p.held.revision:
-		p.held = p.held.withStoreRevision(read.storeRevision)
+	case p.latest != nil && read.revision == p.latest.revision:
+		p.latest = p.latest.withStoreRevision(read.storeRevision)
 	default:
 		p.adopt(read)
 	}
@@ -168,15 +168,15 @@
 	}
 }
 
-func (p *protocol) takeHead(read eventHeadRead) {
+func (p *protocol) handleHead(read eventHeadRead) {
 	p.source.readingHead = false
 	p.source.nextHeadPoll = p.now + jittered(p.random, p.headPollInterval())
 	if read.err != nil {
-		p.do(actionReport{problem: problemStoreAway, err: read.err})
+		p.do(actionReport{problem: problemStoreUnavailable, err: read.err})
 		p.source.headFailures++
 		if p.source.headFailures >= maxHeadFailures && p.source.phase == sourceWatching {
 			p.endWatch()
-			p.sourceFailed()
+			p.scheduleSourceRetry()
 		}
 		return
 	}
@@ -190,7 +190,7 @@
 	p.ready.confirmedByStore = p.ready.confirmedByStore || read.revision == p.revision()
 }
 
-func (p *protocol) takeWatched(watched eventWatched) {
+func (p *protocol) handleWatched(watched eventWatched) {
 	if watched.watch != p.source.watch || p.source.phase != sourceWatching {
 		return
 	}
@@ -199,9 +199,9 @@
 		if errorx.IsOfType(watched.changed.Err, platform.KindCompacted) {
 			p.source.mustList = true
 		} else {
-			p.do(actionReport{problem: problemStoreAway, err: watched.changed.Err})
+			p.do(actionReport{problem: problemStoreUnavailable, err: watched.changed.Err})
 		}
-		p.sourceFailed()
+		p.scheduleSourceRetry()
 		return
 	}
 	p.source.failures = 0
@@ -212,19 +212,19 @@
 		p.source.mustList = true
 		return
 	}
-	p.takeStoredDelta(next)
+	p.adoptStoredDelta(next)
 }
 
-// takeStoredDelta takes a change from the watch, and sends one that is new to the zone's others.
-func (p *protocol) takeStoredDelta(next *delta) {
+// adoptStoredDelta applies a delta from the watch and, if it is new, sends it to the other nodes of the zone.
+func (p *protocol) adoptStoredDelta(next *delta) {
 	switch {
-	case p.held == nil || next.revision > p.held.revision+1:
+	case p.latest == nil || next.revision > p.latest.revision+1:
 		p.endWatch()
 		p.source.mustList = true
-	case next.revision == p.held.revision:
-		p.held = p.held.withStoreRevision(next.storeRevision)
-	case next.revision == p.held.revision+1:
-		document := p.held.apply(next)
+	case next.revision == p.latest.revision:
+		p.latest = p.latest.withStoreRevision(next.storeRevision)
+	case next.revision == p.latest.revision+1:
+		document := p.latest.apply(next)
 		next.hash = document.hash
 		p.adopt(document)
 		if len(p.peers.zone) > 0 {
--- a/internal/config/relay/protocol_test.go
+++ b/internal/config/relay/protocol_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// settleRounds of tickInterval are 20 s, over the longest waits of the protocol together.
+// settleRounds times tickInterval is 20 s, longer than all waits of the protocol together.
 const settleRounds = 200
 
-// TestRevisionNeverFalls drives nodes through lost, late and doubled messages, stale and failed answers
-// of the store, compaction, restarts and changing views. The simulation checks at each step that no
-// node goes back and that the content of a revision is the accepted one.
+// TestRevisionNeverFalls drives nodes through lost, delayed and duplicated messages, stale and failed responses
+// of the store, compaction, restarts and view changes. The simulation checks after each step that no revision
+// decreases and that the content of a revision is the accepted one.
 func TestRevisionNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t.Fatalf)
@@ -56,7 +56,7 @@
 	for revision := range 3 {
 		s.apply(fmt.Sprintf("objects/Tenant/t%d", revision), "")
 	}
-	// One watcher gets the changes, then the store is away.
+	// One watcher receives the changes, then the store becomes unavailable.
 	for index, node := range s.nodes {
 		if node.watching {
 			for range 3 {
--- a/internal/config/relay/service.go
+++ b/internal/config/relay/service.go
@@ -21,20 +21,20 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// eventBuffer is how many events wait for the control goroutine before senders wait.
+	// eventBuffer is how many events are queued for the control goroutine before senders block.
 	eventBuffer  = 64
 	storeTimeout = 5 * time.Second
 	pullTimeout  = time.Second
-	// reportInterval bounds how often the same problem is logged.
+	// reportInterval is the minimum time between two log lines of the same problem.
 	reportInterval = 30 * time.Second
 )
 
-// RevisionReporter learns which revision is in force on this node.
+// RevisionReporter is told which revision is in force on this node.
 type RevisionReporter interface {
 	SetConfigRevision(revision int64)
 }
 
-// Options of a Service. All fields but Reporter are needed.
+// Options of a Service. Reporter, DataFolder and Seed are optional.
 type Options struct {
 	Self     membership.Member
 	Viewer   membership.Viewer
@@ -42,27 +42,27 @@
 	KeyValue platform.KeyValue
 	Reporter RevisionReporter
 	Logger   zerolog.Logger
-	// DataFolder keeps the last configuration over a restart; empty on a node that keeps nothing.
+	// DataFolder stores the last configuration for a restart; empty on a node without persistent storage.
 	DataFolder string
-	// Registerer takes the metrics.
+	// Registerer is used to register the metrics.
 	Registerer prometheus.Registerer
-	// Seed decides the random choices; 0 takes one at random.
+	// Seed determines the random choices; 0 selects a random seed.
 	Seed uint64
 }
 
-// Service runs the protocol and provides what is in force. It is a config.Source and
-// safe for concurrent use.
+// Service runs the protocol and provides the configuration in force. It is a
+// config.Source and safe for concurrent use.
 type Service struct {
 	options Options
 	logger  zerolog.Logger
 	events  chan event
 	ready   chan struct{}
-	// inForce and held are written by the control goroutine only. held can be newer than
-	// inForce where this node can't parse it.
+	// inForce and latest are written by the control goroutine only. latest is newer than
+	// inForce if this node cannot parse it or is not ready.
 	inForce atomic.Pointer[config.Snapshot]
-	held    atomic.Pointer[document]
+	latest  atomic.Pointer[document]
 
-	// changed signals, at least once after each change, that held is to be saved.
+	// changed signals, at least once after each change, that latest must be saved.
 	changed     chan struct{}
 	subscribers subscription.List[*config.Snapshot]
 	metrics     *metrics
@@ -102,19 +102,19 @@
 	}
 	empty, err := config.BuildSnapshot(0, nil)
 	if err != nil {
-		panic(err) // No declaration can't be declared twice.
+		panic(err) // An empty list has no duplicate declarations.
 	}
 	service.inForce.Store(empty)
 	service.register(registrar)
 	return service, nil
 }
 
-// Current returns the Snapshot in force. Until the node is ready that is the empty configuration of
-// revision 0, so that nothing is served by an older revision than before a restart.
+// Current returns the Snapshot in force. Until the node is ready this is the empty configuration of
+// revision 0, so that nothing is served with an older revision than before a restart.
 func (s *Service) Current() *config.Snapshot { return s.inForce.Load() }
 
-// Ready is closed once this node may serve by Current: the key-value service or enough
-// peers have confirmed that it is not older than what was in force before.
+// Ready is closed once this node may serve with Current: the key-value service or enough
+// peers have confirmed that it is not older than the revision in force before a restart.
 func (s *Service) Ready() <-chan struct{} { return s.ready }
 
 // Subscribe calls notify after each change, on the control goroutine.
@@ -122,10 +122,10 @@
 	return s.subscribers.Add(notify)
 }
 
-// Busy is the time that the control goroutine spent on events so far.
+// Busy returns the total time that the control goroutine has spent on events.
 func (s *Service) Busy() time.Duration { return time.Duration(s.busy.Load()) }
 
-// Start runs the control goroutine until Stop.
+// Start starts the control goroutine, which runs until Stop.
 func (s *Service) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
@@ -167,7 +167,7 @@
 	}
 }
 
-// post hands an event to the control goroutine; it gives up when ctx ends.
+// post sends an event to the control goroutine; it gives up when ctx ends.
 func (s *Service) post(ctx context.Context, next event) {
 	select {
 	case s.events <- next:
@@ -181,8 +181,8 @@
 	for _, output := range s.protocol.step(input) {
 		s.perform(ctx, output)
 	}
-	// A step may learn the store's revision without a change of configuration.
-	s.held.Store(s.protocol.held)
+	// A step may update the store's revision without a change of the configuration.
+	s.latest.Store(s.protocol.latest)
 }
 
 func (s *Service) perform(ctx context.Context, output action) {
@@ -206,7 +206,7 @@
 	case actionSendDelta:
 		s.sendDelta(typed)
 	case actionSendDigest:
-		// A digest that is lost is made up for by the next one.
+		// A lost digest is compensated by the next one.
 		_ = s.options.Caller.Send(typed.to, methodDigest, encodeDigest(typed.digest))
 	case actionPull:
 		s.metrics.pulls.Inc()
@@ -216,10 +216,10 @@
 	}
 }
 
-// publish puts a document in force. One that this node can't parse is passed on to
-// others, and the present Snapshot stays in force here.
+// publish puts a document in force. If this node cannot parse it, the current Snapshot
+// stays in force here, while the document is still relayed to other nodes.
 func (s *Service) publish(next *document) {
-	s.held.Store(next)
+	s.latest.Store(next)
 	subscription.Signal(s.changed)
 	snapshot, err := snapshotOf(next)
 	if err != nil {
--- a/internal/config/relay/service_io.go
+++ b/internal/config/relay/service_io.go
@@ -23,7 +23,7 @@
 		})
 	transport.Handle(registrar, methodPull, func() *configpb.PullRequest { return &configpb.PullRequest{} },
 		func(_ context.Context, _ netip.AddrPort, request *configpb.PullRequest) (*configpb.PullResponse, error) {
-			return answerPull(s.held.Load(), request), nil
+			return answerPull(s.latest.Load(), request), nil
 		})
 }
 
@@ -66,7 +66,7 @@
 func (s *Service) sendDelta(wanted actionSendDelta) {
 	message := encodeDelta(wanted.delta)
 	for _, to := range wanted.to {
-		// A delta that is lost is made up for by a digest and a pull.
+		// A lost delta is compensated by a digest and a pull.
 		_ = s.options.Caller.Send(to, methodDelta, message)
 	}
 }
@@ -89,12 +89,12 @@
 	if err != nil {
 		return pulled
 	}
-	for _, one := range response.GetDeltas() {
-		pulled.deltas = append(pulled.deltas, decodeDelta(one))
+	for _, message := range response.GetDeltas() {
+		pulled.deltas = append(pulled.deltas, decodeDelta(message))
 	}
 	if response.GetDocument() != nil {
-		received, sound := decodeDocument(response.GetDocument())
-		if !sound {
+		received, valid := decodeDocument(response.GetDocument())
+		if !valid {
 			pulled.err = errDamaged
 			return pulled
 		}
--- a/internal/config/relay/service_test.go
+++ b/internal/config/relay/service_test.go
@@ -18,10 +18,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// aim is how soon an accepted file should be in force everywhere; bound is the promise.
+// spreadTarget is the time in which an accepted file should be in force on all nodes; spreadLimit is the guaranteed
+// upper bound.
 const (
-	aim   = time.Second
-	bound = 8 * time.Second
+	spreadTarget = time.Second
+	spreadLimit  = 8 * time.Second
 )
 
 // onVirtualTime runs scenario on a started cluster that has revision 1 in force.
@@ -30,9 +31,9 @@
 		c := newCluster(t, 3, 7)
 		c.start()
 		defer c.stop()
-		c.wantSpread(c.apply("first"), bound, everyNode)
+		c.wantSpread(c.apply("first"), spreadLimit, everyNode)
 		scenario(t, c)
-		c.wantRising()
+		c.wantIncreasing()
 	})
 }
 
@@ -47,7 +48,7 @@
 func TestSpreadWithinASecond(t *testing.T) {
 	onVirtualTime(t, func(_ *testing.T, c *cluster) {
 		for number := range 5 {
-			c.wantSpread(c.apply(fmt.Sprintf("tenant-%d", number)), aim, everyNode)
+			c.wantSpread(c.apply(fmt.Sprintf("tenant-%d", number)), spreadTarget, everyNode)
 		}
 	})
 }
@@ -55,15 +56,15 @@
 func TestRestartWhileTheStoreIsDown(t *testing.T) {
 	onVirtualTime(t, func(t *testing.T, c *cluster) {
 		revision := c.apply("second")
-		c.wantSpread(revision, aim, everyNode)
+		c.wantSpread(revision, spreadTarget, everyNode)
 		c.platform.Faults().Set(outage(platform.AnyZone))
 		for _, node := range c.nodes {
 			node.stop()
 			node.start()
-			c.wantSpread(revision, bound, everyNode)
+			c.wantSpread(revision, spreadLimit, everyNode)
 		}
 		c.platform.Faults().Clear(platform.AnyZone, platform.KeyValue)
-		c.wantSpread(c.apply("third"), bound, everyNode)
+		c.wantSpread(c.apply("third"), spreadLimit, everyNode)
 	})
 }
 
@@ -74,9 +75,9 @@
 			node.dataFolder = t.TempDir()
 		}
 		c.start()
-		c.wantSpread(c.apply("first"), bound, everyNode)
+		c.wantSpread(c.apply("first"), spreadLimit, everyNode)
 		revision := c.apply("second")
-		c.wantSpread(revision, aim, everyNode)
+		c.wantSpread(revision, spreadTarget, everyNode)
 		c.platform.Faults().Set(outage(platform.AnyZone))
 		c.stop()
 		damaged := filepath.Join(c.nodes[0].dataFolder, "config", "document")
@@ -89,13 +90,13 @@
 		time.Sleep(readyTimeout / 2)
 		for _, node := range c.nodes {
 			if node.ready() || node.service.Current().Revision != 0 {
-				t.Errorf("%s serves by revision %d that nobody confirmed", node.member.ID, node.service.Current().Revision)
+				t.Errorf("%s serves with revision %d, which is not confirmed", node.member.ID, node.service.Current().Revision)
 			}
 		}
-		c.wantSpread(revision, readyTimeout+aim, everyNode)
+		c.wantSpread(revision, readyTimeout+spreadTarget, everyNode)
 		c.platform.Faults().Clear(platform.AnyZone, platform.KeyValue)
-		c.wantSpread(c.apply("third"), bound, everyNode)
-		c.wantRising()
+		c.wantSpread(c.apply("third"), spreadLimit, everyNode)
+		c.wantIncreasing()
 	})
 }
 
@@ -103,7 +104,7 @@
 	onVirtualTime(t, func(_ *testing.T, c *cluster) {
 		c.platform.Faults().Set(outage("zone-0"))
 		for number := range 5 {
-			c.wantSpread(c.apply(fmt.Sprintf("tenant-%d", number)), bound, everyNode)
+			c.wantSpread(c.apply(fmt.Sprintf("tenant-%d", number)), spreadLimit, everyNode)
 		}
 	})
 }
@@ -113,15 +114,15 @@
 		c.platform.Faults().Set(outage("zone-0"))
 		c.cutZone()
 		revision := c.apply("second")
-		c.wantSpread(revision, aim, notInFirstZone)
+		c.wantSpread(revision, spreadTarget, notInFirstZone)
 		time.Sleep(10 * time.Minute)
 		if !c.spread(1, inFirstZone) {
-			t.Error("the zone that is cut off should hold what it had")
+			t.Error("the partitioned zone does not keep its revision")
 		}
 		c.lose(0)
-		c.wantSpread(revision, bound, everyNode)
+		c.wantSpread(revision, spreadLimit, everyNode)
 		c.platform.Faults().Clear("zone-0", platform.KeyValue)
-		c.wantSpread(c.apply("third"), bound, everyNode)
+		c.wantSpread(c.apply("third"), spreadLimit, everyNode)
 	})
 }
 
@@ -129,7 +130,7 @@
 	onVirtualTime(t, func(_ *testing.T, c *cluster) {
 		c.lose(0.25)
 		for number := range 5 {
-			c.wantSpread(c.apply(fmt.Sprintf("tenant-%d", number)), bound, everyNode)
+			c.wantSpread(c.apply(fmt.Sprintf("tenant-%d", number)), spreadLimit, everyNode)
 		}
 	})
 }
@@ -139,18 +140,18 @@
 		before := c.platform.Counters()[platform.OperationList].Calls
 		c.stop()
 		c.start()
-		c.wantSpread(1, bound, everyNode)
+		c.wantSpread(1, spreadLimit, everyNode)
 		listings := c.platform.Counters()[platform.OperationList].Calls - before
 		if watchers := int64(2 * len(c.zones)); listings > watchers {
 			t.Errorf("%d listings for %d watchers", listings, watchers)
 		}
-		c.wantSpread(c.apply("second"), bound, everyNode)
+		c.wantSpread(c.apply("second"), spreadLimit, everyNode)
 	})
 }
 
 func TestWatchersLostTogether(t *testing.T) {
 	onVirtualTime(t, func(_ *testing.T, c *cluster) {
-		// The membership learns of the loss of half of the nodes only after the change.
+		// The membership detects the loss of half of the nodes only after the change.
 		var lost []*clusterNode
 		for index, node := range c.nodes {
 			if index%2 == 0 {
@@ -158,18 +159,18 @@
 				lost = append(lost, node)
 			}
 		}
-		stands := func(node *clusterNode) bool { return node.member.ID[len(node.member.ID)-1]%2 == 1 }
+		running := func(node *clusterNode) bool { return node.member.ID[len(node.member.ID)-1]%2 == 1 }
 		revision := c.apply("second")
-		time.Sleep(aim)
+		time.Sleep(spreadTarget)
 		for _, node := range lost {
 			c.setLive(node, false)
 		}
-		c.wantSpread(revision, bound, stands)
+		c.wantSpread(revision, spreadLimit, running)
 		for _, node := range lost {
 			c.setLive(node, true)
 			node.start()
 		}
-		c.wantSpread(revision, bound, everyNode)
+		c.wantSpread(revision, spreadLimit, everyNode)
 	})
 }
 
@@ -180,7 +181,7 @@
 		c.platform.Faults().Clear(platform.AnyZone, platform.KeyValue)
 		revision := c.apply("second")
 		c.platform.Compact(1 << 40)
-		c.wantSpread(revision, bound, everyNode)
+		c.wantSpread(revision, spreadLimit, everyNode)
 	})
 }
 
@@ -191,7 +192,7 @@
 		c.platform.Faults().Clear(platform.AnyZone, platform.KeyValue)
 		// Each watcher reads the head at least every 13.5 s in three zones.
 		const longestHeadPoll = 13500 * time.Millisecond
-		c.wantSpread(c.apply("second"), longestHeadPoll+aim, everyNode)
+		c.wantSpread(c.apply("second"), longestHeadPoll+spreadTarget, everyNode)
 	})
 }
 
@@ -200,7 +201,7 @@
 		c.platform.Faults().Set(platform.Fault{Service: platform.KeyValue, Outage: platform.OutageHangs})
 		time.Sleep(10 * time.Minute)
 		c.platform.Faults().Clear(platform.AnyZone, platform.KeyValue)
-		c.wantSpread(c.apply("second"), bound, everyNode)
+		c.wantSpread(c.apply("second"), spreadLimit, everyNode)
 	})
 }
 
@@ -220,7 +221,7 @@
 			})
 		}
 		operators.Wait()
-		c.wantSpread(1+3*4, bound, everyNode)
+		c.wantSpread(1+3*4, spreadLimit, everyNode)
 		for _, node := range c.nodes {
 			if tenants := len(node.service.Current().Tenants); tenants != 1+3*4 {
 				t.Errorf("%s has %d tenants", node.member.ID, tenants)
@@ -229,7 +230,8 @@
 	})
 }
 
-// TestStoreCallsDoNotGrowWithNodes compares ten quiet minutes of a small and a large cluster.
+// TestStoreCallsDoNotGrowWithNodes: in ten minutes without changes, a small and a large cluster stay below the same
+// number of calls to the store.
 func TestStoreCallsDoNotGrowWithNodes(t *testing.T) {
 	const (
 		zones            = 3
@@ -242,44 +244,44 @@
 			c := newCluster(t, zones, nodesPerZone)
 			c.start()
 			defer c.stop()
-			c.wantSpread(c.apply("first"), bound, everyNode)
+			c.wantSpread(c.apply("first"), spreadLimit, everyNode)
 			before := c.calls()
 			time.Sleep(quiet)
 			calls := c.calls() - before
 			t.Logf("%d nodes: %d calls in %s", len(c.nodes), calls, quiet)
-			if most := int64(zones * watchers * (quiet/shortestHeadPoll + 1)); calls > most {
-				t.Errorf("%d calls, want at most %d", calls, most)
+			if maxCalls := int64(zones * watchers * (quiet/shortestHeadPoll + 1)); calls > maxCalls {
+				t.Errorf("%d calls, want at most %d", calls, maxCalls)
 			}
 		})
 	}
 }
 
-// TestWithMembership runs the real membership below the relay.
+// TestWithMembership runs the relay on the real membership.
 func TestWithMembership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 14)
 		c.gossip = true
 		c.start()
 		defer c.stop()
-		c.wantSpread(c.apply("first"), bound, everyNode)
+		c.wantSpread(c.apply("first"), spreadLimit, everyNode)
 		time.Sleep(time.Minute)
 		before := c.calls()
 		c.stop()
 		c.start()
-		c.wantSpread(1, bound, everyNode)
+		c.wantSpread(1, spreadLimit, everyNode)
 		t.Logf("%d calls at the restart of %d nodes", c.calls()-before, len(c.nodes))
-		// A watcher lists, watches, and may read the head; few others take themselves for watchers.
-		if calls, most := c.calls()-before, int64(4*2*len(c.zones)); calls > most {
-			t.Errorf("%d calls at the restart of all, want at most %d", calls, most)
+		// A watcher lists, watches, and may read the head; a few other nodes briefly act as watchers too.
+		if calls, maxCalls := c.calls()-before, int64(4*2*len(c.zones)); calls > maxCalls {
+			t.Errorf("%d calls at the restart of all, want at most %d", calls, maxCalls)
 		}
 		time.Sleep(time.Minute)
 		c.platform.Faults().Set(outage("zone-0"))
 		c.cutZone()
 		revision := c.apply("second")
-		c.wantSpread(revision, aim, notInFirstZone)
+		c.wantSpread(revision, spreadTarget, notInFirstZone)
 		time.Sleep(time.Minute)
 		c.lose(0)
-		t.Logf("%s after the heal", c.wantSpread(revision, bound, everyNode))
-		c.wantRising()
+		t.Logf("%s after the heal", c.wantSpread(revision, spreadLimit, everyNode))
+		c.wantIncreasing()
 	})
 }
--- a/internal/config/relay/simulation_test.go
+++ b/internal/config/relay/simulation_test.go
@@ -15,14 +15,14 @@
 	simulatedNodes = 8
 )
 
-// simulation drives the protocols of a few nodes against a store, with every message and
-// answer held until a test delivers or drops it.
+// simulation drives the protocols of a few nodes against a simulated store. Each message
+// and response is queued until a test delivers or drops it.
 type simulation struct {
 	fatal    func(format string, arguments ...any)
 	now      time.Duration
 	nodes    []*simulatedNode
 	messages []simulatedMessage
-	// versions holds the true document by revision; changes the store's history.
+	// versions are the accepted documents by revision; listings and changes are the store's history.
 	versions      []*document
 	listings      []platform.Listing
 	changes       []platform.WatchEvent
@@ -47,7 +47,7 @@
 type simulatedMessage struct {
 	to    int
 	input event
-	// pull is answered with the state of the node at delivery; from asked.
+	// pull is a request by from; it is answered with the state of the node at delivery.
 	pull *actionPull
 	from netip.AddrPort
 }
@@ -66,13 +66,13 @@
 	return s
 }
 
-// restart starts a node anew; with a disk it keeps the document that it held.
+// restart restarts a node; with a disk it keeps its latest document.
 func (s *simulation) restart(index int, disk bool) {
 	s.starts++
 	node := s.nodes[index]
 	var saved *document
-	if disk && node.protocol.held != nil {
-		saved, _ = decodeDocument(encodeDocument(node.protocol.held))
+	if disk && node.protocol.latest != nil {
+		saved, _ = decodeDocument(encodeDocument(node.protocol.latest))
 	}
 	*node = simulatedNode{member: node.member, started: s.now, highest: -1, protocol: newProtocol(node.member, s.starts)}
 	if saved != nil {
@@ -127,7 +127,7 @@
 		s.perform(index, output)
 	}
 	if revision := node.protocol.revision(); revision < node.highest {
-		s.fatal("node %d went back from %d to %d", index, node.highest, revision)
+		s.fatal("node %d: the revision decreased from %d to %d", index, node.highest, revision)
 	} else {
 		node.highest = revision
 	}
@@ -137,8 +137,8 @@
 	node := s.nodes[index]
 	switch typed := output.(type) {
 	case actionPublish:
-		if truth := s.versions[typed.document.revision]; truth.hash != typed.document.hash {
-			s.fatal("node %d has another content of revision %d", index, truth.revision)
+		if accepted := s.versions[typed.document.revision]; accepted.hash != typed.document.hash {
+			s.fatal("node %d: the content of revision %d is not the accepted one", index, accepted.revision)
 		}
 	case actionReady:
 		node.ready = true
@@ -171,7 +171,7 @@
 	s.messages = append(s.messages, simulatedMessage{to: s.indexOf(to), input: input})
 }
 
-// take removes a message. Losing a pull is a failed call.
+// take removes a message from the queue and delivers or loses it. A lost pull is a failed call.
 func (s *simulation) take(position int, lost bool) {
 	message := s.messages[position]
 	s.messages = append(s.messages[:position:position], s.messages[position+1:]...)
@@ -183,15 +183,15 @@
 	case message.pull != nil && lost:
 		s.step(s.indexOf(message.from), eventPulled{from: message.pull.from, err: platform.KindUnavailable.New("lost")})
 	case message.pull != nil:
-		response := answerPull(s.nodes[message.to].protocol.held, pullRequest(*message.pull))
+		response := answerPull(s.nodes[message.to].protocol.latest, pullRequest(*message.pull))
 		s.step(s.indexOf(message.from), pulledEvent(message.pull.from, response, nil))
 	case !lost:
 		s.step(message.to, message.input)
 	}
 }
 
-// answerStore answers what the node waits for from the store: from the state that is stale versions old, or
-// with a failure.
+// answerStore completes the store call that the node waits for, from a state that is stale versions old, or with a
+// failure.
 func (s *simulation) answerStore(index int, stale int, fails bool) {
 	node := s.nodes[index]
 	var failure error
@@ -228,7 +228,7 @@
 	}
 }
 
-// settle lets everything work for a while.
+// settle runs rounds of ticks in which all messages are delivered; the store responds if storeWorks.
 func (s *simulation) settle(rounds int, storeWorks bool) {
 	for index := range s.nodes {
 		s.view(index, func(int) bool { return true })
--- a/internal/config/relay/spread_bench_test.go
+++ b/internal/config/relay/spread_bench_test.go
@@ -28,9 +28,9 @@
 	secondsPerDay   = 86400
 )
 
-// BenchmarkSpread measures, in real time, how soon an accepted file is in force on each node, the bytes between
-// nodes and the calls to the key-value service at a start of all. "memory" has 1 to 2 ms one way; "tcp" is loopback, with the
-// stand-in platform over HTTP. Run it with -benchtime=1x.
+// BenchmarkSpread measures, in real time, how soon an accepted file is in force on each node, the bytes between nodes,
+// and the calls to the key-value service when all nodes start. "memory" has a one-way delay of 1 to 2 ms; "tcp" is
+// loopback, with the fake platform over HTTP. Run it with -benchtime=1x.
 func BenchmarkSpread(b *testing.B) {
 	for _, nodes := range []int{42, 84, 168, 320} {
 		b.Run(fmt.Sprintf("memory/nodes=%d", nodes), func(b *testing.B) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// overTCP makes the cluster use the real transport and the stand-in platform over HTTP.
+// overTCP makes the cluster use the real transport and the fake platform over HTTP.
 func (c *cluster) overTCP() {
 	c.platform = platform.NewServer(platform.Options{Zones: c.zones})
 	if err := c.platform.Start(); err != nil {
@@ -96,9 +96,9 @@
 	idleBytes := (c.bytes() - bytesBefore) / nodeSeconds
 	b.ReportMetric(float64((c.busy()-busyBefore).Microseconds())/nodeSeconds, "busy-µs/node-s")
 
-	bytesBefore, began := c.bytes(), time.Now()
+	bytesBefore, appliesStarted := c.bytes(), time.Now()
 	spread := measureApplies(b, c)
-	idleNodeSeconds := time.Since(began).Seconds() * float64(len(c.nodes))
+	idleNodeSeconds := time.Since(appliesStarted).Seconds() * float64(len(c.nodes))
 	perChange := (c.bytes() - bytesBefore - idleBytes*idleNodeSeconds) / measuredApplies / float64(len(c.nodes))
 	b.ReportMetric(idleBytes+perChange*changesPerDay/secondsPerDay, "B/node-s")
 	b.ReportMetric(perChange, "B/node-change")
@@ -107,7 +107,8 @@
 	b.ReportMetric(float64(spread.Max())/1000, "max-ms")
 }
 
-// measureApplies returns the time in microseconds from each Apply's return to each node's having it in force.
+// measureApplies returns the times in microseconds from the return of each Apply until the revision is in force on
+// each node.
 func measureApplies(b *testing.B, c *cluster) *hdrhistogram.Histogram {
 	var mutex sync.Mutex
 	inForce := make(map[int64][]time.Time)
@@ -124,8 +125,8 @@
 		accepted := time.Now()
 		c.wantSpread(revision, time.Minute, everyNode)
 		mutex.Lock()
-		for _, at := range inForce[revision] {
-			if err := spread.RecordValue(max(1, at.Sub(accepted).Microseconds())); err != nil {
+		for _, appliedAt := range inForce[revision] {
+			if err := spread.RecordValue(max(1, appliedAt.Sub(accepted).Microseconds())); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -143,7 +144,7 @@
 	return file.Bytes()
 }
 
-// heap is what is in use after a collection; it holds the transports and registries of all nodes too.
+// heap returns the heap in use after a garbage collection, including the transports and registries of all nodes.
 func heap() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -151,7 +152,7 @@
 	return int64(stats.HeapInuse)
 }
 
-// bytes are those sent and received by all nodes.
+// bytes returns the number of bytes sent and received by all nodes.
 func (c *cluster) bytes() float64 {
 	var total float64
 	for _, node := range c.nodes {
--- a/internal/config/relay/stored.go
+++ b/internal/config/relay/stored.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// relativeHead is the head's key relative to config.KeyPrefix; it is no object.
+// relativeHead is the head's key relative to config.KeyPrefix. The head is not an object.
 var relativeHead = strings.TrimPrefix(config.KeyHead, config.KeyPrefix)
 
 func headRevision(value []byte) (int64, error) {
@@ -20,7 +20,8 @@
 	return head.Revision, nil
 }
 
-// documentOf reads a listing of config.KeyPrefix. No head is revision 0.
+// documentOf returns the document of a listing of config.KeyPrefix. Its revision is 0 if
+// there is no head.
 func documentOf(listing platform.Listing) (*document, error) {
 	objects := make(map[string][]byte, len(listing.Entries))
 	var revision int64
@@ -39,8 +40,9 @@
 	return newDocument(revision, listing.Revision, objects), nil
 }
 
-// deltaOf reads a watch event. Its hash is set when it is applied. A change without the head
-// is an error: every accepted file changes the head.
+// deltaOf returns the delta of a watch event, without its hash, which is set when the delta
+// is applied. An event without the head is an error, since every accepted file changes the
+// head.
 func deltaOf(event platform.WatchEvent) (*delta, error) {
 	read := &delta{storeRevision: event.Revision, changed: make(map[string][]byte, len(event.Changed))}
 	headSeen := false
--- a/internal/config/relay/watchers.go
+++ b/internal/config/relay/watchers.go
@@ -11,11 +11,12 @@
 )
 
 // watchersPerZone is how many nodes of a zone watch the key-value service: two, so that the
-// loss of one is not noticed.
+// loss of one does not delay changes.
 const watchersPerZone = 2
 
-// isWatcher says whether self is among the watchers of its zone: the live members
-// with the highest rendezvous hash. A node that knows no member of its zone, itself among them, watches.
+// isWatcher reports whether self is a watcher of its zone: one of the live members with
+// the highest rendezvous hashes. A node that knows no other member of its zone is a
+// watcher.
 func isWatcher(self membership.Member, live []membership.Member) bool {
 	own := rendezvous(self)
 	higher := 0
@@ -32,19 +33,19 @@
 }
 
 // partnersPerZone is how many nodes of each other zone a node exchanges digests with. They
-// stay the same while they live, so that few connections are kept and used.
+// stay the same while they are alive, so that few connections are needed.
 const partnersPerZone = 2
 
 // peers are the addresses that a node exchanges digests with.
 type peers struct {
-	// zone holds all live members of the own zone, other the partners in other zones.
+	// zone are the other live members of the own zone, other the partners in other zones.
 	zone  []netip.AddrPort
 	other []netip.AddrPort
-	// zones is the number of zones with live members, the own among them.
+	// zones is the number of zones with live members, including the own zone.
 	zones int
 }
 
-// partner is a candidate with its rendezvous hash for one node.
+// partner is a candidate partner of a node, with its rendezvous hash.
 type partner struct {
 	hash    uint64
 	address netip.AddrPort
@@ -78,7 +79,8 @@
 	return xxhash.Sum64String("config-partner\x00" + string(self.ID) + "\x00" + string(member.ID))
 }
 
-// insert keeps the candidates with the highest hashes, highest first.
+// insert inserts candidate into best, which holds the candidates with the highest hashes,
+// highest first.
 func insert(best [partnersPerZone]partner, candidate partner) [partnersPerZone]partner {
 	for index := range best {
 		if !best[index].address.IsValid() || candidate.hash > best[index].hash {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -11,11 +11,11 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// durationPattern is the text form of a duration.
+// durationPattern matches the text form of a duration.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`
 
-// Schema returns the JSON Schema of one document of an operators' file. It states
-// the types and the bounds of each field; references are checked by the parser only.
+// Schema returns the JSON Schema of one document of an operators' file. It contains
+// the type and the bounds of each field; references are not covered.
 func Schema() *jsonschema.Schema {
 	root := &jsonschema.Schema{
 		Version: jsonschema.Version,
@@ -59,8 +59,8 @@
 	return &jsonschema.Schema{Type: "string", Pattern: durationPattern}
 }
 
-// addRules turns validate rules into those of the schema, and tells whether the
-// field is required. Rules after "dive" are those of the list's items.
+// addRules adds validate rules to the schema of a field and reports whether the
+// field is required. Rules after "dive" apply to the items of a list.
 func addRules(property *jsonschema.Schema, rules []string) (required bool) {
 	for index, rule := range rules {
 		name, limit, _ := strings.Cut(rule, "=")
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -2,31 +2,33 @@
 
 import "fmt"
 
-// Snapshot is the whole configuration at one revision. It is immutable: nobody
-// changes a Snapshot or what it points to after it was made.
+// Snapshot is the whole configuration at one revision. It is immutable: neither a
+// Snapshot nor what it points to may be modified after it was built.
 type Snapshot struct {
-	// Revision rises with each accepted file; 0 is the empty configuration.
+	// Revision increases by one with each accepted change; 0 is the empty configuration.
 	Revision   int64
 	Models     map[string]*Model
 	Services   map[string]*Service
 	Priorities map[string]*Priority
 	Tenants    map[string]*Tenant
 	Jobs       map[string]*Job
-	// TenantByKeyDigest finds a tenant by the SHA-256 hex digest of its bearer key.
+	// TenantByKeyDigest maps the SHA-256 hex digest of a bearer key to its tenant.
 	TenantByKeyDigest map[string]*Tenant
 }
 
-// Source gives the configuration in force on this node.
+// Source provides the configuration in force on this node.
 type Source interface {
-	// Current returns the Snapshot in force; never nil, and its Revision never falls.
+	// Current returns the Snapshot in force. It is never nil, and its Revision never
+	// decreases.
 	Current() *Snapshot
 	// Subscribe calls notify after each change, on the source's own goroutine, until
 	// the returned function is called. notify must not block.
 	Subscribe(notify func(*Snapshot)) (unsubscribe func())
 }
 
-// BuildSnapshot indexes declarations. The values become part of the Snapshot and
-// must not be changed afterwards. Declarations with the same ID are an error.
+// BuildSnapshot returns a Snapshot of the declarations. It takes over the values,
+// which must not be modified afterwards. Two declarations with the same ID are an
+// error.
 func BuildSnapshot(revision int64, declarations []Declaration) (*Snapshot, error) {
 	snapshot := &Snapshot{
 		Revision:          revision,
@@ -66,7 +68,8 @@
 	}
 }
 
-// Declarations lists the configuration by kind, then by name.
+// Declarations returns all declarations, sorted by kind in the order of Kinds, then
+// by name.
 func (s *Snapshot) Declarations() []Declaration {
 	set := declarationSet{}
 	addValues(set, s.Models)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -8,7 +8,7 @@
 	Name string `json:"name"`
 	// Action is "create", "replace" or "withdraw".
 	Action string `json:"action"`
-	// Before and After are YAML; empty where the declaration is absent.
+	// Before and After are YAML; empty if the declaration does not exist.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
@@ -19,18 +19,19 @@
 	Changes  []Change `json:"changes"`
 }
 
-// AnyRevision lets Apply go ahead whatever the present revision is.
+// AnyRevision makes Apply and Withdraw accept any current revision.
 const AnyRevision int64 = -1
 
-// Store accepts operators' files. Each is applied whole or not at all, in one
-// transaction. Errors: *ValidationError with positions; *ConflictError where
-// expectRevision is not the present one; an *outcome.Error otherwise. It is safe
-// for concurrent use.
+// Store applies operators' files, each atomically in one transaction. Errors:
+// *ValidationError with positions; *ConflictError if expectRevision is not the
+// current revision; *InUseError if a declaration to be withdrawn is still referred
+// to; otherwise *outcome.Error. It is safe for concurrent use.
 type Store interface {
 	Apply(ctx context.Context, file []byte, expectRevision int64) (ApplyResult, error)
-	// Diff tells what Apply would change, without a change.
+	// Diff returns what Apply would change, without applying it.
 	Diff(ctx context.Context, file []byte) (ApplyResult, error)
+	// Withdraw removes a declaration that no other declaration refers to.
 	Withdraw(ctx context.Context, kind Kind, name string, expectRevision int64) (ApplyResult, error)
-	// Load reads the present configuration from the key-value service.
+	// Load reads the current configuration from the key-value service.
 	Load(ctx context.Context) (*Snapshot, error)
 }
--- a/internal/config/store_keyvalue.go
+++ b/internal/config/store_keyvalue.go
@@ -18,19 +18,19 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// keyValueStore is the Store over the platform's key-value service. It holds no
-// state: each change is conditioned on the head that it was planned against.
+// keyValueStore is the Store on the platform's key-value service. It has no state of
+// its own: each transaction is conditional on the head that it was planned against.
 type keyValueStore struct {
 	keyValue platform.KeyValue
 	logger   zerolog.Logger
 }
 
-// NewStore returns the Store over keyValue.
+// NewStore returns a Store on keyValue.
 func NewStore(keyValue platform.KeyValue, logger zerolog.Logger) Store {
 	return &keyValueStore{keyValue: keyValue, logger: logger.With().Str(logging.FieldSlice, "config").Logger()}
 }
 
-func newAbsentError(id ID) error {
+func newNotFoundError(id ID) error {
 	return outcome.New(outcome.Failed, outcome.ReasonNotFound, id.String()+" does not exist")
 }
 
@@ -76,33 +76,34 @@
 	return snapshot, err
 }
 
-// errHeadMoved means that another writer came first; the edit is planned again.
+// errHeadMoved means that another writer changed the head; the edit is planned again.
 var errHeadMoved = errors.New("another change came first")
 
 const (
-	firstRetryWait = 20 * time.Millisecond
-	maxRetryWait   = time.Second
-	// maxRetryTime bounds how long an edit is tried while others come first or the
-	// key-value service refuses.
+	firstRetryDelay = 20 * time.Millisecond
+	maxRetryDelay   = time.Second
+	// maxRetryTime limits how long an edit is retried while other writers win the race
+	// or the key-value service refuses.
 	maxRetryTime = 3 * time.Second
-	// retryAfter is when an operator may come back after a refusal.
+	// retryAfter is the delay suggested to an operator after a refusal.
 	retryAfter = 5 * time.Second
 )
 
-// commit plans the edit against the present revision and writes it in one
-// transaction. A writer that loses a race plans again, unless it named a revision.
-func (s *keyValueStore) commit(ctx context.Context, wanted edit, expectRevision int64) (ApplyResult, error) {
+// commit plans the edit against the current revision and writes it in one
+// transaction. A writer that loses a race plans again; with an expected revision
+// that then ends in a ConflictError.
+func (s *keyValueStore) commit(ctx context.Context, requested edit, expectRevision int64) (ApplyResult, error) {
 	attempt := func() (ApplyResult, error) {
-		result, err := s.tryCommit(ctx, wanted, expectRevision)
-		if err != nil && !worthRetrying(err) {
+		result, err := s.tryCommit(ctx, requested, expectRevision)
+		if err != nil && !isRetryable(err) {
 			err = backoff.Permanent(err)
 		}
 		return result, err
 	}
-	waits := backoff.NewExponentialBackOff()
-	waits.InitialInterval = firstRetryWait
-	waits.MaxInterval = maxRetryWait
-	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(waits), backoff.WithMaxElapsedTime(maxRetryTime))
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = firstRetryDelay
+	delays.MaxInterval = maxRetryDelay
+	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(delays), backoff.WithMaxElapsedTime(maxRetryTime))
 	if errors.Is(err, errHeadMoved) {
 		err = outcome.Wrap(err, outcome.NotRun, outcome.ReasonConflict, "the configuration changes too often; nothing was changed").After(retryAfter)
 	}
@@ -113,19 +114,19 @@
 	return result, err
 }
 
-// worthRetrying tells whether an edit that had no effect may go through later.
-func worthRetrying(err error) bool {
+// isRetryable reports whether an edit that had no effect may succeed on a retry.
+func isRetryable(err error) bool {
 	var typed *outcome.Error
 	unavailable := errors.As(err, &typed) && typed.Outcome == outcome.NotRun && typed.Reason == outcome.ReasonUnavailable
 	return unavailable || errors.Is(err, errHeadMoved)
 }
 
-func (s *keyValueStore) tryCommit(ctx context.Context, wanted edit, expectRevision int64) (ApplyResult, error) {
+func (s *keyValueStore) tryCommit(ctx context.Context, requested edit, expectRevision int64) (ApplyResult, error) {
 	snapshot, headEntry, err := s.read(ctx)
 	if err != nil {
 		return ApplyResult{}, err
 	}
-	planned, err := planEdit(newDeclarationSet(snapshot.Declarations()), wanted)
+	planned, err := planEdit(newDeclarationSet(snapshot.Declarations()), requested)
 	if expectRevision != AnyRevision && expectRevision != snapshot.Revision {
 		return ApplyResult{}, &ConflictError{Expected: expectRevision, Present: snapshot.Revision, Overwritten: planned.changes}
 	}
@@ -155,8 +156,8 @@
 	return snapshot, headEntry, nil
 }
 
-// write makes one transaction on the condition that the head still is headEntry. The
-// head's write id settles a lost answer.
+// write commits one transaction on the condition that the head is still headEntry.
+// If the response is lost, the write id in the head tells whether it took effect.
 func (s *keyValueStore) write(ctx context.Context, headEntry platform.Entry, objects []platform.Change) (int64, error) {
 	head, err := decodeHead(headEntry)
 	if err != nil {
@@ -187,9 +188,9 @@
 	return 0, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "the key-value service did not take the change; nothing was changed").After(retryAfter)
 }
 
-// settle finds out, after other writes have replaced the head, whether ours was
-// among them. The head lists the recent writes, so a missing one was never made, as
-// long as no more writes than that have come since.
+// settle determines whether a write with an unknown outcome took effect before other
+// writes replaced the head. The head lists the last recentWrites writes, so a write
+// missing from it was never made, unless more writes than that have followed.
 func (s *keyValueStore) settle(ctx context.Context, next Head, lost error) (int64, error) {
 	unknown := outcome.Wrap(lost, outcome.Indeterminate, outcome.ReasonUnavailable,
 		"the change may have been accepted (write "+next.WriteID+"); read the configuration before you try again")
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestLostAnswerIsNeverCalledNotRun cuts the service off for ever after a send.
+// TestLostAnswerIsNeverCalledNotRun: every commit of the key-value service ends without a response. The outcome must be indeterminate.
 func TestLostAnswerIsNeverCalledNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keyValue := newFakeKeyValue()
@@ -93,9 +93,8 @@
 	}
 }
 
-// TestOutcomesAreTrueUnderLostAnswers lets writers race while answers are lost before
-// and after the effect. What a writer is told must be what happened: an accepted file
-// took effect exactly once, a file that "did not run" never.
+// TestOutcomesAreTrueUnderLostAnswers: concurrent writers, with responses lost before and after the effect of the transaction. The outcome
+// that a writer gets must be true: an accepted file took effect exactly once, a file with outcome NotRun never.
 func TestOutcomesAreTrueUnderLostAnswers(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		faults := rapid.SliceOfN(rapid.IntRange(int(noFault), int(lostAfterEffect)), 0, 40).Draw(check, "faults")
--- a/internal/config/stored.go
+++ b/internal/config/stored.go
@@ -9,7 +9,7 @@
 )
 
 // Keys of the configuration in the key-value service. Every accepted file changes
-// the head, so that the head's ModRevision guards the whole configuration.
+// the head, so a condition on the head's ModRevision covers the whole configuration.
 const (
 	KeyPrefix     = "/sloelift/config/"
 	KeyHead       = KeyPrefix + "head"
@@ -18,7 +18,7 @@
 	nameSeparator = "/"
 )
 
-// Write names one accepted change.
+// Write identifies one accepted change.
 type Write struct {
 	Revision int64  `json:"revision"`
 	WriteID  string `json:"write_id"`
@@ -27,8 +27,8 @@
 // Head is the value of KeyHead.
 type Head struct {
 	Write
-	// Recent holds the writes before this one, newest first, so that a writer whose
-	// answer was lost still finds its own after others have written.
+	// Recent lists the previous writes, newest first, so that a writer whose response
+	// was lost can find its own write after others have written.
 	Recent []Write `json:"recent,omitempty"`
 }
 
@@ -40,7 +40,7 @@
 	return Head{Write: Write{h.Revision + 1, writeID}, Recent: recent[:min(len(recent), recentWrites)]}
 }
 
-// find returns the revision that the write made.
+// find returns the revision that the write created.
 func (h Head) find(writeID string) (revision int64, found bool) {
 	for _, write := range append([]Write{h.Write}, h.Recent...) {
 		if write.WriteID == writeID {
@@ -81,7 +81,7 @@
 }
 
 // SnapshotFromEntries builds the Snapshot from all entries below KeyPrefix, read at
-// one revision. No entries are the empty configuration at revision 0.
+// one revision. Without entries it is the empty configuration at revision 0.
 func SnapshotFromEntries(entries []platform.Entry) (*Snapshot, error) {
 	snapshot, _, err := readEntries(entries)
 	return snapshot, err
