--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,5 +1,5 @@
-// Package route holds the routing table: which service answers a request, and under which terms.
+// Package route contains the routing table, which maps requests to services and defines how they are served.
 //
-// A Table is immutable. The Holder swaps the whole table at once and takes only higher
-// versions, so that a node never goes back to an older one within its life.
+// A Table is immutable. The Holder replaces the whole table at once and accepts only higher
+// versions, so that a running node never returns to an older one.
 package route
--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -17,14 +17,14 @@
 // NewHolder returns a Holder without a table.
 func NewHolder() *Holder { return &Holder{} }
 
-// Table returns the table in force; nil while none is known.
+// Table returns the table in force; nil before the first one.
 func (h *Holder) Table() *Table {
 	h.mutex.RLock()
 	defer h.mutex.RUnlock()
 	return h.table
 }
 
-// Offer puts table in force unless one of its version or a higher one is. It returns whether it did.
+// Offer puts table in force if its version is higher than that of the current table, and reports whether it did.
 func (h *Holder) Offer(table *Table) bool {
 	h.mutex.Lock()
 	if h.table != nil && table.Version <= h.table.Version {
--- a/internal/route/homes.go
+++ b/internal/route/homes.go
@@ -8,16 +8,16 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// Homes returns the regions in which requests of holder on matched may be served, cached and stored: both bind. holder is nil where there
-// is no tenant.
-func Homes(matched *Route, holder *tenant.Tenant) region.Set {
-	if holder == nil {
+// Homes returns the regions in which requests of owner on the matched route may be served, cached and stored: those allowed by both the route
+// and the tenant. owner is nil if there is no tenant.
+func Homes(matched *Route, owner *tenant.Tenant) region.Set {
+	if owner == nil {
 		return matched.Regions
 	}
-	return matched.Regions.Intersect(holder.Regions)
+	return matched.Regions.Intersect(owner.Regions)
 }
 
-// HomesOf returns the same for a tenant's name, which is empty where there is none. A tenant that is no longer declared confines nothing.
+// HomesOf returns the same for the name of a tenant, which is empty if there is none. A tenant that is no longer declared adds no restriction.
 func (t *Table) HomesOf(matched *Route, tenantName string) region.Set {
 	if t.Tenants == nil || tenantName == "" {
 		return matched.Regions
@@ -25,42 +25,43 @@
 	return Homes(matched, t.Tenants.ByName(tenantName))
 }
 
-// Home is a host of batch jobs, by its HostName, whose data is confined to regions.
+// Home is a host of batch jobs whose data is confined to Regions. Host is in the form of HostName.
 type Home struct {
 	Host    string
 	Regions region.Set
 }
 
-// BatchHomes returns the confined homes of all batch routes with and without each tenant, each once and in order; none where the table confines nothing.
+// BatchHomes returns the confined homes of all batch routes, with and without each tenant, sorted and without duplicates; nil if the table
+// confines no data.
 func (t *Table) BatchHomes() []Home {
 	var found []Home
-	for _, each := range t.Routes {
-		if each.Kind != Batch {
+	for _, batchRoute := range t.Routes {
+		if batchRoute.Kind != Batch {
 			continue
 		}
-		found = appendHome(found, each, nil)
+		found = appendHome(found, batchRoute, nil)
 		if t.Tenants == nil {
 			continue
 		}
-		for holder := range t.Tenants.All() {
-			found = appendHome(found, each, holder)
+		for declared := range t.Tenants.All() {
+			found = appendHome(found, batchRoute, declared)
 		}
 	}
-	slices.SortFunc(found, func(one, other Home) int {
-		return cmp.Or(cmp.Compare(one.Host, other.Host), cmp.Compare(one.Regions.String(), other.Regions.String()))
+	slices.SortFunc(found, func(a, b Home) int {
+		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Regions.String(), b.Regions.String()))
 	})
 	return found
 }
 
-// appendHome adds the home of a route and a tenant where it is confined to regions, and new.
-func appendHome(found []Home, matched *Route, holder *tenant.Tenant) []Home {
-	regions := Homes(matched, holder)
+// appendHome adds the home of a route and a tenant if it is confined to regions and not in found yet.
+func appendHome(found []Home, matched *Route, owner *tenant.Tenant) []Home {
+	regions := Homes(matched, owner)
 	if !regions.Limited() || len(regions.Names()) == 0 {
 		return found
 	}
 	host := HostName(matched.Host)
-	for _, each := range found {
-		if each.Host == host && each.Regions.Equal(regions) {
+	for _, home := range found {
+		if home.Host == host && home.Regions.Equal(regions) {
 			return found
 		}
 	}
--- a/internal/route/homes_test.go
+++ b/internal/route/homes_test.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// tenantWith declares a tenant confined to the named regions.
+// tenantWith returns the declaration of a tenant confined to the named regions.
 func tenantWith(name string, regions ...string) tenant.Declaration {
 	return tenant.Declaration{Tenant: tenant.Tenant{Name: name, Regions: region.NewSet(regions...)}, APIKeys: []string{"key of " + name}}
 }
@@ -52,8 +52,8 @@
 	table := NewTable(1, routes, nil, Limits{})
 	table.Tenants = tenant.NewDirectory([]tenant.Declaration{tenantWith("free"), tenantWith("south", "south"), tenantWith("both", "north", "south")})
 	var got []string
-	for _, each := range table.BatchHomes() {
-		got = append(got, each.Host+" "+strings.Join(each.Regions.Names(), ","))
+	for _, home := range table.BatchHomes() {
+		got = append(got, home.Host+" "+strings.Join(home.Regions.Names(), ","))
 	}
 	if want := []string{"b north,south", "b south", "c north"}; !slices.Equal(got, want) {
 		t.Errorf("homes %v, want %v", got, want)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -8,25 +8,25 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// Kind says how often a request of a route may run, and in which form it is answered.
+// Kind is whether the requests of a route may be repeated, and how they are answered.
 type Kind int
 
 // Kinds of routes.
 const (
-	// NotRepeatable requests run at most once for each attempt of the caller.
+	// NotRepeatable requests run at most once per attempt of the caller.
 	NotRepeatable Kind = iota
 	// Repeatable requests may run more than once.
 	Repeatable
-	// Stream requests are answered with a series of events.
+	// Stream requests are answered with a stream of events.
 	Stream
-	// Batch routes take jobs of many items that run later.
+	// Batch routes accept jobs of many items that run asynchronously.
 	Batch
 )
 
-// Backend is one part of a route's traffic.
+// Backend is a service that receives a share of a route's traffic.
 type Backend struct {
 	Service string
-	// Weight is the part's share in relation to the sum of all weights.
+	// Weight is the share of the traffic, relative to the sum of all weights.
 	Weight float64
 }
 
@@ -36,64 +36,64 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Backends holds at least one part.
+	// Backends has at least one element.
 	Backends []Backend
-	// Attempts is the largest number of replicas that may run one attempt of the caller.
+	// Attempts is the maximum number of replicas that may run one attempt of the caller.
 	Attempts int
-	// Timeout is the longest time that an attempt is held; zero is no bound.
+	// Timeout limits the time of an attempt of the caller; 0 means no limit.
 	Timeout time.Duration
-	// Objective is the time in which an answer is wanted: its head, or the first event of a stream.
+	// Objective is the latency objective of the response: of its header, or of the first event of a stream.
 	Objective time.Duration
-	// GapObjective is the longest pause between events that is still in time.
+	// GapObjective is the longest gap between events of a stream that meets the objective.
 	GapObjective time.Duration
 	// Priority is the rank; 0 is the highest.
 	Priority int
-	// Affinity says that requests name the parts of their prompts.
+	// Affinity is set if requests name the parts of their prompts.
 	Affinity bool
-	// Resumable streams may go on at another replica behind the last event.
+	// Resumable streams may continue on another replica after the last event.
 	Resumable bool
-	// CompletionTarget is the time in which all results of a job are wanted, Retention the time
-	// after which an item may be given up; both count from the submission.
+	// CompletionTarget is the time in which all results of a job should be complete, Retention the time
+	// after which an unfinished item may be abandoned; both count from the submission.
 	CompletionTarget time.Duration
 	Retention        time.Duration
-	// Public routes ask for no API key.
+	// Public routes require no API key.
 	Public bool
-	// MaxWaitingTokens bounds the tokens of unfinished items of all jobs of one tenant together, or of all jobs where no tenants are
-	// declared; zero is no bound.
+	// MaxWaitingTokens limits the tokens of the unfinished items of all jobs of one tenant together, or of all jobs if no tenants are
+	// declared; 0 means no limit.
 	MaxWaitingTokens int64
-	// Regions are where requests may be served, cached and stored.
+	// Regions are the regions in which requests may be served, cached and stored.
 	Regions region.Set
 
 	picker *weightedPicker
 }
 
-// MayRepeat says that a request may run again after it may have run.
+// MayRepeat reports whether a request may run again although it may have run already.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// PickService returns the service of the next request, so that each part gets its share.
+// PickService returns the service for the next request, so that each backend gets its share.
 func (r *Route) PickService() string { return r.picker.next() }
 
-// Service holds the terms of a service's replicas.
+// Service describes the replicas of a service.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections that one replica takes from all callers.
+	// MaxConnections is the number of connections that one replica accepts from all callers.
 	MaxConnections int
-	// Slots is the number of requests that a replica works on at once.
+	// Slots is the number of requests that a replica runs concurrently.
 	Slots int
 	// MaxQueued is the number of requests that a replica queues.
 	MaxQueued int
-	// CacheTokens is the memory of a replica.
+	// CacheTokens is the capacity of a replica's cache, in tokens.
 	CacheTokens int64
-	// ColdStart is how long a replica stays cold after a start during traffic, ColdRequestsPerSecond what it can take meanwhile, from all
-	// nodes together. Where the latter is 0, cold replicas may get as much as warm ones.
+	// ColdStart is how long a replica that starts during traffic stays cold. ColdRequestsPerSecond is the request rate that it can serve
+	// meanwhile, from all nodes together; if it is 0, cold replicas may get as many requests as warm ones.
 	ColdStart             time.Duration
 	ColdRequestsPerSecond float64
 }
 
-// Limits bound what callers send.
+// Limits are the limits of requests and connections of callers.
 type Limits struct {
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
@@ -107,13 +107,13 @@
 	Routes   []*Route
 	Services map[string]Service
 	Limits   Limits
-	// Tenants hold the API keys; nil where the configuration declares no tenants and no request needs a key.
+	// Tenants finds tenants by API key; nil if the configuration declares no tenants, and no request needs a key.
 	Tenants *tenant.Directory
 
 	byHost map[string][]*Route
 }
 
-// NewTable indexes routes. It keeps the given values.
+// NewTable returns a Table with an index of the routes by host. It takes over the given values.
 func NewTable(version int64, routes []*Route, services []Service, limits Limits) *Table {
 	table := &Table{
 		Version: version, Routes: routes, Limits: limits,
@@ -130,8 +130,8 @@
 	return table
 }
 
-// Match returns the route of host whose prefix is the longest that begins path; nil where there is none.
-// A port behind the host does not count.
+// Match returns the route of host with the longest prefix of path; nil if there is none. A port after the host is
+// ignored.
 func (t *Table) Match(host, path string) *Route {
 	var best *Route
 	for _, route := range t.byHost[HostName(host)] {
@@ -145,17 +145,17 @@
 	return best
 }
 
-// Authenticate says whether a request of a route may be served that carries key, which may be empty, and for which tenant; holder is nil
-// where no tenant holds the key.
-func (t *Table) Authenticate(matched *Route, key string) (holder *tenant.Tenant, allowed bool) {
+// Authenticate reports whether a request on the matched route with key, which may be empty, may be served. owner is the tenant that owns the
+// key; nil if there is none.
+func (t *Table) Authenticate(matched *Route, key string) (owner *tenant.Tenant, allowed bool) {
 	if t.Tenants == nil {
 		return nil, true
 	}
-	holder = t.Tenants.ByKey(key)
-	return holder, holder != nil || (matched != nil && matched.Public)
+	owner = t.Tenants.ByKey(key)
+	return owner, owner != nil || (matched != nil && matched.Public)
 }
 
-// MatchBatch returns the batch route that calls about jobs of host belong to; nil where there is none. Such calls name a job and no path.
+// MatchBatch returns the batch route of host, for calls that name a job instead of a path; nil if there is none.
 func (t *Table) MatchBatch(host string) *Route {
 	for _, route := range t.byHost[HostName(host)] {
 		if route.Kind == Batch {
--- a/internal/route/weighted.go
+++ b/internal/route/weighted.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// weightedPicker deals requests to backends by smooth weighted round robin, which keeps each part's share exact
-// over any run of requests. It is safe for concurrent use.
+// weightedPicker distributes requests to backends by smooth weighted round robin, which keeps the share of each backend
+// exact over any sequence of requests. It is safe for concurrent use.
 type weightedPicker struct {
 	mutex sync.Mutex
-	// credit is guarded by mutex; the backend with the most credit is next.
+	// credit is guarded by mutex. The backend with the highest credit is next.
 	credit   []float64
 	backends []Backend
 	total    float64
