--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// failure is a setting with a value that is not allowed.
+// failure is an invalid setting.
 type failure struct {
 	field   string
 	message string
@@ -22,13 +22,13 @@
 	failures []failure
 }
 
-func (c *checker) require(holds bool, field, format string, arguments ...any) {
-	if !holds {
+func (c *checker) require(valid bool, field, format string, arguments ...any) {
+	if !valid {
 		c.failures = append(c.failures, failure{field, fmt.Sprintf(format, arguments...)})
 	}
 }
 
-// check lists all settings that are not allowed, alone or together.
+// check returns all settings that are invalid by themselves or in combination with others.
 func check(s Settings) []failure {
 	checks := &checker{}
 	checks.name("node", s.Node)
@@ -62,19 +62,19 @@
 }
 
 func (c *checker) addresses(s Settings) {
-	own := []struct {
+	listenAddresses := []struct {
 		field string
 		value netip.AddrPort
 	}{{"callerAddress", s.CallerAddress}, {"adminAddress", s.AdminAddress}, {"peerAddress", s.PeerAddress}}
-	taken := map[uint16]string{}
-	for _, address := range own {
+	fieldByPort := map[uint16]string{}
+	for _, address := range listenAddresses {
 		c.address(address.field, address.value)
 		if !address.value.IsValid() {
 			continue
 		}
-		other, clash := taken[address.value.Port()]
-		c.require(!clash, address.field, "port %d is already the one of %s", address.value.Port(), other)
-		taken[address.value.Port()] = address.field
+		other, inUse := fieldByPort[address.value.Port()]
+		c.require(!inUse, address.field, "port %d is already the one of %s", address.value.Port(), other)
+		fieldByPort[address.value.Port()] = address.field
 	}
 	c.require(!s.PeerAddress.Addr().IsUnspecified(), "peerAddress", "wants the number under which other nodes reach this one, not %s", s.PeerAddress.Addr())
 	c.require(!s.AdminAddress.Addr().IsUnspecified(), "adminAddress", "wants the number under which this node is reached, not %s", s.AdminAddress.Addr())
@@ -83,7 +83,7 @@
 	}
 }
 
-// role checks what an edge or a storage node needs.
+// role checks the settings of an edge or a storage node.
 func (c *checker) role(s Settings) {
 	c.require(s.Role == RoleEdge || s.Role == RoleStorage, "role", "%q is not a role; allowed are edge and storage, or none", strictyaml.Shorten(string(s.Role)))
 	c.address("peerAddress", s.PeerAddress)
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads a process's own settings: addresses as IP numbers, zone,
+// Package settings reads the settings of a process: addresses as IP numbers, zone,
 // region, data folder, platform addresses and limits. Unknown keys, wrong units and
-// host names are errors; nothing starts half.
+// host names are errors; a process with invalid settings does not start.
 package settings
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// Overrides are settings given as flags; a zero value leaves the file's setting.
+// Overrides are settings given as flags. A zero value keeps the setting of the file.
 type Overrides struct {
 	Node          string
 	Region        string
@@ -20,7 +20,7 @@
 	LogLevel      string
 }
 
-// Load reads and checks a settings file. A problem of its content is a
+// Load reads and checks a settings file. If its content is invalid, the error is a
 // *strictyaml.ValidationError that lists all problems.
 func Load(path string, overrides Overrides) (Settings, error) {
 	source, err := readBounded(path)
@@ -35,18 +35,17 @@
 }
 
 func readBounded(path string) ([]byte, error) {
-	information, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings file: %w", err)
 	}
-	if !information.Mode().IsRegular() || information.Size() > strictyaml.MaxBytes {
+	if !info.Mode().IsRegular() || info.Size() > strictyaml.MaxBytes {
 		return nil, fmt.Errorf("settings file %s: wants a plain file of at most %d bytes", path, strictyaml.MaxBytes)
 	}
 	return os.ReadFile(path)
 }
 
-// Parse reads settings from source over Defaults, then applies overrides, then checks
-// the whole.
+// Parse decodes source on top of Defaults, applies overrides, and checks the result.
 func Parse(source []byte, overrides Overrides) (Settings, error) {
 	documents, problems := strictyaml.Parse(source)
 	if len(documents) != 1 && len(problems) == 0 {
@@ -59,12 +58,12 @@
 	positions, problems := documents[0].Decode(&loaded)
 	overrides.apply(&loaded)
 	loaded.Ledger.derive()
-	faulty := map[string]bool{}
+	invalidFields := map[string]bool{}
 	for _, problem := range problems {
-		faulty[problem.Field] = true
+		invalidFields[problem.Field] = true
 	}
 	for _, failure := range check(loaded) {
-		if !faulty[failure.field] {
+		if !invalidFields[failure.field] {
 			problems = append(problems, strictyaml.Problem{Position: positions.Find(failure.field), Field: failure.field, Message: failure.message})
 		}
 	}
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-const wholeFile = `node: shadman-1
+const validFile = `node: shadman-1
 region: lahore
 zone: shadman-hall
 callerAddress: 127.0.0.1:8080
@@ -21,12 +21,12 @@
   weightStore: 127.0.0.1:2380
 `
 
-// TestSettingsFiles parses each input; "base" inputs are added to a whole file.
+// TestSettingsFiles parses each input; inputs marked "base" are appended to validFile.
 func TestSettingsFiles(t *testing.T) {
 	datadriven.RunTest(t, "testdata/files", func(t *testing.T, data *datadriven.TestData) string {
 		source := data.Input + "\n"
 		if data.HasArg("base") {
-			source = wholeFile + source
+			source = validFile + source
 		}
 		loaded, err := Parse([]byte(source), Overrides{})
 		if err != nil {
@@ -37,13 +37,13 @@
 }
 
 func TestOverridesGoFirst(t *testing.T) {
-	wanted := netip.MustParseAddrPort("127.0.0.1:9090")
-	source := strings.ReplaceAll(wholeFile, "zone: shadman-hall\n", "")
-	loaded, err := Parse([]byte(source), Overrides{AdminAddress: wanted, Zone: "gulberg-hall"})
+	want := netip.MustParseAddrPort("127.0.0.1:9090")
+	source := strings.ReplaceAll(validFile, "zone: shadman-hall\n", "")
+	loaded, err := Parse([]byte(source), Overrides{AdminAddress: want, Zone: "gulberg-hall"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if loaded.AdminAddress != wanted || loaded.Zone != "gulberg-hall" || loaded.Node != "shadman-1" {
+	if loaded.AdminAddress != want || loaded.Zone != "gulberg-hall" || loaded.Node != "shadman-1" {
 		t.Errorf("overrides not applied: %+v", loaded)
 	}
 }
--- a/internal/settings/seeds_test.go
+++ b/internal/settings/seeds_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestSeeds: machines are reached at this node's own peer port, and a node is no seed of itself.
+// TestSeeds: seed machines get the port of this node's peer address, and a node is not its own seed.
 func TestSeeds(t *testing.T) {
 	address := netip.MustParseAddrPort
 	own := Settings{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,49 +8,49 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// Role says which part of the system a process runs.
+// Role is the part of the system that a process runs.
 type Role string
 
 // Roles of a process.
 const (
 	// RoleNode runs the whole system: callers' and operators' interfaces, batch jobs and the ledger.
 	RoleNode Role = ""
-	// RoleEdge takes requests that are passed on unchanged.
+	// RoleEdge accepts requests of callers and forwards them unchanged.
 	RoleEdge Role = "edge"
-	// RoleStorage keeps the ledger's records and runs batch jobs.
+	// RoleStorage stores the ledger's records and runs batch jobs.
 	RoleStorage Role = "storage"
 )
 
 // Settings of one node process.
 type Settings struct {
-	// Node names this node; it stays the same across restarts.
+	// Node is the name of this node; it stays the same across restarts.
 	Node   string `yaml:"node"`
 	Role   Role   `yaml:"role"`
 	Region string `yaml:"region"`
 	Zone   string `yaml:"zone"`
-	// CallerAddress serves callers, AdminAddress operators, PeerAddress other nodes.
+	// CallerAddress is the listen address for callers, AdminAddress for operators, PeerAddress for other nodes.
 	CallerAddress netip.AddrPort `yaml:"callerAddress"`
 	AdminAddress  netip.AddrPort `yaml:"adminAddress"`
 	PeerAddress   netip.AddrPort `yaml:"peerAddress"`
-	// ReadinessAddress tells whether an edge takes new connections.
+	// ReadinessAddress is the address at which an edge reports whether it accepts new connections.
 	ReadinessAddress netip.AddrPort `yaml:"readinessAddress"`
-	// DataFolder is empty on a node that keeps nothing.
+	// DataFolder is empty on a node without persistent storage.
 	DataFolder string   `yaml:"dataFolder"`
 	Platform   Platform `yaml:"platform"`
 	Limits     Limits   `yaml:"limits"`
 	Ledger     Ledger   `yaml:"ledger"`
 	Bounds     Bounds   `yaml:"bounds"`
 	LogLevel   string   `yaml:"logLevel"`
-	// Zones are the zones of the deployment with their regions; none where all are one region.
+	// Zones are the zones of the deployment with their regions; empty if all zones are in one region.
 	Zones []Zone `yaml:"zones"`
-	// SeedPeers are peer addresses to join through when the platform is down.
+	// SeedPeers are peer addresses through which to join the cluster when the platform is down.
 	SeedPeers []netip.AddrPort `yaml:"seedPeers"`
-	// SeedMachines are addresses of some machines, at any of their ports, whose nodes take messages of other nodes at the port that this one
-	// uses, as on a platform with the same ports on all machines.
+	// SeedMachines are addresses of some machines, with any port. Their nodes are expected to use the same peer port as this node, as on a
+	// platform with the same ports on all machines.
 	SeedMachines []netip.AddrPort `yaml:"seedMachines"`
 }
 
-// Seeds returns the peer addresses to join through: those that are named and those of SeedMachines, without this node's own.
+// Seeds returns the peer addresses through which to join the cluster: SeedPeers and the peer addresses of SeedMachines, without the own one.
 func (s Settings) Seeds() []netip.AddrPort {
 	seeds := slices.Clone(s.SeedPeers)
 	for _, machine := range s.SeedMachines {
@@ -68,7 +68,7 @@
 	Region string `yaml:"region"`
 }
 
-// Topology returns the regions of the zones.
+// Topology returns the regions of the zones, including the zone of this node.
 func (s Settings) Topology() region.Topology {
 	regionOf := make(map[string]string, len(s.Zones)+1)
 	regionOf[s.Zone] = s.Region
@@ -78,80 +78,80 @@
 	return region.NewTopology(regionOf)
 }
 
-// Platform holds the addresses of what the platform gives.
+// Platform contains the addresses of the platform's services.
 type Platform struct {
 	KeyValue    []netip.AddrPort `yaml:"keyValue"`
 	MachineList netip.AddrPort   `yaml:"machineList"`
 	WeightStore netip.AddrPort   `yaml:"weightStore"`
 	// MetadataStore is the key-value service of edges and storage nodes.
 	MetadataStore netip.AddrPort `yaml:"metadataStore"`
-	// KeyValueRequestsPerSecond bounds this node's own calls.
+	// KeyValueRequestsPerSecond limits the calls of this node to the key-value service.
 	KeyValueRequestsPerSecond float64 `yaml:"keyValueRequestsPerSecond"`
 }
 
-// Limits bound what one node holds.
+// Limits are the resource limits of one node.
 type Limits struct {
 	MaxBodyBytes      int64         `yaml:"maxBodyBytes"`
 	MaxBatchFileBytes int64         `yaml:"maxBatchFileBytes"`
 	HeaderTimeout     time.Duration `yaml:"headerTimeout"`
 	BodyTimeout       time.Duration `yaml:"bodyTimeout"`
 	MaxConnections    int           `yaml:"maxConnections"`
-	// DrainTimeout bounds how long a planned stop waits for streams.
+	// DrainTimeout limits how long a planned stop waits for streams.
 	DrainTimeout time.Duration `yaml:"drainTimeout"`
-	// BatchConcurrency bounds batch items in flight from this node.
+	// BatchConcurrency limits the batch items in flight from this node.
 	BatchConcurrency int `yaml:"batchConcurrency"`
-	// MemoryMegabytes is what the process may use; 0 is no bound.
+	// MemoryMegabytes is the memory that the process may use; 0 means no limit.
 	MemoryMegabytes int `yaml:"memoryMegabytes"`
-	// DiskMegabytes is the size of the data folder's disk; 0 is no bound.
+	// DiskMegabytes is the size of the data folder's disk; 0 means no limit.
 	DiskMegabytes int `yaml:"diskMegabytes"`
-	// FileDescriptors is what the process may have open, connections among them; 0 is no bound.
+	// FileDescriptors is the number of open file descriptors, including connections, that the process may have; 0 means no limit.
 	FileDescriptors int `yaml:"fileDescriptors"`
 }
 
-// Bounds are the times within which the operators expect the system to act. A bound of 0 is unknown.
+// Bounds are the service levels that the operators expect of the system. A bound of 0 is unknown.
 type Bounds struct {
-	// Contact is how long a machine is undisturbed before it is held to the other bounds.
+	// Contact is how long a machine must be undisturbed before the other bounds apply to it.
 	Contact time.Duration `yaml:"contact"`
-	// Grace is the time from the signal to stop to the end of the process.
+	// Grace is the maximum time from the stop signal to the end of the process.
 	Grace time.Duration `yaml:"grace"`
-	// Cancel is the time from an acknowledged cancel to the last start of an item of that job.
+	// Cancel is the maximum time from an acknowledged cancel to the last start of an item of that job.
 	Cancel time.Duration `yaml:"cancel"`
-	// Sync is the time in which a storage node that came back holds all its copies again.
+	// Sync is the maximum time until a restarted storage node has all its copies again.
 	Sync time.Duration `yaml:"sync"`
 	// Poll is how long results stay readable.
 	Poll time.Duration `yaml:"poll"`
-	// QuotaWindow is the length of the spans over which tenants' limits are judged. In any of them a tenant's requests may exceed its
-	// limit by QuotaTolerance, as a part of the limit, and QuotaSlack requests.
+	// QuotaWindow is the length of the window over which tenants' limits are enforced. In any window, the requests of a tenant may exceed its
+	// limit by QuotaTolerance, as a fraction of the limit, plus QuotaSlack requests.
 	QuotaWindow    time.Duration `yaml:"quotaWindow"`
 	QuotaTolerance float64       `yaml:"quotaTolerance"`
 	QuotaSlack     float64       `yaml:"quotaSlack"`
-	// Evacuate is the time from an operator's request to evacuate a zone to the last request that reaches its replicas.
+	// Evacuate is the maximum time from an operator's request to evacuate a zone to the last request that reaches its replicas.
 	Evacuate time.Duration `yaml:"evacuate"`
-	// ColdBurst and ColdSlack bound what a cold replica gets in any second from all nodes together: the requests a second that its service
-	// declares for cold replicas, times ColdBurst, and ColdSlack requests.
+	// ColdBurst and ColdSlack limit the requests that a cold replica gets in any second from all nodes together: ColdBurst times the requests
+	// per second that its service declares for cold replicas, plus ColdSlack requests.
 	ColdBurst float64 `yaml:"coldBurst"`
 	ColdSlack float64 `yaml:"coldSlack"`
 }
 
-// Ledger holds the ledger's numbers. They are written to the key-value service at the first start of the system and
-// then hold for all nodes; a node whose Partitions differ logs it at its start.
+// Ledger contains the parameters of the ledger. They are written to the key-value service when the system starts for the first time and
+// apply to all nodes from then on. A node whose Partitions differ logs this when it starts.
 type Ledger struct {
 	Partitions  int `yaml:"partitions"`
 	Replicas    int `yaml:"replicas"`
 	WriteQuorum int `yaml:"writeQuorum"`
-	// OwnersOnStores has only nodes with a data folder own partitions.
+	// OwnersOnStores restricts the ownership of partitions to nodes with a data folder.
 	OwnersOnStores bool `yaml:"ownersOnStores"`
-	// MembersDecide has the members of an ensemble decide on the next one, so that a lost disk is replaced also while the key-value
-	// service is down. A write quorum of members must be left for it, which 2n+1 copies have after n losses.
+	// MembersDecide lets the members of an ensemble decide on the next one, so that a lost disk is replaced even while the key-value
+	// service is down. This requires a write quorum of remaining members, which 2n+1 copies have after n losses.
 	MembersDecide bool `yaml:"membersDecide"`
-	// SurvivesMachines and SurvivesZones are how many storage machines, or zones, may be lost at once. Where one of them is
-	// above 0, Replicas and WriteQuorum are the fewest that survive it.
+	// SurvivesMachines and SurvivesZones are how many storage machines, or zones, may be lost at once. If one of them is
+	// above 0, Replicas and WriteQuorum are set to the smallest numbers that survive these losses.
 	SurvivesMachines int `yaml:"survivesMachines"`
 	SurvivesZones    int `yaml:"survivesZones"`
 }
 
-// derive sets the numbers that follow from the losses to survive: with 2n+1 copies, of which n+1 are synced before a record is
-// acknowledged, n lost disks leave a copy, and n lost machines leave a quorum.
+// derive sets Replicas and WriteQuorum from the number n of losses to survive: with 2n+1 copies, of which n+1 are synced before a
+// record is acknowledged, a copy remains after n lost disks, and a quorum remains after n lost machines.
 func (l *Ledger) derive() {
 	losses := max(l.SurvivesMachines, l.SurvivesZones)
 	if losses > 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// Defaults returns Settings with every default filled in.
+// Defaults returns Settings with all default values.
 func Defaults() Settings {
 	return Settings{
 		LogLevel: "info",
@@ -174,7 +174,8 @@
 			BatchConcurrency:  256,
 		},
 		Ledger: Ledger{Partitions: 16, Replicas: 4, WriteQuorum: 3},
-		// The quotas' values are those of the first deployment with tenants. ColdBurst 1 and no slack is what a service declares, and no more.
+		// The quota values are those of the first deployment with tenants. ColdBurst 1 without slack limits cold replicas to exactly the
+		// declared rate.
 		Bounds: Bounds{QuotaWindow: 5 * time.Second, QuotaTolerance: 0.1, QuotaSlack: 20, Evacuate: 5 * time.Second, ColdBurst: 1},
 	}
 }
