--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -8,14 +8,14 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Positions finds the position of a field by its path.
+// Positions maps the paths of fields to their positions in a document.
 type Positions struct {
 	document Position
 	fields   map[string]Position
 }
 
-// Find returns the position of the field, or of the nearest field around it that
-// is in the file.
+// Find returns the position of the field, or of the nearest enclosing field that is
+// in the file.
 func (p Positions) Find(field string) Position {
 	for field != "" {
 		if position, present := p.fields[field]; present {
@@ -26,16 +26,16 @@
 	return p.document
 }
 
-// Decode fills target, a pointer to a struct with yaml tags, from the document.
-// Keys named in skip are left to the caller. Fields absent from the document keep
-// their value.
+// Decode decodes the document into target, a pointer to a struct with yaml tags. Keys
+// in skip are ignored. Fields that are absent from the document keep their value.
 func (d Document) Decode(target any, skip ...string) (Positions, []Problem) {
 	decoder := &decoder{positions: Positions{document: d.Position, fields: map[string]Position{}}, skip: skip}
 	decoder.decodeStruct("", d.body, reflect.ValueOf(target).Elem())
 	return decoder.positions, decoder.problems
 }
 
-// Text returns the text under a key of the document's top level.
+// Text returns the text of a top-level key, and the position of its value. If the value
+// is not a text, it is empty and present is true.
 func (d Document) Text(key string) (value string, position Position, present bool) {
 	for _, entry := range mappingEntries(d.body) {
 		if keyText(entry) == key {
@@ -68,7 +68,7 @@
 	seen := map[string]Position{}
 	for _, entry := range mappingEntries(node) {
 		key := keyText(entry)
-		field := join(path, key)
+		field := joinPath(path, key)
 		if first, repeated := seen[key]; repeated {
 			d.report(field, entry.Key, "the key stands twice; it is already at %d:%d", first.Line, first.Column)
 			continue
@@ -105,9 +105,9 @@
 }
 
 func (d *decoder) decodeScalar(path string, node ast.Node, target reflect.Value, parse scalarParser) {
-	value, wants := parse(node)
-	if wants != "" {
-		d.report(path, node, "wants %s, not %s", wants, describe(node))
+	value, expected := parse(node)
+	if expected != "" {
+		d.report(path, node, "wants %s, not %s", expected, describe(node))
 		return
 	}
 	target.Set(reflect.ValueOf(value).Convert(target.Type()))
@@ -126,7 +126,7 @@
 	target.Set(items)
 }
 
-// structFields maps yaml names to field indexes, and lists the names in their order.
+// structFields maps yaml names to field indexes, and returns the names in field order.
 func structFields(structType reflect.Type) (fields map[string]int, names []string) {
 	fields = map[string]int{}
 	for index := range structType.NumField() {
@@ -140,7 +140,7 @@
 	return fields, names
 }
 
-// FieldName returns the yaml name of a struct field; empty where it has none.
+// FieldName returns the yaml name of a struct field; empty if it has none.
 func FieldName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	if name == "-" {
@@ -163,16 +163,16 @@
 	return nil
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func contains(list []string, wanted string) bool {
+func contains(list []string, text string) bool {
 	for _, item := range list {
-		if item == wanted {
+		if item == text {
 			return true
 		}
 	}
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -12,17 +12,17 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Bounds of a file. They keep the parser's stack and memory small.
+// Limits of a file. They bound the stack and memory of the parser.
 const (
 	MaxBytes  = 1 << 20
 	MaxDepth  = 16
 	maxIndent = 128
-	// MaxEntries bounds the keys and list entries of one document, because the library's
-	// time for them grows with their square.
+	// MaxEntries limits the keys and list entries of one document, because the library's
+	// time grows quadratically with their number.
 	MaxEntries = 1_000
-	// MaxDocuments bounds the documents of one file.
+	// MaxDocuments limits the documents of one file.
 	MaxDocuments = 1_000
-	// MaxProblems bounds the list that one file can cause.
+	// MaxProblems limits the problems that are listed for one file.
 	MaxProblems = 100
 )
 
@@ -32,8 +32,8 @@
 	body     ast.Node
 }
 
-// Parse splits source into its documents. Empty documents are left out. A document
-// that cannot be parsed is a Problem; the others are still returned.
+// Parse parses the documents of source. Empty documents are left out. A document that
+// cannot be parsed results in problems; the others are still returned.
 func Parse(source []byte) ([]Document, []Problem) {
 	if len(source) > MaxBytes {
 		return nil, []Problem{{Message: fmt.Sprintf("the file has %d bytes; at most %d are allowed", len(source), MaxBytes)}}
@@ -43,12 +43,12 @@
 	}
 	var documents []Document
 	var problems []Problem
-	parts := splitDocuments(lexer.Tokenize(string(source)))
-	if len(parts) > MaxDocuments {
-		position := tokenPosition(parts[MaxDocuments][0])
-		return nil, []Problem{{Position: position, Message: fmt.Sprintf("the file has %d documents; at most %d are allowed", len(parts), MaxDocuments)}}
+	documentTokens := splitDocuments(lexer.Tokenize(string(source)))
+	if len(documentTokens) > MaxDocuments {
+		position := tokenPosition(documentTokens[MaxDocuments][0])
+		return nil, []Problem{{Position: position, Message: fmt.Sprintf("the file has %d documents; at most %d are allowed", len(documentTokens), MaxDocuments)}}
 	}
-	for _, tokens := range parts {
+	for _, tokens := range documentTokens {
 		if found := checkTokens(tokens); len(found) > 0 {
 			problems = append(problems, found...)
 			continue
@@ -72,7 +72,7 @@
 	return documents, problems
 }
 
-// checkText refuses bytes that are not UTF-8 text.
+// checkText reports the first byte that is not UTF-8 text or is a control character.
 func checkText(source []byte) (Problem, bool) {
 	line, column := 1, 1
 	for index := 0; index < len(source); {
@@ -90,8 +90,8 @@
 	return Problem{}, true
 }
 
-// splitDocuments cuts the tokens before each "---". Parsing each part alone keeps
-// the time linear in the number of documents and finds the faults of all of them.
+// splitDocuments splits the tokens before each "---". Parsing each document separately
+// keeps the time linear in the number of documents and finds the faults of all of them.
 func splitDocuments(tokens token.Tokens) []token.Tokens {
 	var parts []token.Tokens
 	start := 0
@@ -116,7 +116,7 @@
 	token.MappingKeyType: "an explicit key (?) is not allowed; write key: value",
 }
 
-// checkTokens refuses what the parser would expand or recurse into without a bound.
+// checkTokens rejects tokens that the parser would expand or recurse into without a limit.
 func checkTokens(tokens token.Tokens) []Problem {
 	var problems []Problem
 	flowDepth, entries, lineEntries, line := 0, 0, 0, 0
@@ -159,8 +159,8 @@
 	var typed yaml.Error
 	if errors.As(err, &typed) {
 		problem.Message = "not valid YAML: " + typed.GetMessage()
-		if at := typed.GetToken(); at != nil {
-			problem.Position = tokenPosition(at)
+		if tokenAtFault := typed.GetToken(); tokenAtFault != nil {
+			problem.Position = tokenPosition(tokenAtFault)
 		}
 	}
 	if problem.Line == 0 && len(tokens) > 0 {
@@ -169,11 +169,12 @@
 	return problem
 }
 
-func tokenPosition(at *token.Token) Position {
-	return Position{Line: at.Position.Line, Column: max(at.Position.Column, 1)}
+func tokenPosition(tok *token.Token) Position {
+	return Position{Line: tok.Position.Line, Column: max(tok.Position.Column, 1)}
 }
 
-// positionOf returns where node begins. A mapping's own token is its first ":".
+// positionOf returns the start of node. The token of a mapping is its first ":", so the
+// start of a mapping is that of its first key.
 func positionOf(node ast.Node) Position {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
@@ -183,8 +184,8 @@
 	case *ast.MappingValueNode:
 		return positionOf(typed.Key)
 	}
-	if at := node.GetToken(); at != nil {
-		return tokenPosition(at)
+	if tok := node.GetToken(); tok != nil {
+		return tokenPosition(tok)
 	}
 	return Position{}
 }
@@ -193,7 +194,7 @@
 	if len(problems) <= MaxProblems {
 		return problems
 	}
-	more := Problem{Message: fmt.Sprintf("%d more problems are not listed", len(problems)-MaxProblems)}
-	more.Position = problems[MaxProblems-1].Position
-	return append(problems[:MaxProblems:MaxProblems], more)
+	omitted := Problem{Message: fmt.Sprintf("%d more problems are not listed", len(problems)-MaxProblems)}
+	omitted.Position = problems[MaxProblems-1].Position
+	return append(problems[:MaxProblems:MaxProblems], omitted)
 }
--- a/internal/strictyaml/problem.go
+++ b/internal/strictyaml/problem.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Position is a place in a file; both numbers count from 1, and 0 is unknown.
+// Position is a position in a file. Both numbers count from 1; 0 means unknown.
 type Position struct {
 	Line   int `json:"line"`
 	Column int `json:"column"`
@@ -17,18 +17,18 @@
 	Position
 	// Field is the path inside the document, such as "models[1]"; empty for the document itself.
 	Field string `json:"field,omitempty"`
-	// Message tells what is wrong and what is allowed.
+	// Message describes what is wrong and what is allowed.
 	Message string `json:"message"`
 }
 
-// ValidationError lists all problems of one file, in the order of their positions.
+// ValidationError lists the problems of one file, sorted by position.
 type ValidationError struct {
-	// File is the file's name; the parser leaves it empty.
+	// File is the name of the file. The parser leaves it empty.
 	File     string    `json:"file,omitempty"`
 	Problems []Problem `json:"problems"`
 }
 
-// NewValidationError returns an error for the first MaxProblems problems, or nil where
+// NewValidationError returns an error with the first MaxProblems problems, or nil if
 // there are none.
 func NewValidationError(problems []Problem) error {
 	if len(problems) == 0 {
--- a/internal/strictyaml/scalar.go
+++ b/internal/strictyaml/scalar.go
@@ -11,8 +11,8 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// scalarParser returns the node's value, or what was wanted in its place.
-type scalarParser func(node ast.Node) (value any, wants string)
+// scalarParser returns the value of a node, or a description of what was expected instead.
+type scalarParser func(node ast.Node) (value any, expected string)
 
 var scalarParsers = map[reflect.Type]scalarParser{
 	reflect.TypeFor[int]():            parseInteger,
@@ -99,9 +99,9 @@
 	return value, ""
 }
 
-const maxShownText = 60
+const maxQuotedRunes = 60
 
-// describe names a node's type and, for a scalar, its value.
+// describe returns a description of a node for messages: its type and, for a scalar, its value.
 func describe(node ast.Node) string {
 	switch typed := node.(type) {
 	case *ast.StringNode:
@@ -125,11 +125,11 @@
 	}
 }
 
-// Shorten cuts a text that a message quotes.
+// Shorten truncates a text that is quoted in a message to maxQuotedRunes.
 func Shorten(text string) string {
 	runes := []rune(text)
-	if len(runes) <= maxShownText {
+	if len(runes) <= maxQuotedRunes {
 		return text
 	}
-	return string(runes[:maxShownText]) + "…"
+	return string(runes[:maxQuotedRunes]) + "…"
 }
