--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -19,25 +19,25 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Client calls the admin interface of one node. Errors are those that the node had:
+// Client calls the admin interface of one node. Errors are those of the node:
 // *config.ValidationError, *config.ConflictError, *config.InUseError,
-// *RunningJobsError, else *outcome.Error. It is safe for concurrent use.
+// *RunningJobsError, otherwise *outcome.Error. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// answerTimeout bounds the wait for an answer once the request has been sent.
-const answerTimeout = time.Minute
+// responseTimeout limits the wait for the response header once the request has been sent.
+const responseTimeout = time.Minute
 
 // NewClient returns a client of the node with the given admin address.
-func NewClient(admin netip.AddrPort, through network.Network) *Client {
-	transport := network.HTTPTransport(through)
-	transport.ResponseHeaderTimeout = answerTimeout
+func NewClient(admin netip.AddrPort, nodeNetwork network.Network) *Client {
+	transport := network.HTTPTransport(nodeNetwork)
+	transport.ResponseHeaderTimeout = responseTimeout
 	return &Client{base: "http://" + admin.String(), http: &http.Client{Transport: transport}}
 }
 
-// Close gives up idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Apply applies a file; expectRevision may be config.AnyRevision.
@@ -47,7 +47,7 @@
 	return result, err
 }
 
-// Diff tells what Apply would change.
+// Diff returns what Apply would change.
 func (c *Client) Diff(ctx context.Context, file []byte) (config.ApplyResult, error) {
 	var result config.ApplyResult
 	err := c.call(ctx, http.MethodPost, pathDiff, nil, bytes.NewReader(file), &result)
@@ -61,14 +61,14 @@
 	return configuration, err
 }
 
-// Uses tells what runs on a declaration.
+// Uses returns what depends on a declaration.
 func (c *Client) Uses(ctx context.Context, id config.ID) (Uses, error) {
 	var uses Uses
 	err := c.call(ctx, http.MethodGet, objectPath(id)+"/uses", nil, nil, &uses)
 	return uses, err
 }
 
-// Withdraw removes a declaration. With force it does so under running jobs.
+// Withdraw removes a declaration. With force, it does so even if running jobs need it.
 func (c *Client) Withdraw(ctx context.Context, id config.ID, expectRevision int64, force bool) (config.ApplyResult, error) {
 	query := expectQuery(expectRevision)
 	if force {
@@ -79,7 +79,7 @@
 	return result, err
 }
 
-// Rollout tells where a revision is in force.
+// Rollout returns how far a revision is in force on the members.
 func (c *Client) Rollout(ctx context.Context, revision int64) (Rollout, error) {
 	var rollout Rollout
 	query := url.Values{queryRevision: {strconv.FormatInt(revision, 10)}}
@@ -106,7 +106,7 @@
 	return pathConfig + "/" + url.PathEscape(string(id.Kind)) + "/" + url.PathEscape(id.Name)
 }
 
-// call makes one request and decodes its JSON answer into result.
+// call sends one request and decodes the JSON response into result.
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body io.Reader, result any) error {
 	response, err := c.send(ctx, method, path, query, body)
 	if err != nil {
@@ -114,12 +114,12 @@
 	}
 	defer response.Body.Close()
 	if err := json.NewDecoder(response.Body).Decode(result); err != nil {
-		return outcome.Wrap(err, unfinishedOutcome(method), outcome.ReasonUnavailable, "the answer did not arrive whole")
+		return outcome.Wrap(err, lostResponseOutcome(method), outcome.ReasonUnavailable, "the answer did not arrive whole")
 	}
 	return nil
 }
 
-// send makes one request; an answer that is no success becomes an error.
+// send sends one request. A response with a status other than 200 becomes an error.
 func (c *Client) send(ctx context.Context, method, path string, query url.Values, body io.Reader) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
 	if err != nil {
@@ -137,16 +137,19 @@
 	return nil, decodeError(response)
 }
 
-// sendOutcome tells whether a request without an answer may have run.
+// sendOutcome returns the outcome of a request without a response: NotRun if no
+// connection was established, else that of lostResponseOutcome.
 func sendOutcome(method string, err error) outcome.Outcome {
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return outcome.NotRun
 	}
-	return unfinishedOutcome(method)
+	return lostResponseOutcome(method)
 }
 
-func unfinishedOutcome(method string) outcome.Outcome {
+// lostResponseOutcome returns the outcome of a request whose response was lost: only a
+// GET surely changed nothing.
+func lostResponseOutcome(method string) outcome.Outcome {
 	if method == http.MethodGet {
 		return outcome.NotRun
 	}
--- a/internal/operator/client_job.go
+++ b/internal/operator/client_job.go
@@ -11,21 +11,22 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// SubmitJob streams the JSONL items of a job; it returns once they are durable.
+// SubmitJob submits a job with a stream of JSONL items. It returns once they are durable.
 func (c *Client) SubmitJob(ctx context.Context, request JobRequest, items io.Reader) (JobView, error) {
 	var view JobView
 	err := c.call(ctx, http.MethodPost, pathJobs, request.query(), items, &view)
 	return view, err
 }
 
-// Job reads one job.
+// Job returns the status of one job.
 func (c *Client) Job(ctx context.Context, tenant, id string) (JobView, error) {
 	var view JobView
 	err := c.call(ctx, http.MethodGet, jobPath(id), tenantQuery(tenant), nil, &view)
 	return view, err
 }
 
-// Jobs lists a tenant's jobs after the given id; limit 0 is the node's own.
+// Jobs lists the jobs of a tenant after the given ID. Limit 0 means the default limit of
+// the node.
 func (c *Client) Jobs(ctx context.Context, tenant, after string, limit int) (JobList, error) {
 	query := tenantQuery(tenant)
 	if after != "" {
@@ -39,15 +40,15 @@
 	return list, err
 }
 
-// CancelJob returns once the cancel is durable.
+// CancelJob cancels a job. It returns once the cancel is durable.
 func (c *Client) CancelJob(ctx context.Context, tenant, id string) (JobView, error) {
 	var view JobView
 	err := c.call(ctx, http.MethodPost, jobPath(id)+"/cancel", tenantQuery(tenant), nil, &view)
 	return view, err
 }
 
-// JobResults copies the results from the given index, as JSON lines, and returns
-// their number. A stream that was cut is an error.
+// JobResults copies the results from the given index on, as JSON lines, and returns
+// their number. An incomplete stream is an error.
 func (c *Client) JobResults(ctx context.Context, tenant, id string, from int, to io.Writer) (count int, err error) {
 	query := tenantQuery(tenant)
 	query.Set(queryFrom, strconv.Itoa(from))
--- a/internal/operator/config_handler.go
+++ b/internal/operator/config_handler.go
@@ -14,14 +14,14 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// configTimeout bounds a call that reads or writes the key-value service.
+// configTimeout limits a request that reads or writes the key-value service.
 const configTimeout = 20 * time.Second
 
-// Configuration is the whole configuration as the admin interface shows it.
+// Configuration is the whole configuration, as returned by the admin interface.
 type Configuration struct {
 	Revision int64 `json:"revision"`
-	// Origin is "key_value", or "in_force" where the key-value service is down and the
-	// node shows what is in force on itself.
+	// Origin is "key_value", or "in_force" if the key-value service is down and the
+	// configuration is the one in force on the node.
 	Origin       string            `json:"origin"`
 	Declarations []DeclarationView `json:"declarations"`
 }
@@ -32,7 +32,7 @@
 	OriginInForce  = "in_force"
 )
 
-// DeclarationView is one declaration.
+// DeclarationView is one declaration, as returned by the admin interface.
 type DeclarationView struct {
 	Kind config.Kind `json:"kind"`
 	Name string      `json:"name"`
@@ -92,8 +92,8 @@
 	ctx, cancel := context.WithTimeout(request.Context(), configTimeout)
 	defer cancel()
 	select {
-	case h.files <- struct{}{}:
-		defer func() { <-h.files }()
+	case h.fileSlots <- struct{}{}:
+		defer func() { <-h.fileSlots }()
 	case <-ctx.Done():
 		writeError(response, outcome.New(outcome.NotRun, outcome.ReasonOverloaded, "too many files at once").After(time.Second))
 		return
@@ -154,7 +154,8 @@
 	return h.uses.find(ctx, snapshot, id)
 }
 
-// withdraw refuses while running jobs need the declaration, unless force is set.
+// withdraw removes a declaration. It refuses while running jobs need the declaration,
+// unless force is set.
 func (h *handler) withdraw(response http.ResponseWriter, request *http.Request) {
 	result, err := h.tryWithdraw(request)
 	if err != nil {
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,3 +1,4 @@
-// Package operator is the operators' interface of a node on its admin port: apply,
-// diff, get and withdraw configuration, jobs, status, health and metrics.
+// Package operator implements the HTTP interface for operators on the admin port of a
+// node, and its client: apply, diff, get and withdraw configuration; jobs; status,
+// health and metrics.
 package operator
--- a/internal/operator/error_body.go
+++ b/internal/operator/error_body.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Codes of an ErrorBody that carry details.
+// Codes of an ErrorDetail with code-specific details.
 const (
 	codeInvalidFile = "invalid_file"
 	codeRevision    = "revision_conflict"
@@ -19,21 +19,21 @@
 	codeRunningJobs = "running_jobs"
 )
 
-// ErrorBody is the JSON body of every refusal.
+// ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail holds a code, the outcome and, by code, its details.
+// ErrorDetail contains a code, the outcome and the details of the code.
 type ErrorDetail struct {
 	Code    string          `json:"code"`
 	Outcome outcome.Outcome `json:"outcome"`
 	Message string          `json:"message"`
-	// RetryAfterSeconds is 0 where no time can be named.
+	// RetryAfterSeconds is 0 if no delay is known.
 	RetryAfterSeconds int                     `json:"retry_after_seconds,omitempty"`
 	Invalid           *config.ValidationError `json:"invalid,omitempty"`
 	Conflict          *config.ConflictError   `json:"conflict,omitempty"`
-	// InvalidFiles is set where several files are invalid; Invalid is then the first.
+	// InvalidFiles is set if several files are invalid; Invalid is then the first of them.
 	InvalidFiles []*config.ValidationError `json:"invalid_files,omitempty"`
 	Referenced   *config.InUseError        `json:"referenced,omitempty"`
 	Running      *RunningJobsError         `json:"running,omitempty"`
@@ -118,14 +118,15 @@
 
 const contentTypeJSON = "application/json"
 
-// writeJSON answers with a value. A failure to write means that the client has gone.
+// writeJSON writes a response with a JSON body. A write error is ignored: the client has
+// disconnected.
 func writeJSON(response http.ResponseWriter, status int, value any) {
 	response.Header().Set("Content-Type", contentTypeJSON)
 	response.WriteHeader(status)
 	_ = json.NewEncoder(response).Encode(value)
 }
 
-// toError turns a received detail into the error that the server had.
+// toError converts a received detail to the error on the server.
 func (d ErrorDetail) toError() error {
 	switch {
 	case d.Invalid != nil:
@@ -141,7 +142,7 @@
 	return failure.After(time.Duration(d.RetryAfterSeconds) * time.Second)
 }
 
-// NewErrorBody describes err.
+// NewErrorBody returns the ErrorBody of err.
 func NewErrorBody(err error) ErrorBody {
 	_, detail := describeError(err)
 	return ErrorBody{Error: detail}
--- a/internal/operator/fx.go
+++ b/internal/operator/fx.go
@@ -23,7 +23,7 @@
 	}),
 )
 
-// Params are what the admin interface shows and drives.
+// Params are the dependencies of the admin interface.
 type Params struct {
 	fx.In
 
@@ -42,7 +42,7 @@
 	Sections   []StatusSection   `group:"status"`
 }
 
-// New builds the server; it listens from Start on.
+// New returns a Server, which does not listen before Start.
 func New(params Params) *Server {
 	params.Readiness.inForce = params.InForce
 	logger := params.Logger.With().Str(logging.FieldSlice, "operator").Logger()
@@ -57,7 +57,7 @@
 	if params.Ledger != nil {
 		reporter.partitions = params.Ledger
 	}
-	requests := &handler{
+	admin := &handler{
 		limits:    params.Settings.Limits,
 		store:     params.Store,
 		inForce:   params.InForce,
@@ -66,8 +66,8 @@
 		status:    reporter,
 		readiness: params.Readiness,
 		logger:    logger,
-		files:     make(chan struct{}, maxFilesAtOnce),
+		fileSlots: make(chan struct{}, maxConcurrentFiles),
 		metrics:   newChangeMetrics(params.Registerer),
 	}
-	return newServer(params.Settings, params.Network, requests.routes(params.Gatherer), params.Readiness, logger)
+	return newServer(params.Settings, params.Network, admin.routes(params.Gatherer), params.Readiness, logger)
 }
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -45,8 +45,8 @@
 	queryFrom           = "from"
 )
 
-// handler serves the admin interface. inForce and jobs may be nil: what needs them
-// is then answered with 503.
+// handler serves the admin interface. inForce and jobs may be nil: requests that need
+// them are then answered with status 503.
 type handler struct {
 	limits    settings.Limits
 	store     config.Store
@@ -56,13 +56,13 @@
 	status    *statusReporter
 	readiness *Readiness
 	logger    zerolog.Logger
-	// files holds one token for each file that is worked on.
-	files   chan struct{}
-	metrics *changeMetrics
+	// fileSlots is a semaphore of the files that are processed concurrently.
+	fileSlots chan struct{}
+	metrics   *changeMetrics
 }
 
-// maxFilesAtOnce bounds the memory of parsing.
-const maxFilesAtOnce = 2
+// maxConcurrentFiles limits the memory used for parsing.
+const maxConcurrentFiles = 2
 
 func (h *handler) routes(gatherer prometheus.Gatherer) http.Handler {
 	router := mux.NewRouter()
@@ -91,11 +91,15 @@
 }
 
 func methodNotAllowed(response http.ResponseWriter, request *http.Request) {
-	detail := ErrorDetail{Code: string(outcome.ReasonInvalid), Outcome: outcome.NotRun, Message: request.Method + " is not allowed on " + request.URL.Path}
+	detail := ErrorDetail{
+		Code:    string(outcome.ReasonInvalid),
+		Outcome: outcome.NotRun,
+		Message: request.Method + " is not allowed on " + request.URL.Path,
+	}
 	writeJSON(response, http.StatusMethodNotAllowed, ErrorBody{Error: detail})
 }
 
-// Health is the body of the health and readiness checks.
+// Health is the response body of the health and readiness checks.
 type Health struct {
 	Status string `json:"status"`
 	Reason string `json:"reason,omitempty"`
@@ -118,7 +122,7 @@
 	writeJSON(response, http.StatusOK, h.status.report())
 }
 
-// queryInteger reads a whole number from the query; fallback where it is absent.
+// queryInteger returns a non-negative integer from the query; fallback if it is absent.
 func queryInteger(request *http.Request, name string, fallback int64) (int64, error) {
 	text := request.URL.Query().Get(name)
 	if text == "" {
--- a/internal/operator/handler_test.go
+++ b/internal/operator/handler_test.go
@@ -18,25 +18,30 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// newTestServer serves a node without configuration store, jobs and members.
+// newTestServer serves the admin interface of a node without configuration store, jobs and members.
 func newTestServer(t *testing.T) (*Readiness, *httptest.Server) {
 	t.Helper()
-	before := goleak.IgnoreCurrent()
+	existing := goleak.IgnoreCurrent()
 	registry := prometheus.NewRegistry()
 	readiness := NewReadiness()
 	server := New(Params{
-		Settings: settings.Defaults(), Logger: zerolog.Nop(), Gatherer: registry, Registerer: registry, Network: network.System{}, Readiness: readiness,
+		Settings:   settings.Defaults(),
+		Logger:     zerolog.Nop(),
+		Gatherer:   registry,
+		Registerer: registry,
+		Network:    network.System{},
+		Readiness:  readiness,
 	})
-	served := httptest.NewServer(server.server.Handler)
+	testServer := httptest.NewServer(server.server.Handler)
 	t.Cleanup(func() {
-		served.Close()
-		goleak.VerifyNone(t, before)
+		testServer.Close()
+		goleak.VerifyNone(t, existing)
 	})
-	return readiness, served
+	return readiness, testServer
 }
 
 func TestRefusals(t *testing.T) {
-	_, served := newTestServer(t)
+	_, testServer := newTestServer(t)
 	cases := []struct {
 		name, method, path, body string
 		status                   int
@@ -55,7 +60,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			status, body := request(t, test.method, served.URL+test.path, test.body)
+			status, body := request(t, test.method, testServer.URL+test.path, test.body)
 			var refusal ErrorBody
 			if err := json.Unmarshal([]byte(body), &refusal); err != nil {
 				t.Fatalf("body %q: %v", body, err)
@@ -68,7 +73,7 @@
 }
 
 func TestHealthReadinessAndMetrics(t *testing.T) {
-	readiness, served := newTestServer(t)
+	readiness, testServer := newTestServer(t)
 	steps := []struct {
 		change func()
 		path   string
@@ -85,13 +90,13 @@
 	}
 	for index, step := range steps {
 		step.change()
-		if status, body := request(t, http.MethodGet, served.URL+step.path, ""); status != step.status || !strings.Contains(body, step.body) {
+		if status, body := request(t, http.MethodGet, testServer.URL+step.path, ""); status != step.status || !strings.Contains(body, step.body) {
 			t.Errorf("step %d: status %d, body %q", index, status, body)
 		}
 	}
 }
 
-func request(t *testing.T, method, address, body string) (status int, answer string) {
+func request(t *testing.T, method, address, body string) (status int, responseBody string) {
 	t.Helper()
 	call, err := http.NewRequestWithContext(t.Context(), method, address, strings.NewReader(body))
 	if err != nil {
--- a/internal/operator/job_handler.go
+++ b/internal/operator/job_handler.go
@@ -27,7 +27,7 @@
 		writeError(response, err)
 		return
 	}
-	submission.Items = &slowBodyReader{
+	submission.Items = &idleTimeoutReader{
 		body:       http.MaxBytesReader(response, request.Body, h.limits.MaxBatchFileBytes),
 		controller: http.NewResponseController(response),
 		timeout:    h.limits.BodyTimeout,
@@ -40,7 +40,7 @@
 	writeJSON(response, http.StatusOK, newJobView(status))
 }
 
-// bodyError names the cause where the body was at fault.
+// bodyError replaces the error of a body that is too large by one that states the limit.
 func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -49,15 +49,15 @@
 	return err
 }
 
-// slowBodyReader gives up on a body that pauses for longer than timeout.
-type slowBodyReader struct {
+// idleTimeoutReader fails if the body makes no progress for longer than timeout.
+type idleTimeoutReader struct {
 	body       io.Reader
 	controller *http.ResponseController
 	timeout    time.Duration
 }
 
 // Read implements io.Reader.
-func (r *slowBodyReader) Read(buffer []byte) (int, error) {
+func (r *idleTimeoutReader) Read(buffer []byte) (int, error) {
 	err := r.controller.SetReadDeadline(time.Now().Add(r.timeout))
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return 0, err
@@ -69,8 +69,8 @@
 	return count, readErr
 }
 
-// clearReadDeadline ends the bound on the body: the server goes on reading in the
-// background and would cancel the request at the deadline.
+// clearReadDeadline removes the read deadline of the body. The server continues to read
+// in the background and would otherwise cancel the request at the deadline.
 func clearReadDeadline(controller *http.ResponseController) {
 	_ = controller.SetReadDeadline(time.Time{})
 }
@@ -130,14 +130,14 @@
 	writeJSON(response, http.StatusOK, newJobView(status))
 }
 
-// trailerResultCount is an HTTP trailer that ends a whole result stream; a stream
-// without it was cut.
+// trailerResultCount is the HTTP trailer of a complete result stream. A stream without
+// it is incomplete.
 const trailerResultCount = "X-Result-Count"
 
 const contentTypeLines = "application/jsonl"
 
-// getResults streams results as JSON lines. A failure after the first line ends the
-// stream without its trailer.
+// getResults streams results as JSON lines. If it fails after the first line, the
+// stream ends without its trailer.
 func (h *handler) getResults(response http.ResponseWriter, request *http.Request) {
 	if h.jobs == nil {
 		writeError(response, errNoJobs)
@@ -151,13 +151,13 @@
 	count := 0
 	id := mux.Vars(request)["id"]
 	encoder := json.NewEncoder(response)
-	begin := func() {
+	writeHeaders := func() {
 		response.Header().Set("Trailer", trailerResultCount)
 		response.Header().Set("Content-Type", contentTypeLines)
 	}
 	err = h.jobs.Results(request.Context(), request.URL.Query().Get(queryTenant), id, int(from), func(result job.ItemResult) error {
 		if count == 0 {
-			begin()
+			writeHeaders()
 		}
 		count++
 		return encoder.Encode(result)
@@ -171,7 +171,7 @@
 		return
 	}
 	if count == 0 {
-		begin()
+		writeHeaders()
 		response.WriteHeader(http.StatusOK)
 	}
 	response.Header().Set(trailerResultCount, strconv.Itoa(count))
--- a/internal/operator/job_view.go
+++ b/internal/operator/job_view.go
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/internal/job"
 )
 
-// JobView is a job's status as JSON.
+// JobView is the status of a job, as returned by the admin interface.
 type JobView struct {
 	ID        string            `json:"id"`
 	Tenant    string            `json:"tenant"`
@@ -16,7 +16,7 @@
 	Operation string            `json:"operation"`
 	Phase     job.Phase         `json:"phase"`
 	Metadata  map[string]string `json:"metadata,omitempty"`
-	// AcceptedAt, Deadline and EndedAt are in UTC; EndedAt is absent before the end.
+	// AcceptedAt, Deadline and EndedAt are in UTC. EndedAt is absent before the end.
 	AcceptedAt time.Time  `json:"accepted_at"`
 	Deadline   time.Time  `json:"deadline"`
 	EndedAt    *time.Time `json:"ended_at,omitempty"`
--- a/internal/operator/metrics.go
+++ b/internal/operator/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// changeMetrics counts what came of changes of the configuration on this node.
+// changeMetrics counts the changes of the configuration through this node, by outcome.
 type changeMetrics struct {
 	changes *prometheus.CounterVec
 }
@@ -23,8 +23,8 @@
 	return metrics
 }
 
-// count notes the end of one change. An error that says nothing was changed counts as
-// not run.
+// count counts the end of one change. An error that means that nothing was changed
+// counts as NotRun.
 func (m *changeMetrics) count(err error) {
 	result := outcome.Completed
 	if err != nil {
--- a/internal/operator/partitions.go
+++ b/internal/operator/partitions.go
@@ -2,20 +2,20 @@
 
 import "github.com/sloelift/sloelift/internal/ledger"
 
-// PartitionReporter tells the state of the ledger's partitions; *ledger.Manager does.
+// PartitionReporter returns the status of the ledger's partitions. It is implemented by *ledger.Manager.
 type PartitionReporter interface {
 	Status() []ledger.PartitionStatus
 }
 
-// PartitionSummary is what this node knows of the ledger's partitions.
+// PartitionSummary summarizes the ledger's partitions as known to this node.
 type PartitionSummary struct {
 	Known int `json:"known"`
-	// Owned are the partitions that this node serves.
+	// Owned are the partitions served by this node.
 	Owned []int `json:"owned"`
 	// Degraded counts the partitions with fewer stores than wanted.
 	Degraded int `json:"degraded"`
-	// LossesSurvived is the number of disks that may be lost together without the loss
-	// of an acknowledged record, for the partition where it is lowest.
+	// LossesSurvived is the number of disks that may be lost at once without losing an
+	// acknowledged record; the minimum of all partitions.
 	LossesSurvived int `json:"losses_survived"`
 	// StorageFull are owned partitions whose stores have no room for new records.
 	StorageFull []int `json:"storage_full,omitempty"`
--- a/internal/operator/readiness.go
+++ b/internal/operator/readiness.go
@@ -6,18 +6,18 @@
 	"github.com/sloelift/sloelift/internal/config"
 )
 
-// Readiness tells whether the node takes new work. A planned stop turns it off
-// first, so that load balancers go elsewhere. It is safe for concurrent use.
+// Readiness is whether the node accepts new work. A planned stop turns it off first, so
+// that load balancers use other nodes. It is safe for concurrent use.
 type Readiness struct {
 	reason atomic.Pointer[string]
-	// inForce is set before the server starts; nil asks for no configuration.
+	// inForce is set before the server starts. If it is nil, no configuration is required.
 	inForce config.Source
 }
 
 const (
 	reasonStarting        = "starting"
 	reasonNoConfiguration = "no configuration in force"
-	// ReasonStopping is the reason that a planned stop gives.
+	// ReasonStopping is the reason during a planned stop.
 	ReasonStopping = "stopping"
 )
 
@@ -31,7 +31,7 @@
 // TurnOff makes the node unready; reason is shown to operators.
 func (r *Readiness) TurnOff(reason string) { r.reason.Store(&reason) }
 
-// Ready reports readiness, and the reason where it is off.
+// Ready reports whether the node is ready, and if not, why.
 func (r *Readiness) Ready() (ready bool, reason string) {
 	current := r.reason.Load()
 	if current != nil {
@@ -43,7 +43,7 @@
 	return true, ""
 }
 
-// turnOnAfterStart makes the node ready unless a stop has begun already.
+// turnOnAfterStart makes the node ready unless a stop has begun.
 func (r *Readiness) turnOnAfterStart() {
 	current := r.reason.Load()
 	if current != nil && *current == reasonStarting {
--- a/internal/operator/rollout.go
+++ b/internal/operator/rollout.go
@@ -4,23 +4,30 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// Rollout tells on which members a revision is in force, as this node last heard.
+// Rollout lists the members on which a revision is not in force yet, as known to this
+// node.
 type Rollout struct {
 	Revision int64 `json:"revision"`
-	// Complete says that no reachable member is behind.
+	// Complete is true if no reachable member is behind.
 	Complete bool `json:"complete"`
 	InForce  int  `json:"in_force"`
-	// Behind are reachable members with a lower revision; Unreachable are members with
-	// a lower revision that this node cannot reach.
+	// Behind are the reachable members with a lower revision, Unreachable the suspect and
+	// dead members with a lower revision.
 	Behind      []MemberStatus `json:"behind"`
 	Unreachable []MemberStatus `json:"unreachable"`
 }
 
-// rollout compares the members' revisions with the wanted one. A node that knows no
-// other member judges by itself alone.
+// rollout compares the revisions of this node and of all other known members, if any,
+// with revision.
 func (r *statusReporter) rollout(revision int64) Rollout {
 	result := Rollout{Revision: revision, Behind: []MemberStatus{}, Unreachable: []MemberStatus{}}
-	self := MemberStatus{Node: r.settings.Node, Region: r.settings.Region, Zone: r.settings.Zone, State: stateName(membership.Alive), Revision: r.revision()}
+	self := MemberStatus{
+		Node:     r.settings.Node,
+		Region:   r.settings.Region,
+		Zone:     r.settings.Zone,
+		State:    stateName(membership.Alive),
+		Revision: r.revision(),
+	}
 	result.add(self)
 	for _, member := range r.memberList() {
 		if string(member.ID) != r.settings.Node {
--- a/internal/operator/section/section.go
+++ b/internal/operator/section/section.go
@@ -1,12 +1,13 @@
-// Package section holds the type by which slices add to the status of their node. It
-// imports nothing, so that slices which the operators' interface uses can contribute.
+// Package section contains the type with which packages add a section to the status of
+// their node. It imports nothing, so that packages that the operator package imports
+// can use it.
 package section
 
-// GroupTag is the result tag with which a slice provides a Section.
+// GroupTag is the fx result tag with which a package provides a Section.
 const GroupTag = `group:"status"`
 
-// Section is what a slice adds to the status. Report is called for each request; it must
-// be quick and safe for concurrent use, and its value is encoded as JSON.
+// Section is a named part of the status. Report is called for each status request. It
+// must be fast and safe for concurrent use; its result is encoded as JSON.
 type Section struct {
 	Name   string
 	Report func() any
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// Server listens on the admin address.
+// Server serves the admin interface on the admin address.
 type Server struct {
 	settings  settings.Settings
 	network   network.Network
@@ -24,7 +24,7 @@
 	logger    zerolog.Logger
 }
 
-// idleTimeout ends connections on which nothing is asked.
+// idleTimeout is how long connections without requests are kept open.
 const idleTimeout = 2 * time.Minute
 
 func newServer(own settings.Settings, network network.Network, routes http.Handler, readiness *Readiness, logger zerolog.Logger) *Server {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Start listens and serves until Stop.
+// Start listens, serves in the background until Stop, and turns the readiness on.
 func (s *Server) Start(ctx context.Context) error {
 	listener, err := s.network.Listen(ctx, s.settings.AdminAddress)
 	if err != nil {
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// Stop lets requests in progress end, for as long as ctx allows.
+// Stop turns the readiness off and waits for requests in flight until ctx ends; it then
+// closes their connections.
 func (s *Server) Stop(ctx context.Context) error {
 	s.readiness.TurnOff(ReasonStopping)
 	if err := s.server.Shutdown(ctx); err != nil {
@@ -63,5 +64,5 @@
 	return nil
 }
 
-// Address is where the server listens; it is valid after Start.
+// Address returns the address of the listener. It is valid after Start.
 func (s *Server) Address() net.Addr { return s.listener.Addr() }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -11,10 +11,10 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// StatusSection is what another slice adds to the status of the node.
+// StatusSection is a section that another package adds to the status of the node.
 type StatusSection = section.Section
 
-// Status of one node and of what it knows of the others.
+// Status is the status of one node, and of the other members as known to it.
 type Status struct {
 	Node        string `json:"node"`
 	Region      string `json:"region"`
@@ -22,19 +22,19 @@
 	Version     string `json:"version"`
 	Incarnation uint64 `json:"incarnation"`
 	Ready       bool   `json:"ready"`
-	// Reason tells why Ready is false.
+	// Reason is why Ready is false.
 	Reason string `json:"reason,omitempty"`
-	// Revision is the configuration in force on this node.
+	// Revision is the revision of the configuration in force on this node.
 	Revision int64          `json:"revision"`
 	Members  []MemberStatus `json:"members"`
 	Replicas []ServiceCount `json:"replicas"`
 	// Partitions is absent on a node without a ledger.
 	Partitions *PartitionSummary `json:"partitions,omitempty"`
-	// Sections hold the reports of the other slices by name.
+	// Sections are the reports of the StatusSections, by name.
 	Sections map[string]any `json:"sections,omitempty"`
 }
 
-// MemberStatus is one member as this node knows it.
+// MemberStatus is the status of one member as known to this node.
 type MemberStatus struct {
 	Node             string `json:"node"`
 	Region           string `json:"region"`
@@ -53,13 +53,14 @@
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
 	Known   int    `json:"known"`
-	// Reporting replicas gave a load report within reportFresh; Leaving and Failed take nothing new.
+	// Reporting counts the replicas with a load report not older than maxReportAge. Leaving and Failed count replicas
+	// that accept no new requests.
 	Reporting int `json:"reporting"`
 	Leaving   int `json:"leaving"`
 	Failed    int `json:"failed"`
 }
 
-// statusReporter gathers Status. Every source may be nil.
+// statusReporter collects Status. inForce, members, directory and partitions may be nil.
 type statusReporter struct {
 	settings  settings.Settings
 	readiness *Readiness
@@ -139,12 +140,12 @@
 	return counts
 }
 
-// reportFresh is the age up to which a load report counts as present.
-const reportFresh = 10 * time.Second
+// maxReportAge is the age up to which a load report counts as current.
+const maxReportAge = 10 * time.Second
 
 func (c *ServiceCount) add(replica fleet.Replica) {
 	c.Known++
-	if replica.HasLoad && time.Since(replica.HeardAt) < reportFresh {
+	if replica.HasLoad && time.Since(replica.HeardAt) < maxReportAge {
 		c.Reporting++
 	}
 	if replica.Leaving {
--- a/internal/operator/submission.go
+++ b/internal/operator/submission.go
@@ -13,8 +13,8 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// JobRequest is a job as an operator submits it. Template is the name of a Job
-// declaration; fields that are zero come from there.
+// JobRequest is a job submitted by an operator. Template is the name of a Job
+// declaration, which provides the values of zero fields.
 type JobRequest struct {
 	Template  string
 	Tenant    string
@@ -45,10 +45,10 @@
 	OperationCompletions = "completions"
 )
 
-// defaultRetention holds where neither the request nor its template names a retention.
+// defaultRetention applies if neither the request nor its template sets a retention.
 const defaultRetention = 30 * 24 * time.Hour
 
-// query encodes the request.
+// query encodes the request as query parameters.
 func (r JobRequest) query() url.Values {
 	values := url.Values{}
 	texts := map[string]string{
@@ -104,14 +104,14 @@
 	return value, nil
 }
 
-// newSubmission completes a request from its template and checks its names against
-// the configuration in force.
+// newSubmission parses a request, completes it from its template and checks the names
+// in it against the configuration in force.
 func newSubmission(values url.Values, snapshot *config.Snapshot) (job.Submission, error) {
 	request, err := parseJobRequest(values)
 	if err != nil {
 		return job.Submission{}, err
 	}
-	if err := request.fillFromTemplate(snapshot); err != nil {
+	if err := request.applyTemplate(snapshot); err != nil {
 		return job.Submission{}, err
 	}
 	priority, err := request.checkNames(snapshot)
@@ -129,7 +129,7 @@
 	}, nil
 }
 
-func (r *JobRequest) fillFromTemplate(snapshot *config.Snapshot) error {
+func (r *JobRequest) applyTemplate(snapshot *config.Snapshot) error {
 	if r.Template != "" {
 		template, present := snapshot.Jobs[r.Template]
 		if !present {
@@ -146,20 +146,21 @@
 	return nil
 }
 
-// checkNames answers a job that could never run at once.
+// checkNames rejects a job that could never run: one without a client key or deadline,
+// or with names that are not declared.
 func (r *JobRequest) checkNames(snapshot *config.Snapshot) (*config.Priority, error) {
 	if r.ClientKey == "" || r.Deadline == 0 {
 		return nil, outcome.New(outcome.NotRun, outcome.ReasonInvalid, "a job needs a client key and a deadline")
 	}
 	if snapshot.Tenants[r.Tenant] == nil {
-		return nil, absentName("Tenant", r.Tenant)
+		return nil, newNameError("Tenant", r.Tenant)
 	}
 	if snapshot.Services[r.Service] == nil {
-		return nil, absentName("Service", r.Service)
+		return nil, newNameError("Service", r.Service)
 	}
 	priority := snapshot.Priorities[r.Priority]
 	if priority == nil {
-		return nil, absentName("Priority", r.Priority)
+		return nil, newNameError("Priority", r.Priority)
 	}
 	if priority.Online {
 		return nil, outcome.New(outcome.NotRun, outcome.ReasonInvalid, "Priority "+r.Priority+" is for online requests")
@@ -167,7 +168,7 @@
 	return priority, nil
 }
 
-func absentName(kind, name string) error {
+func newNameError(kind, name string) error {
 	return outcome.New(outcome.NotRun, outcome.ReasonInvalid, fmt.Sprintf("%s %q does not exist", kind, name))
 }
 
--- a/internal/operator/uses.go
+++ b/internal/operator/uses.go
@@ -13,25 +13,25 @@
 	"github.com/sloelift/sloelift/internal/job"
 )
 
-// Uses tells what runs on a declaration.
+// Uses lists what depends on a declaration.
 type Uses struct {
 	Kind config.Kind `json:"kind"`
 	Name string      `json:"name"`
-	// Declarations are "Kind name" of those that refer to it.
+	// Declarations are the declarations that refer to it, as "Kind name".
 	Declarations []string `json:"declarations,omitempty"`
-	// Jobs are those that have not ended.
+	// Jobs are the jobs that need it and have not ended.
 	Jobs []JobView `json:"jobs,omitempty"`
-	// Replicas are those that serve it.
+	// Replicas are the IDs of the replicas that serve it.
 	Replicas []string `json:"replicas,omitempty"`
 }
 
-// RunningJobsError says that jobs which have not ended need a declaration that was to
-// be withdrawn. Nothing was changed.
+// RunningJobsError means that a declaration to be withdrawn is needed by jobs that have
+// not ended. Nothing was changed.
 type RunningJobsError struct {
 	Uses Uses `json:"uses"`
 }
 
-// Error names the jobs.
+// Error lists the IDs of the jobs.
 func (e *RunningJobsError) Error() string {
 	names := make([]string, 0, len(e.Uses.Jobs))
 	for _, running := range e.Uses.Jobs {
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s %s is needed by running jobs %s; nothing was changed", e.Uses.Kind, e.Uses.Name, strings.Join(names, ", "))
 }
 
-// usesFinder finds Uses. directory and jobs may be nil.
+// usesFinder determines the Uses of declarations. directory and jobs may be nil.
 type usesFinder struct {
 	directory fleet.Source
 	jobs      job.Service
@@ -60,7 +60,7 @@
 	}
 	var names []string
 	for _, replica := range f.directory.Directory().Replicas {
-		if id.Kind == config.KindService && replica.Service == id.Name || id.Kind == config.KindModel && holds(replica, id.Name) {
+		if id.Kind == config.KindService && replica.Service == id.Name || id.Kind == config.KindModel && hasLoaded(replica, id.Name) {
 			names = append(names, replica.ID)
 		}
 	}
@@ -68,19 +68,20 @@
 	return names
 }
 
-// holds tells whether the replica has model loaded, by its last load report.
-func holds(replica fleet.Replica, model string) bool {
+// hasLoaded reports whether the replica has model loaded, according to its last load report.
+func hasLoaded(replica fleet.Replica, model string) bool {
 	return slices.ContainsFunc(replica.Load.Models, func(loaded engine.Loaded) bool { return loaded.Model == model })
 }
 
-// jobPageSize is the number of jobs that one call of job.Service.List asks for, and the bound of a page of GET /v1/jobs.
+// jobPageSize is the number of jobs requested by one call of job.Service.List, and the maximum page size of GET /v1/jobs.
 const jobPageSize = 500
 
-// runningJobs lists the jobs that have not ended and need the declaration. A Job
-// declaration is only a template: jobs made from it keep their own copy.
+// runningJobs returns the jobs that have not ended and need the declaration. A Job
+// declaration is only a template: jobs submitted with it keep their own copy of its
+// values.
 func (f *usesFinder) runningJobs(ctx context.Context, snapshot *config.Snapshot, id config.ID) ([]JobView, error) {
-	needs := jobFilter(id)
-	if f.jobs == nil || needs == nil {
+	matches := jobFilter(id)
+	if f.jobs == nil || matches == nil {
 		return nil, nil
 	}
 	var running []JobView
@@ -91,7 +92,7 @@
 				return nil, err
 			}
 			for _, status := range page {
-				if !ended(status.Phase) && needs(status) {
+				if !hasEnded(status.Phase) && matches(status) {
 					running = append(running, newJobView(status))
 				}
 			}
@@ -105,6 +106,8 @@
 	return running, nil
 }
 
+// jobFilter returns a function that reports whether a job needs the declaration; nil if
+// no job can need a declaration of its kind.
 func jobFilter(id config.ID) func(job.Status) bool {
 	switch id.Kind {
 	case config.KindService:
@@ -117,6 +120,6 @@
 	return nil
 }
 
-func ended(phase job.Phase) bool {
+func hasEnded(phase job.Phase) bool {
 	return phase == job.PhaseCompleted || phase == job.PhaseCancelled || phase == job.PhaseExpired
 }
--- a/internal/operator/version.go
+++ b/internal/operator/version.go
@@ -2,17 +2,17 @@
 
 import "runtime/debug"
 
-// Version returns the version that the program was built as: the module's version,
-// or the revision of its source.
+// Version returns the version of the program: the module version, or else the revision
+// of its source; "unknown" if neither is known.
 func Version() string {
-	information, present := debug.ReadBuildInfo()
+	info, present := debug.ReadBuildInfo()
 	if !present {
 		return "unknown"
 	}
-	if version := information.Main.Version; version != "" && version != "(devel)" {
+	if version := info.Main.Version; version != "" && version != "(devel)" {
 		return version
 	}
-	for _, setting := range information.Settings {
+	for _, setting := range info.Settings {
 		if setting.Key == "vcs.revision" {
 			return setting.Value
 		}
