--- a/internal/config/check_together.go
+++ b/internal/config/check_together.go
@@ -21,7 +21,8 @@
 	for _, name := range names {
 		for _, declaration := range files[name].Declarations {
 			if earlier, repeated := origin[declaration.ID]; repeated {
-				problems[name] = append(problems[name], problemAt(declaration, "name", fmt.Sprintf("%s is declared in %s too", declaration.ID, earlier)))
+				problems[name] = append(problems[name], problemAt(declaration, "name",
+					fmt.Sprintf("%s is declared in %s too", declaration.ID, earlier)))
 				continue
 			}
 			origin[declaration.ID] = name
--- a/internal/config/reference_check.go
+++ b/internal/config/reference_check.go
@@ -62,7 +62,8 @@
 func checkJob(declaration Declaration, job *Job, resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	if priority, present := resulting[ID{KindPriority, job.Priority}]; present && priority.Value.(*Priority).Online {
-		problems = append(problems, newReferenceProblem(declaration, "priority", fmt.Sprintf("Priority %s is for online requests; a job needs one with online: false", job.Priority)))
+		problems = append(problems, newReferenceProblem(declaration, "priority",
+			fmt.Sprintf("Priority %s is for online requests; a job needs one with online: false", job.Priority)))
 	}
 	tenant, present := resulting[ID{KindTenant, job.Tenant}]
 	if !present {
@@ -110,7 +111,8 @@
 		}
 		for index, digest := range tenant.KeyDigests {
 			if owner, taken := owners[digest]; taken {
-				problems = append(problems, newReferenceProblem(declaration, fmt.Sprintf("keyDigests[%d]", index), "the same key belongs to Tenant "+owner))
+				problems = append(problems, newReferenceProblem(declaration, fmt.Sprintf("keyDigests[%d]", index),
+					"the same key belongs to Tenant "+owner))
 				continue
 			}
 			owners[digest] = tenant.Name
--- a/internal/config/store_keyvalue.go
+++ b/internal/config/store_keyvalue.go
@@ -105,7 +105,8 @@
 	delays.MaxInterval = maxRetryDelay
 	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(delays), backoff.WithMaxElapsedTime(maxRetryTime))
 	if errors.Is(err, errHeadMoved) {
-		err = outcome.Wrap(err, outcome.NotRun, outcome.ReasonConflict, "the configuration changes too often; nothing was changed").After(retryAfter)
+		err = outcome.Wrap(err, outcome.NotRun, outcome.ReasonConflict,
+			"the configuration changes too often; nothing was changed").After(retryAfter)
 	}
 	var typed *outcome.Error
 	if err != nil && ctx.Err() != nil && !errors.As(err, &typed) && errors.Is(err, context.Cause(ctx)) {
@@ -147,11 +148,13 @@
 func (s *keyValueStore) read(ctx context.Context) (*Snapshot, platform.Entry, error) {
 	listing, err := s.keyValue.List(ctx, KeyPrefix)
 	if err != nil {
-		return nil, platform.Entry{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "the configuration cannot be read; nothing was changed").After(retryAfter)
+		return nil, platform.Entry{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable,
+			"the configuration cannot be read; nothing was changed").After(retryAfter)
 	}
 	snapshot, headEntry, err := readEntries(listing.Entries)
 	if err != nil {
-		return nil, platform.Entry{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonInternal, "the stored configuration is damaged; nothing was changed")
+		return nil, platform.Entry{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonInternal,
+			"the stored configuration is damaged; nothing was changed")
 	}
 	return snapshot, headEntry, nil
 }
@@ -185,7 +188,8 @@
 		return 0, outcome.Wrap(err, outcome.NotRun, outcome.ReasonTooLarge, fmt.Sprintf(
 			"the key-value service refuses a transaction of %d changes; nothing was changed", len(transaction.Changes)))
 	}
-	return 0, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "the key-value service did not take the change; nothing was changed").After(retryAfter)
+	return 0, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable,
+		"the key-value service did not take the change; nothing was changed").After(retryAfter)
 }
 
 // settle determines whether a write with an unknown outcome took effect before other
--- a/internal/route/homes_test.go
+++ b/internal/route/homes_test.go
@@ -34,7 +34,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			matched := &Route{Name: "r", Host: "h", Regions: test.regions}
 			table := NewTable(1, []*Route{matched}, nil, Limits{})
-			table.Tenants = tenant.NewDirectory([]tenant.Declaration{tenantWith("free"), tenantWith("both", "north", "south"), tenantWith("south", "south")})
+			table.Tenants = tenant.NewDirectory([]tenant.Declaration{
+				tenantWith("free"), tenantWith("both", "north", "south"), tenantWith("south", "south"),
+			})
 			homes := table.HomesOf(matched, test.tenant)
 			if homes.Limited() != test.limited || !slices.Equal(homes.Names(), test.want) {
 				t.Errorf("limited %t to %v", homes.Limited(), homes.Names())
@@ -50,7 +52,9 @@
 		{Name: "confined", Host: "c", Kind: Batch, Regions: region.NewSet("north")},
 	}
 	table := NewTable(1, routes, nil, Limits{})
-	table.Tenants = tenant.NewDirectory([]tenant.Declaration{tenantWith("free"), tenantWith("south", "south"), tenantWith("both", "north", "south")})
+	table.Tenants = tenant.NewDirectory([]tenant.Declaration{
+		tenantWith("free"), tenantWith("south", "south"), tenantWith("both", "north", "south"),
+	})
 	var got []string
 	for _, home := range table.BatchHomes() {
 		got = append(got, home.Host+" "+strings.Join(home.Regions.Names(), ","))
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -85,7 +85,7 @@
 	Slots int
 	// MaxQueued is the number of requests that a replica queues.
 	MaxQueued int
-	// CacheTokens is the capacity of a replica's cache, in tokens.
+	// CacheTokens is the capacity of a replica's KV cache, in tokens.
 	CacheTokens int64
 	// ColdStart is how long a replica that starts during traffic stays cold. ColdRequestsPerSecond is the request rate that it can serve
 	// meanwhile, from all nodes together; if it is 0, cold replicas may get as many requests as warm ones.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -47,14 +47,16 @@
 	checks.evacuation(s.Bounds)
 	checks.coldStarts(s.Bounds)
 	_, err := zerolog.ParseLevel(s.LogLevel)
-	checks.require(err == nil && s.LogLevel != "", "logLevel", "%q is not a level; allowed are trace, debug, info, warn, error", strictyaml.Shorten(s.LogLevel))
+	checks.require(err == nil && s.LogLevel != "", "logLevel",
+		"%q is not a level; allowed are trace, debug, info, warn, error", strictyaml.Shorten(s.LogLevel))
 	return checks.failures
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 func (c *checker) name(field, value string) {
-	c.require(namePattern.MatchString(value), field, "wants a name of 1 to 63 of a-z, 0-9 and -, not beginning or ending with -, not %q", strictyaml.Shorten(value))
+	c.require(namePattern.MatchString(value), field,
+		"wants a name of 1 to 63 of a-z, 0-9 and -, not beginning or ending with -, not %q", strictyaml.Shorten(value))
 }
 
 func (c *checker) address(field string, value netip.AddrPort) {
@@ -76,8 +78,10 @@
 		c.require(!inUse, address.field, "port %d is already the one of %s", address.value.Port(), other)
 		fieldByPort[address.value.Port()] = address.field
 	}
-	c.require(!s.PeerAddress.Addr().IsUnspecified(), "peerAddress", "wants the number under which other nodes reach this one, not %s", s.PeerAddress.Addr())
-	c.require(!s.AdminAddress.Addr().IsUnspecified(), "adminAddress", "wants the number under which this node is reached, not %s", s.AdminAddress.Addr())
+	c.require(!s.PeerAddress.Addr().IsUnspecified(), "peerAddress",
+		"wants the number under which other nodes reach this one, not %s", s.PeerAddress.Addr())
+	c.require(!s.AdminAddress.Addr().IsUnspecified(), "adminAddress",
+		"wants the number under which this node is reached, not %s", s.AdminAddress.Addr())
 	for index, peer := range s.SeedPeers {
 		c.address(fmt.Sprintf("seedPeers[%d]", index), peer)
 	}
@@ -85,7 +89,8 @@
 
 // role checks the settings of an edge or a storage node.
 func (c *checker) role(s Settings) {
-	c.require(s.Role == RoleEdge || s.Role == RoleStorage, "role", "%q is not a role; allowed are edge and storage, or none", strictyaml.Shorten(string(s.Role)))
+	c.require(s.Role == RoleEdge || s.Role == RoleStorage, "role",
+		"%q is not a role; allowed are edge and storage, or none", strictyaml.Shorten(string(s.Role)))
 	c.address("peerAddress", s.PeerAddress)
 	c.address("adminAddress", s.AdminAddress)
 	c.address("platform.metadataStore", s.Platform.MetadataStore)
@@ -176,7 +181,8 @@
 
 func (c *checker) ledger(l Ledger) {
 	powerOfTwo := l.Partitions > 0 && l.Partitions&(l.Partitions-1) == 0
-	c.require(powerOfTwo && l.Partitions <= maxPartitions, "ledger.partitions", "wants a power of two up to %d, not %d", maxPartitions, l.Partitions)
+	c.require(powerOfTwo && l.Partitions <= maxPartitions, "ledger.partitions",
+		"wants a power of two up to %d, not %d", maxPartitions, l.Partitions)
 	c.require(l.SurvivesMachines >= 0, "ledger.survivesMachines", "wants 0 or a number above, not %d", l.SurvivesMachines)
 	c.require(l.SurvivesZones >= 0, "ledger.survivesZones", "wants 0 or a number above, not %d", l.SurvivesZones)
 	c.require(l.Replicas >= 1 && l.Replicas <= maxReplicas, "ledger.replicas", "wants 1 to %d, not %d", maxReplicas, l.Replicas)
--- a/internal/snapshotcache/cache.go
+++ b/internal/snapshotcache/cache.go
@@ -174,7 +174,8 @@
 	if cached.refusesOlder(listing, now) {
 		c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.suppliedRevision).
 			Msg("service_older_than_copy")
-		return platform.KindUnavailable.New("the service lists revision %d, which is older than the copy in use, revision %d", listing.Revision, cached.suppliedRevision)
+		return platform.KindUnavailable.New("the service lists revision %d, which is older than the copy in use, revision %d",
+			listing.Revision, cached.suppliedRevision)
 	}
 	if !cached.listed && cached.suppliedRevision > 0 {
 		c.logger.Info().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.suppliedRevision).
--- a/internal/snapshotcache/copy.go
+++ b/internal/snapshotcache/copy.go
@@ -85,9 +85,19 @@
 }
 
 func encodeEntry(entry platform.Entry) *snapshotcachepb.Entry {
-	return &snapshotcachepb.Entry{Key: entry.Key, Value: entry.Value, CreateRevision: entry.CreateRevision, ModRevision: entry.ModRevision}
+	return &snapshotcachepb.Entry{
+		Key:            entry.Key,
+		Value:          entry.Value,
+		CreateRevision: entry.CreateRevision,
+		ModRevision:    entry.ModRevision,
+	}
 }
 
 func decodeEntry(entry *snapshotcachepb.Entry) platform.Entry {
-	return platform.Entry{Key: entry.GetKey(), Value: entry.GetValue(), CreateRevision: entry.GetCreateRevision(), ModRevision: entry.GetModRevision()}
+	return platform.Entry{
+		Key:            entry.GetKey(),
+		Value:          entry.GetValue(),
+		CreateRevision: entry.GetCreateRevision(),
+		ModRevision:    entry.GetModRevision(),
+	}
 }
--- a/internal/snapshotcache/harness_test.go
+++ b/internal/snapshotcache/harness_test.go
@@ -133,7 +133,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	started.cancel = cancel
 	started.running.Go(func() {
-		platform.Follow(ctx, started.cache, prefix, platform.Follower{Replace: started.takeListing, Update: started.takeChange, Failed: func(error) {}})
+		platform.Follow(ctx, started.cache, prefix, platform.Follower{
+			Replace: started.takeListing,
+			Update:  started.takeChange,
+			Failed:  func(error) {},
+		})
 	})
 	started.cache.Start()
 	c.nodes = append(c.nodes, started)
--- a/internal/snapshotcache/saving.go
+++ b/internal/snapshotcache/saving.go
@@ -106,7 +106,9 @@
 	}
 	slices.SortFunc(saved.Copies, func(a, b *snapshotcachepb.Copy) int { return cmp.Compare(a.Prefix, b.Prefix) })
 	for _, known := range machines {
-		saved.Machines = append(saved.Machines, &snapshotcachepb.Machine{Id: string(known.id), Address: known.address.String(), Store: known.store})
+		saved.Machines = append(saved.Machines, &snapshotcachepb.Machine{
+			Id: string(known.id), Address: known.address.String(), Store: known.store,
+		})
 	}
 	return saved
 }
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -46,7 +46,10 @@
 	documentTokens := splitDocuments(lexer.Tokenize(string(source)))
 	if len(documentTokens) > MaxDocuments {
 		position := tokenPosition(documentTokens[MaxDocuments][0])
-		return nil, []Problem{{Position: position, Message: fmt.Sprintf("the file has %d documents; at most %d are allowed", len(documentTokens), MaxDocuments)}}
+		return nil, []Problem{{
+			Position: position,
+			Message:  fmt.Sprintf("the file has %d documents; at most %d are allowed", len(documentTokens), MaxDocuments),
+		}}
 	}
 	for _, tokens := range documentTokens {
 		if found := checkTokens(tokens); len(found) > 0 {
@@ -63,7 +66,10 @@
 				continue
 			}
 			if !isMapping(document.Body) {
-				problems = append(problems, Problem{Position: positionOf(document.Body), Message: "a document is a mapping of keys to values, not " + describe(document.Body)})
+				problems = append(problems, Problem{
+					Position: positionOf(document.Body),
+					Message:  "a document is a mapping of keys to values, not " + describe(document.Body),
+				})
 				continue
 			}
 			documents = append(documents, Document{Position: positionOf(document.Body), body: document.Body})
@@ -79,7 +85,10 @@
 		char, size := utf8.DecodeRune(source[index:])
 		control := char < ' ' && char != '\n' && char != '\t' && char != '\r'
 		if control || char == utf8.RuneError && size == 1 {
-			return Problem{Position: Position{line, column}, Message: fmt.Sprintf("byte 0x%02x is not allowed; a file is UTF-8 text", source[index])}, false
+			return Problem{
+				Position: Position{line, column},
+				Message:  fmt.Sprintf("byte 0x%02x is not allowed; a file is UTF-8 text", source[index]),
+			}, false
 		}
 		column++
 		if char == '\n' {
@@ -145,7 +154,10 @@
 			entries++
 		}
 		if entries > MaxEntries {
-			return append(problems, Problem{Position: tokenPosition(current), Message: fmt.Sprintf("more than %d keys and list entries in one document", MaxEntries)})
+			return append(problems, Problem{
+				Position: tokenPosition(current),
+				Message:  fmt.Sprintf("more than %d keys and list entries in one document", MaxEntries),
+			})
 		}
 		if flowDepth > MaxDepth || lineEntries > MaxDepth {
 			return append(problems, Problem{Position: tokenPosition(current), Message: fmt.Sprintf("nested deeper than %d levels", MaxDepth)})
