--- a/internal/config/relay/service_io.go
+++ b/internal/config/relay/service_io.go
@@ -46,42 +46,42 @@
 }
 
 // watch posts the events of one watch until it ends or is stopped.
-func (s *Service) watch(ctx context.Context, wanted actionWatch) {
+func (s *Service) watch(ctx context.Context, command actionWatch) {
 	ended := platform.WatchEvent{Err: platform.KindUnavailable.New("watch ended")}
-	events, err := s.options.KeyValue.Watch(ctx, config.KeyPrefix, wanted.fromRevision)
+	events, err := s.options.KeyValue.Watch(ctx, config.KeyPrefix, command.fromRevision)
 	if err != nil {
 		ended.Err = err
-		s.post(ctx, eventWatched{watch: wanted.watch, changed: ended})
+		s.post(ctx, eventWatched{watch: command.watch, changed: ended})
 		return
 	}
 	for changed := range events {
-		s.post(ctx, eventWatched{watch: wanted.watch, changed: changed})
+		s.post(ctx, eventWatched{watch: command.watch, changed: changed})
 		if changed.Err != nil {
 			return
 		}
 	}
-	s.post(ctx, eventWatched{watch: wanted.watch, changed: ended})
+	s.post(ctx, eventWatched{watch: command.watch, changed: ended})
 }
 
-func (s *Service) sendDelta(wanted actionSendDelta) {
-	message := encodeDelta(wanted.delta)
-	for _, to := range wanted.to {
+func (s *Service) sendDelta(command actionSendDelta) {
+	message := encodeDelta(command.delta)
+	for _, to := range command.to {
 		// A lost delta is compensated by a digest and a pull.
 		_ = s.options.Caller.Send(to, methodDelta, message)
 	}
 }
 
-func (s *Service) pull(ctx context.Context, wanted actionPull) {
+func (s *Service) pull(ctx context.Context, command actionPull) {
 	limited, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	request := pullRequest(wanted)
+	request := pullRequest(command)
 	response := &configpb.PullResponse{}
-	err := s.options.Caller.Call(limited, wanted.from, methodPull, request, response)
-	s.post(ctx, pulledEvent(wanted.from, response, err))
+	err := s.options.Caller.Call(limited, command.from, methodPull, request, response)
+	s.post(ctx, pulledEvent(command.from, response, err))
 }
 
-func pullRequest(wanted actionPull) *configpb.PullRequest {
-	return &configpb.PullRequest{Revision: wanted.revision, Known: wanted.known}
+func pullRequest(command actionPull) *configpb.PullRequest {
+	return &configpb.PullRequest{Revision: command.revision, Known: command.known}
 }
 
 func pulledEvent(from netip.AddrPort, response *configpb.PullResponse, err error) eventPulled {
--- a/internal/config/relay/simulation_test.go
+++ b/internal/config/relay/simulation_test.go
@@ -198,14 +198,14 @@
 	if fails {
 		failure = platform.KindUnavailable.New("outage")
 	}
-	shown := max(0, len(s.versions)-1-stale)
+	version := max(0, len(s.versions)-1-stale)
 	switch {
 	case node.listing:
 		node.listing = false
-		s.step(index, eventListed{listing: s.listings[shown], err: failure})
+		s.step(index, eventListed{listing: s.listings[version], err: failure})
 	case node.reading:
 		node.reading = false
-		s.step(index, eventHeadRead{revision: int64(shown), err: failure})
+		s.step(index, eventHeadRead{revision: int64(version), err: failure})
 	case node.watching && fails:
 		s.step(index, eventWatched{watch: node.watch, changed: platform.WatchEvent{Err: failure}})
 	case node.watching:
