--- a/internal/snapshotcache/exchange.go
+++ b/internal/snapshotcache/exchange.go
@@ -41,7 +41,7 @@
 func (c *Cache) register() {
 	transport.Handle(c.options.Registrar, methodFetch, func() *snapshotcachepb.FetchRequest { return &snapshotcachepb.FetchRequest{} },
 		func(_ context.Context, _ netip.AddrPort, request *snapshotcachepb.FetchRequest) (*snapshotcachepb.FetchResponse, error) {
-			return c.newer(request), nil
+			return c.newerCopies(request), nil
 		})
 	c.options.Registrar.Handle(methodOffer, func() proto.Message { return &snapshotcachepb.Offer{} },
 		func(_ context.Context, from netip.AddrPort, _ proto.Message) (proto.Message, error) {
@@ -50,8 +50,8 @@
 		})
 }
 
-// newer returns the copies that are newer than those of the requesting node.
-func (c *Cache) newer(request *snapshotcachepb.FetchRequest) *snapshotcachepb.FetchResponse {
+// newerCopies returns the copies that are newer than those of the requesting node.
+func (c *Cache) newerCopies(request *snapshotcachepb.FetchRequest) *snapshotcachepb.FetchResponse {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	response := &snapshotcachepb.FetchResponse{}
@@ -132,13 +132,13 @@
 	machines := c.machines()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, known := range machines {
+	for _, node := range machines {
 		origin := fromOtherMember
-		if known.store {
+		if node.store {
 			origin = fromStoreMember
 		}
-		if known.id != c.options.Viewer.View().Self {
-			c.peers.add(origin, known.address)
+		if node.id != c.options.Viewer.View().Self {
+			c.peers.add(origin, node.address)
 		}
 	}
 	request := &snapshotcachepb.FetchRequest{}
@@ -175,8 +175,8 @@
 func (c *Cache) handOver() {
 	c.takeMutex.Lock()
 	defer c.takeMutex.Unlock()
-	for _, fresh := range c.fresh(clock.Now()) {
-		fresh.take(fresh.listing)
+	for _, newer := range c.takeFreshCopies(clock.Now()) {
+		newer.take(newer.listing)
 	}
 }
 
@@ -186,8 +186,8 @@
 	listing platform.Listing
 }
 
-// fresh returns the copies that are newer than those in use, and marks them as in use.
-func (c *Cache) fresh(now time.Time) (all []freshCopy) {
+// takeFreshCopies returns the copies that are newer than those in use, and marks them as in use.
+func (c *Cache) takeFreshCopies(now time.Time) (all []freshCopy) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for prefix, cached := range c.contents {
--- a/internal/snapshotcache/harness_test.go
+++ b/internal/snapshotcache/harness_test.go
@@ -212,7 +212,7 @@
 // wantServed checks which revision a node sends to one that has no content.
 func (n *node) wantServed(want int64) {
 	n.cluster.t.Helper()
-	response := n.cache.newer(&snapshotcachepb.FetchRequest{Known: []*snapshotcachepb.Known{{Prefix: prefix}}})
+	response := n.cache.newerCopies(&snapshotcachepb.FetchRequest{Known: []*snapshotcachepb.Known{{Prefix: prefix}}})
 	if len(response.Copies) != 1 || response.Copies[0].Revision != want {
 		n.cluster.t.Errorf("sends %v, want revision %d", response.Copies, want)
 	}
--- a/internal/snapshotcache/saving.go
+++ b/internal/snapshotcache/saving.go
@@ -105,9 +105,9 @@
 		}
 	}
 	slices.SortFunc(saved.Copies, func(a, b *snapshotcachepb.Copy) int { return cmp.Compare(a.Prefix, b.Prefix) })
-	for _, known := range machines {
+	for _, node := range machines {
 		saved.Machines = append(saved.Machines, &snapshotcachepb.Machine{
-			Id: string(known.id), Address: known.address.String(), Store: known.store,
+			Id: string(node.id), Address: node.address.String(), Store: node.store,
 		})
 	}
 	return saved
