--- a/internal/snapshotcache/power_loss_test.go
+++ b/internal/snapshotcache/power_loss_test.go
@@ -229,7 +229,7 @@
 				others--
 			}
 			if got := offered[target.address]; got != min(offerersPerNode, others) {
-				t.Errorf("%s has %d offerersPerNode of %d", target.id, got, others)
+				t.Errorf("%s has %d offerers of %d", target.id, got, others)
 			}
 		}
 	}
