--- a/internal/config/reference_check.go
+++ b/internal/config/reference_check.go
@@ -37,8 +37,9 @@
 	return list
 }
 
-// checkReferences checks the whole configuration that a change would lead to.
-// Declarations that are not of the file have no position; the problem names them.
+// checkReferences checks the whole configuration that would result from a change. A
+// declaration that is not in the file has no position; the message of its problem
+// names it instead.
 func checkReferences(resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	for _, declaration := range resulting.sorted() {
@@ -56,11 +57,13 @@
 	return append(problems, checkKeyDigests(resulting)...)
 }
 
-// checkJob: a job is batch work, for a service that its tenant may use.
+// checkJob checks that the priority of a job is a batch priority and that its tenant
+// may use its service.
 func checkJob(declaration Declaration, job *Job, resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	if priority, present := resulting[ID{KindPriority, job.Priority}]; present && priority.Value.(*Priority).Online {
-		problems = append(problems, newReferenceProblem(declaration, "priority", fmt.Sprintf("Priority %s is for online requests; a job needs one with online: false", job.Priority)))
+		problems = append(problems, newReferenceProblem(declaration, "priority",
+			fmt.Sprintf("Priority %s is for online requests; a job needs one with online: false", job.Priority)))
 	}
 	tenant, present := resulting[ID{KindTenant, job.Tenant}]
 	if !present {
@@ -73,8 +76,8 @@
 	return problems
 }
 
-// checkRanks keeps each batch priority below every online one, because engines
-// order by rank alone.
+// checkRanks checks that each batch priority ranks below every online priority,
+// because engines order requests by rank alone.
 func checkRanks(resulting declarationSet) []referenceProblem {
 	var lowest *Priority
 	for _, declaration := range resulting.sorted() {
@@ -97,7 +100,7 @@
 	return problems
 }
 
-// checkKeyDigests keeps a key from naming two tenants.
+// checkKeyDigests checks that no key belongs to two tenants.
 func checkKeyDigests(resulting declarationSet) []referenceProblem {
 	var problems []referenceProblem
 	owners := map[string]string{}
@@ -108,7 +111,8 @@
 		}
 		for index, digest := range tenant.KeyDigests {
 			if owner, taken := owners[digest]; taken {
-				problems = append(problems, newReferenceProblem(declaration, fmt.Sprintf("keyDigests[%d]", index), "the same key belongs to Tenant "+owner))
+				problems = append(problems, newReferenceProblem(declaration, fmt.Sprintf("keyDigests[%d]", index),
+					"the same key belongs to Tenant "+owner))
 				continue
 			}
 			owners[digest] = tenant.Name
@@ -154,7 +158,7 @@
 	return strings.Join(names, ", ")
 }
 
-// UsersOf lists, as "Kind name", the declarations that refer to id.
+// UsersOf returns, as "Kind name", the declarations that refer to id.
 func UsersOf(snapshot *Snapshot, id ID) []string {
 	return usersOf(snapshot.Declarations(), id)
 }
--- a/internal/config/relay/service_io.go
+++ b/internal/config/relay/service_io.go
@@ -23,7 +23,7 @@
 		})
 	transport.Handle(registrar, methodPull, func() *configpb.PullRequest { return &configpb.PullRequest{} },
 		func(_ context.Context, _ netip.AddrPort, request *configpb.PullRequest) (*configpb.PullResponse, error) {
-			return answerPull(s.held.Load(), request), nil
+			return answerPull(s.latest.Load(), request), nil
 		})
 }
 
@@ -46,42 +46,42 @@
 }
 
 // watch posts the events of one watch until it ends or is stopped.
-func (s *Service) watch(ctx context.Context, wanted actionWatch) {
+func (s *Service) watch(ctx context.Context, command actionWatch) {
 	ended := platform.WatchEvent{Err: platform.KindUnavailable.New("watch ended")}
-	events, err := s.options.KeyValue.Watch(ctx, config.KeyPrefix, wanted.fromRevision)
+	events, err := s.options.KeyValue.Watch(ctx, config.KeyPrefix, command.fromRevision)
 	if err != nil {
 		ended.Err = err
-		s.post(ctx, eventWatched{watch: wanted.watch, changed: ended})
+		s.post(ctx, eventWatched{watch: command.watch, changed: ended})
 		return
 	}
 	for changed := range events {
-		s.post(ctx, eventWatched{watch: wanted.watch, changed: changed})
+		s.post(ctx, eventWatched{watch: command.watch, changed: changed})
 		if changed.Err != nil {
 			return
 		}
 	}
-	s.post(ctx, eventWatched{watch: wanted.watch, changed: ended})
+	s.post(ctx, eventWatched{watch: command.watch, changed: ended})
 }
 
-func (s *Service) sendDelta(wanted actionSendDelta) {
-	message := encodeDelta(wanted.delta)
-	for _, to := range wanted.to {
-		// A delta that is lost is made up for by a digest and a pull.
+func (s *Service) sendDelta(command actionSendDelta) {
+	message := encodeDelta(command.delta)
+	for _, to := range command.to {
+		// A lost delta is compensated by a digest and a pull.
 		_ = s.options.Caller.Send(to, methodDelta, message)
 	}
 }
 
-func (s *Service) pull(ctx context.Context, wanted actionPull) {
+func (s *Service) pull(ctx context.Context, command actionPull) {
 	limited, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	request := pullRequest(wanted)
+	request := pullRequest(command)
 	response := &configpb.PullResponse{}
-	err := s.options.Caller.Call(limited, wanted.from, methodPull, request, response)
-	s.post(ctx, pulledEvent(wanted.from, response, err))
+	err := s.options.Caller.Call(limited, command.from, methodPull, request, response)
+	s.post(ctx, pulledEvent(command.from, response, err))
 }
 
-func pullRequest(wanted actionPull) *configpb.PullRequest {
-	return &configpb.PullRequest{Revision: wanted.revision, Known: wanted.known}
+func pullRequest(command actionPull) *configpb.PullRequest {
+	return &configpb.PullRequest{Revision: command.revision, Known: command.known}
 }
 
 func pulledEvent(from netip.AddrPort, response *configpb.PullResponse, err error) eventPulled {
@@ -89,12 +89,12 @@
 	if err != nil {
 		return pulled
 	}
-	for _, one := range response.GetDeltas() {
-		pulled.deltas = append(pulled.deltas, decodeDelta(one))
+	for _, message := range response.GetDeltas() {
+		pulled.deltas = append(pulled.deltas, decodeDelta(message))
 	}
 	if response.GetDocument() != nil {
-		received, sound := decodeDocument(response.GetDocument())
-		if !sound {
+		received, valid := decodeDocument(response.GetDocument())
+		if !valid {
 			pulled.err = errDamaged
 			return pulled
 		}
--- a/internal/route/homes_test.go
+++ b/internal/route/homes_test.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// tenantWith declares a tenant confined to the named regions.
+// tenantWith returns the declaration of a tenant confined to the named regions.
 func tenantWith(name string, regions ...string) tenant.Declaration {
 	return tenant.Declaration{Tenant: tenant.Tenant{Name: name, Regions: region.NewSet(regions...)}, APIKeys: []string{"key of " + name}}
 }
@@ -34,7 +34,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			matched := &Route{Name: "r", Host: "h", Regions: test.regions}
 			table := NewTable(1, []*Route{matched}, nil, Limits{})
-			table.Tenants = tenant.NewDirectory([]tenant.Declaration{tenantWith("free"), tenantWith("both", "north", "south"), tenantWith("south", "south")})
+			table.Tenants = tenant.NewDirectory([]tenant.Declaration{
+				tenantWith("free"), tenantWith("both", "north", "south"), tenantWith("south", "south"),
+			})
 			homes := table.HomesOf(matched, test.tenant)
 			if homes.Limited() != test.limited || !slices.Equal(homes.Names(), test.want) {
 				t.Errorf("limited %t to %v", homes.Limited(), homes.Names())
@@ -50,10 +52,12 @@
 		{Name: "confined", Host: "c", Kind: Batch, Regions: region.NewSet("north")},
 	}
 	table := NewTable(1, routes, nil, Limits{})
-	table.Tenants = tenant.NewDirectory([]tenant.Declaration{tenantWith("free"), tenantWith("south", "south"), tenantWith("both", "north", "south")})
+	table.Tenants = tenant.NewDirectory([]tenant.Declaration{
+		tenantWith("free"), tenantWith("south", "south"), tenantWith("both", "north", "south"),
+	})
 	var got []string
-	for _, each := range table.BatchHomes() {
-		got = append(got, each.Host+" "+strings.Join(each.Regions.Names(), ","))
+	for _, home := range table.BatchHomes() {
+		got = append(got, home.Host+" "+strings.Join(home.Regions.Names(), ","))
 	}
 	if want := []string{"b north,south", "b south", "c north"}; !slices.Equal(got, want) {
 		t.Errorf("homes %v, want %v", got, want)
