--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -17,38 +17,39 @@
 // finishCancelled is the finish reason of an engine run that was cancelled.
 const finishCancelled = "cancelled"
 
-// errRunCancelled marks a stream that ended because the engine cancelled the run.
+// errRunCancelled is the error of a stream that ended because the engine cancelled the run.
 var errRunCancelled = errors.New("the engine cancelled the run")
 
-// errAnswerTooLong ends an answer that would take more than maxAnswerBytes of memory.
+// errAnswerTooLong ends a request whose answer exceeds maxAnswerBytes of memory.
 var errAnswerTooLong = fmt.Errorf("the answer is longer than %d bytes", maxAnswerBytes)
 
-// reasonAnswerTooLong is told with it.
+// reasonAnswerTooLong is the reason reported to the caller with errAnswerTooLong.
 const reasonAnswerTooLong outcome.Reason = "answer_too_long"
 
-// errSink marks an error that the sink returned: the caller went away.
-var errSink = errors.New("the caller does not take the answer")
+// errSink marks an error returned by the sink, which means that the caller disconnected.
+var errSink = errors.New("writing the answer to the caller failed")
 
-// answer is the state of one request while it runs. It belongs to the goroutine of Run.
+// answer is the state of one request in flight. Only the goroutine of Run uses it.
 type answer struct {
 	runner  *EngineRunner
 	request *Request
 	sink    Sink
 	clock   tokenClock
-	// offset is the number of tokens that the caller has; prior is their text, which is
-	// whole only while priorKnown.
+	// offset is the number of tokens that the caller has received; prior is their text, which
+	// is complete only if priorKnown is true.
 	offset     int
 	prior      strings.Builder
 	priorKnown bool
-	// ends are the first chunks' ends since the caller reconnected, while priorKnown is false.
-	ends   []boundary
-	finish string
-	usage  engine.Usage
-	// mayHaveRun is set once an engine may have started the request; NotRun is never
-	// told after that.
+	// chunkEnds holds the boundaries of the first chunks since the caller reconnected, while
+	// priorKnown is false.
+	chunkEnds []boundary
+	finish    string
+	usage     engine.Usage
+	// mayHaveRun is set once an engine may have started the request; from then on NotRun is
+	// never reported.
 	mayHaveRun bool
 	exclude    map[string]bool
-	// prefixBlocks is computed once for all picks.
+	// prefixBlocks is computed once and used for all routing decisions.
 	prefixBlocks []uint64
 }
 
@@ -64,26 +65,28 @@
 	}
 	a.prior.WriteString(request.Prior)
 	if !a.priorKnown {
-		a.ends = []boundary{{offset: a.offset}}
+		a.chunkEnds = []boundary{{offset: a.offset}}
 	}
 	return a
 }
 
-// learnPrior puts the text that the caller had before it reconnected in front of what it got since.
-func (a *answer) learnPrior(reader *priorReader) {
+// prependPrior prepends the text that the caller received before it reconnected, as read by
+// reader, to the text received since.
+func (a *answer) prependPrior(reader *priorReader) {
 	reader.stop()
 	received := a.prior.String()
-	prior, found := reader.before(received, a.ends)
+	prior, found := reader.textBefore(received, a.chunkEnds)
 	if !found {
 		return
 	}
 	a.prior.Reset()
 	a.prior.WriteString(prior)
 	a.prior.WriteString(received)
-	a.priorKnown, a.ends = true, nil
+	a.priorKnown, a.chunkEnds = true, nil
 }
 
-// pick chooses a replica for the next attempt.
+// pick chooses a replica for the next attempt. The caller must call the returned function
+// when the attempt ends.
 func (a *answer) pick() (routing.Decision, func(), error) {
 	if a.prefixBlocks == nil {
 		a.prefixBlocks = engine.PrefixBlocks(a.request.Model, a.request.Adapter, a.request.Prompt)
@@ -107,24 +110,25 @@
 	a.exclude[replica] = true
 }
 
-// callEngine opens a stream on one replica and follows it to its end. opened is false where
-// there was no stream. An engine that hangs is reported and told as errStalled.
+// callEngine opens a stream on one replica and forwards it until it ends. opened is false if
+// no stream was opened. A hanging engine is reported as failed and returned as errStalled.
 func (a *answer) callEngine(ctx context.Context, to engine.Endpoint, attachOnly bool) (opened bool, err error) {
-	dog := watch(ctx, a.runner.Client, to)
-	defer dog.stop()
-	stream, err := a.open(dog.ctx, to, attachOnly)
+	monitor := newWatchdog(ctx, a.runner.Client, to)
+	defer monitor.stop()
+	stream, err := a.open(monitor.ctx, to, attachOnly)
 	if err == nil {
 		opened = true
-		err = a.follow(stream, to.Replica, dog)
+		err = a.forwardStream(stream, to.Replica, monitor)
 	}
-	if err != nil && dog.stalled() {
+	if err != nil && monitor.stalled() {
 		a.runner.Reporter.ReportFailure(to.Replica)
 		err = fmt.Errorf("%w: %s at token %d", errStalled, to.Replica, a.offset)
 	}
 	return opened, err
 }
 
-// open starts, resumes or attaches to the run on one replica and notes what is known of it.
+// open starts, resumes or attaches to the run on one replica. It sets mayHaveRun if the engine
+// may have started the run, and reports a replica that the request could not be sent to.
 func (a *answer) open(ctx context.Context, to engine.Endpoint, attachOnly bool) (engine.Stream, error) {
 	request := a.engineRequest()
 	request.AttachOnly = attachOnly
@@ -141,7 +145,7 @@
 	return stream, err
 }
 
-// engineRequest asks for what is behind the caller's offset.
+// engineRequest returns a request for the tokens after the caller's offset.
 func (a *answer) engineRequest() engine.Request {
 	return engine.Request{
 		ID:        a.request.ID,
@@ -154,8 +158,9 @@
 	}
 }
 
-// follow passes the stream on to its end. Its error is errSink or of an engine kind.
-func (a *answer) follow(stream engine.Stream, replica string, dog *watchdog) error {
+// forwardStream forwards the stream to the caller until it ends. Its error is errSink,
+// errRunCancelled, errAnswerTooLong or of an engine kind.
+func (a *answer) forwardStream(stream engine.Stream, replica string, monitor *watchdog) error {
 	defer stream.Close()
 	for first := true; ; first = false {
 		chunk, err := stream.Next()
@@ -168,17 +173,17 @@
 		if first {
 			a.runner.Reporter.ReportSuccess(replica)
 		}
-		dog.progress()
-		if err := a.take(Chunk{Chunk: chunk, Replica: replica}); err != nil {
+		monitor.progress()
+		if err := a.forwardChunk(Chunk{Chunk: chunk, Replica: replica}); err != nil {
 			return err
 		}
 	}
 }
 
-// take checks one chunk's place, keeps its text and hands it to the caller.
-func (a *answer) take(chunk Chunk) error {
+// forwardChunk checks one chunk's offset, stores its text and passes it to the caller.
+func (a *answer) forwardChunk(chunk Chunk) error {
 	if chunk.Offset != a.offset {
-		return engine.KindLost.New("chunk of token %d where token %d was due", chunk.Offset, a.offset)
+		return engine.KindLost.New("the stream's next chunk starts at token %d, want token %d", chunk.Offset, a.offset)
 	}
 	if chunk.FinishReason == finishCancelled {
 		return fmt.Errorf("%s at token %d: %w", chunk.Replica, a.offset, errRunCancelled)
@@ -192,8 +197,8 @@
 	a.clock.observe(chunk.Tokens)
 	a.offset += chunk.Tokens
 	a.prior.WriteString(chunk.Text)
-	if !a.priorKnown && len(a.ends) <= priorReadAhead {
-		a.ends = append(a.ends, boundary{offset: a.offset, bytes: a.prior.Len()})
+	if !a.priorKnown && len(a.chunkEnds) <= priorReadAhead {
+		a.chunkEnds = append(a.chunkEnds, boundary{offset: a.offset, bytes: a.prior.Len()})
 	}
 	if chunk.FinishReason != "" {
 		a.finish = chunk.FinishReason
@@ -204,10 +209,10 @@
 	return nil
 }
 
-// failure is the error told when no further attempt is made.
-func (a *answer) failure(ctx context.Context, cause error) error {
-	if ended := a.endOf(ctx, cause); ended != nil {
-		return ended
+// finalError returns the error reported to the caller when no further attempt is made after cause.
+func (a *answer) finalError(ctx context.Context, cause error) error {
+	if terminal := a.terminalError(ctx, cause); terminal != nil {
+		return terminal
 	}
 	if a.mayHaveRun {
 		return outcome.Wrap(cause, outcome.Indeterminate, outcome.ReasonEngineFailed, "the answer was lost and could not be resumed")
@@ -223,8 +228,9 @@
 	return outcome.Wrap(cause, outcome.NotRun, reason, "no replica took the request").After(defaultRetryAfter)
 }
 
-// endOf is the error of an end that no further attempt can mend; nil for others.
-func (a *answer) endOf(ctx context.Context, cause error) error {
+// terminalError returns the error of a request that no further attempt can complete, and nil if
+// cause may be retried.
+func (a *answer) terminalError(ctx context.Context, cause error) error {
 	if errors.Is(cause, errSink) {
 		return outcome.Wrap(cause, outcome.Cancelled, outcome.ReasonCallerCancelled, "the caller went away")
 	}
@@ -243,9 +249,9 @@
 	if !errors.Is(context.Cause(ctx), errDeadline) {
 		return outcome.Wrap(context.Cause(ctx), outcome.Cancelled, outcome.ReasonCallerCancelled, "the caller went away")
 	}
-	known := outcome.NotRun
+	result := outcome.NotRun
 	if a.mayHaveRun {
-		known = outcome.Indeterminate
+		result = outcome.Indeterminate
 	}
-	return outcome.Wrap(cause, known, outcome.ReasonDeadline, errDeadline.Error())
+	return outcome.Wrap(cause, result, outcome.ReasonDeadline, errDeadline.Error())
 }
--- a/internal/session/backoff.go
+++ b/internal/session/backoff.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	firstBackoff = 10 * time.Millisecond
-	maxBackoff   = time.Second
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// pause is the jittered, growing wait between attempts.
-type pause struct{ backoff backoff.ExponentialBackOff }
+// retryBackoff is the jittered exponential backoff between attempts.
+type retryBackoff struct{ backoff backoff.ExponentialBackOff }
 
-func newPause() *pause {
-	p := &pause{backoff: backoff.ExponentialBackOff{
-		InitialInterval:     firstBackoff,
+func newRetryBackoff() *retryBackoff {
+	b := &retryBackoff{backoff: backoff.ExponentialBackOff{
+		InitialInterval:     initialBackoff,
 		RandomizationFactor: backoff.DefaultRandomizationFactor,
 		Multiplier:          2,
 		MaxInterval:         maxBackoff,
 	}}
-	p.backoff.Reset()
-	return p
+	b.backoff.Reset()
+	return b
 }
 
-// reset begins again with the shortest wait; called after progress.
-func (p *pause) reset() { p.backoff.Reset() }
+// reset starts again with the shortest delay. It is called after progress.
+func (b *retryBackoff) reset() { b.backoff.Reset() }
 
-// wait returns false where ctx ended first.
-func (p *pause) wait(ctx context.Context) bool {
-	timer := time.NewTimer(p.backoff.NextBackOff())
+// wait waits for the next delay; it returns false if ctx ended first.
+func (b *retryBackoff) wait(ctx context.Context) bool {
+	timer := time.NewTimer(b.backoff.NextBackOff())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -1,5 +1,4 @@
-// Package session carries one request from its first byte to its last: pick a
-// replica, stream, and on a failure retry or resume on another one, so that the
-// caller gets the whole answer once and in order; a request marked as not
-// repeatable is run at most once.
+// Package session runs one online request: it picks a replica, streams the answer, and
+// after a failure retries or resumes on another replica, so that the caller gets the
+// whole answer once and in order. A non-repeatable request runs at most once.
 package session
--- a/internal/session/fake_test.go
+++ b/internal/session/fake_test.go
@@ -20,14 +20,16 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// fault is what befalls one call to an engine.
+// fault is the scripted failure of one call to an engine.
 type fault struct {
-	// open is the kind of a call that opens no stream; afterStart says that the run starts nevertheless.
+	// open is the kind of error if the call opens no stream; afterStart is set if the run starts
+	// nevertheless.
 	open       string
 	afterStart bool
-	// cut ends the stream after that many chunks; 0 never does.
+	// cut is the number of chunks after which the stream breaks; 0 means never.
 	cut int
-	// crossed puts another chunk's offset into the stream at the cut; cancelled ends the run there.
+	// crossed makes the stream return a chunk with a wrong offset at the cut; cancelled ends the
+	// run there.
 	crossed, cancelled bool
 	// forget makes the replica lose its runs, as a restart does.
 	forget bool
@@ -43,20 +45,20 @@
 	return text.String()
 }
 
-// fakeFleet is a set of replicas that all give the same answer, with scripted faults.
+// fakeFleet is a set of replicas that all return the same answer, with scripted faults.
 type fakeFleet struct {
 	engine.Client
 	mutex    sync.Mutex
 	replicas []string
 	faults   []fault
-	// runs holds the ids that each replica has; starts counts runs begun.
+	// runs holds the request ids known to each replica; starts counts the runs started.
 	runs      map[string]map[string]bool
 	starts    int
 	cancels   []string
 	badResume bool
-	// block, when set, holds streams of r1 until it is closed.
+	// block, if set, blocks streams of r1 until it is closed.
 	block chan struct{}
-	// hung is a replica that gives no sign of life; silent ones are asked for one.
+	// hung is a replica that does not answer probes; probes counts the probes of all replicas.
 	hung   string
 	probes int
 }
@@ -78,7 +80,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var next fault
-	// A run that is read again from its first token takes no fault: its place among the calls is open.
+	// A priorReader's call takes no fault, since its order among the calls is not determined.
 	if !request.AttachOnly || request.Offset > 0 {
 		next = f.nextFault()
 	}
@@ -194,7 +196,7 @@
 		}
 		return engine.Chunk{}, engine.KindLost.New("cut")
 	}
-	// Tokens come in twos where there are two.
+	// Each chunk has two tokens; only the last may have one.
 	to := min(s.offset+2, answerTokens)
 	chunk := engine.Chunk{Offset: s.offset, Tokens: to - s.offset, Text: answerText(s.offset, to)}
 	if to == answerTokens {
@@ -209,18 +211,19 @@
 
 func (s *fakeStream) Close() error { return nil }
 
-// fakeClaimer keeps keys in memory. The first loseAnswers claims take effect without an answer.
+// fakeClaimer keeps claims in memory. The responses to the first loseAnswers claims are lost
+// after the claim was recorded.
 type fakeClaimer struct {
-	mutex       sync.Mutex
-	claims      map[string]*Claim
-	prints      map[string]string
-	changed     chan struct{}
-	loseAnswers int
-	down        bool
+	mutex        sync.Mutex
+	claims       map[string]*Claim
+	fingerprints map[string]string
+	changed      chan struct{}
+	loseAnswers  int
+	down         bool
 }
 
 func newFakeClaimer() *fakeClaimer {
-	return &fakeClaimer{claims: map[string]*Claim{}, prints: map[string]string{}, changed: make(chan struct{})}
+	return &fakeClaimer{claims: map[string]*Claim{}, fingerprints: map[string]string{}, changed: make(chan struct{})}
 }
 
 func (c *fakeClaimer) Claim(_ context.Context, tenant, key, fingerprint, requestID, replica string) (Claim, error) {
@@ -233,9 +236,9 @@
 	present := c.claims[name]
 	if present == nil {
 		present = &Claim{RequestID: requestID, Replica: replica}
-		c.claims[name], c.prints[name] = present, fingerprint
+		c.claims[name], c.fingerprints[name] = present, fingerprint
 	}
-	if c.prints[name] != fingerprint {
+	if c.fingerprints[name] != fingerprint {
 		return Claim{}, outcome.New(outcome.NotRun, outcome.ReasonConflict, "other content")
 	}
 	if c.loseAnswers > 0 {
@@ -290,7 +293,7 @@
 	}
 }
 
-// received collects what a caller gets and finds tokens out of order.
+// received collects the answer of a caller and detects tokens out of order.
 type received struct {
 	text   string
 	finish string
--- a/internal/session/join.go
+++ b/internal/session/join.go
@@ -9,43 +9,44 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// joinPatience is how long a further caller of a key waits for its result before it
-// looks at the engine itself: the holder of the claim may be gone.
-const joinPatience = 5 * time.Second
+// claimAwaitTimeout is how long a further caller of a key waits for the recorded result before it
+// reads the run from the engine itself, since the holder of the claim may be gone.
+const claimAwaitTimeout = 5 * time.Second
 
-// join gives a further caller of a claimed key the same whole answer. It never starts a run.
-func (a *answer) join(ctx context.Context, key string, claim Claim) error {
+// joinRun returns the answer of an existing claim to a further caller of the same key. It never
+// starts a run.
+func (a *answer) joinRun(ctx context.Context, key string, claim Claim) error {
 	a.mayHaveRun = true
 	for ctx.Err() == nil {
-		patience, cancel := context.WithTimeout(ctx, joinPatience)
-		settled, err := a.runner.Claimer.Await(patience, a.request.Tenant.Name, key)
-		if err != nil && patience.Err() == nil {
-			newPause().wait(patience)
+		awaitContext, cancel := context.WithTimeout(ctx, claimAwaitTimeout)
+		settled, err := a.runner.Claimer.Await(awaitContext, a.request.Tenant.Name, key)
+		if err != nil && awaitContext.Err() == nil {
+			newRetryBackoff().wait(awaitContext)
 		}
 		cancel()
 		if err == nil && settled.Done {
-			return a.settle(settled.Result)
+			return a.returnResult(settled.Result)
 		}
 		if result, whole := a.readRun(ctx, claim); whole {
-			return a.settle(a.record(ctx, key, result))
+			return a.returnResult(a.recordResult(ctx, key, result))
 		}
 	}
 	if context.Cause(ctx) == errDeadline {
-		// Everything that the holder could have started has passed its own deadline too.
-		return a.settle(a.record(ctx, key, Result{Outcome: string(outcome.Indeterminate), Text: "the run was lost"}))
+		// Any run that the holder of the claim may have started is past its own deadline as well.
+		return a.returnResult(a.recordResult(ctx, key, Result{Outcome: string(outcome.Indeterminate), Text: "the run was lost"}))
 	}
-	return a.endOf(ctx, context.Cause(ctx))
+	return a.terminalError(ctx, context.Cause(ctx))
 }
 
-// settle tells this caller what the key stands for.
-func (a *answer) settle(result Result) error {
+// returnResult returns the recorded result of the key to this caller.
+func (a *answer) returnResult(result Result) error {
 	if result.Outcome == string(outcome.NotRun) {
 		return outcome.New(outcome.NotRun, outcome.ReasonUnavailable, result.Text).After(defaultRetryAfter)
 	}
-	return a.replay(result)
+	return a.replayResult(result)
 }
 
-// readRun reads the whole answer of the run that a claim stands for from its engine.
+// readRun reads the complete answer of the claimed run from its engine.
 func (a *answer) readRun(ctx context.Context, claim Claim) (result Result, whole bool) {
 	endpoint, found := a.runner.endpoint(claim.Replica)
 	if !found {
--- a/internal/session/marked.go
+++ b/internal/session/marked.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// maxKeyRounds bounds how often one key may be refused and sent again.
+	// maxKeyRounds bounds how often one key may end as not run and be sent again.
 	maxKeyRounds = 64
-	// attachPatience is how long an unreachable engine is asked for a marked run.
-	attachPatience = 15 * time.Second
-	// completeTimeout bounds the recording of a result after the request's own deadline.
+	// reattachTimeout is how long to keep reattaching to a non-repeatable run without progress.
+	reattachTimeout = 15 * time.Second
+	// completeTimeout bounds the recording of a result, also after the request's own deadline.
 	completeTimeout = 5 * time.Second
 )
 
-// runMarked runs a request that runs at most once. The claim of its key is durable before
-// an engine is called, and only the holder of the claim calls one. The run does not end
-// when the caller goes away: its result is recorded under the key.
-func (a *answer) runMarked(callerContext context.Context) error {
+// runNonRepeatable runs a non-repeatable request at most once. The claim of its idempotency key is
+// durable before an engine is called, and only the holder of the claim calls one. The run
+// continues after the caller disconnects, and its result is recorded under the key.
+func (a *answer) runNonRepeatable(callerContext context.Context) error {
 	ctx, cancel := context.WithDeadlineCause(context.WithoutCancel(callerContext), a.request.Deadline, errDeadline)
 	defer cancel()
 	for round := range maxKeyRounds {
 		key := roundKey(a.request.IdempotencyKey, round)
-		decision, done, err := a.pick()
+		decision, release, err := a.pick()
 		if err != nil {
-			return a.failure(ctx, err)
+			return a.finalError(ctx, err)
 		}
 		claim, err := a.claim(ctx, key, decision.Endpoint.Replica)
 		switch {
 		case err != nil:
-			done()
+			release()
 			return err
 		case claim.Done && claim.Result.Outcome == string(outcome.NotRun):
-			done()
+			release()
 		case claim.Done:
-			done()
-			return a.replay(claim.Result)
+			release()
+			return a.replayResult(claim.Result)
 		case !claim.Granted:
-			done()
+			release()
 			joinContext, cancelJoin := context.WithDeadlineCause(callerContext, a.request.Deadline, errDeadline)
 			defer cancelJoin()
-			return a.join(joinContext, key, claim)
+			return a.joinRun(joinContext, key, claim)
 		default:
-			return a.execute(ctx, key, decision, done)
+			return a.execute(ctx, key, decision, release)
 		}
 	}
 	return outcome.New(outcome.NotRun, outcome.ReasonConflict, "the key was refused too often; send a new one")
 }
 
-// roundKey names the claim of a key after its earlier rounds were recorded as not run.
+// roundKey returns the key to claim in a round, where all earlier rounds were recorded as not
+// run.
 func roundKey(key string, round int) string {
 	if round == 0 {
 		return key
@@ -64,10 +65,10 @@
 	return key + "\x00" + strconv.Itoa(round)
 }
 
-// claim asks until the answer is known. A claim that names this very request is this
-// call's own, granted by an answer that got lost.
+// claim retries until the state of the claim is known. A claim that already names this
+// request was granted to it by an earlier call whose response was lost.
 func (a *answer) claim(ctx context.Context, key, replica string) (Claim, error) {
-	pause := newPause()
+	pause := newRetryBackoff()
 	for {
 		claim, err := a.runner.Claimer.Claim(ctx, a.request.Tenant.Name, key, a.request.Fingerprint, a.request.ID, replica)
 		if err == nil {
@@ -79,95 +80,98 @@
 			return Claim{}, typed
 		}
 		if ctx.Err() != nil || !pause.wait(ctx) {
-			// No engine was called and none will be: the claim, if it stands, is never used.
+			// No engine was called and none will be: the claim, if it was recorded, is never used.
 			return Claim{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "the key could not be recorded").After(defaultRetryAfter)
 		}
 	}
 }
 
 // execute calls an engine as the holder of the claim, and records the result.
-func (a *answer) execute(ctx context.Context, key string, decision routing.Decision, done func()) error {
-	var held *Chunk
+func (a *answer) execute(ctx context.Context, key string, decision routing.Decision, release func()) error {
+	var lastChunk *Chunk
 	deliver := a.sink
 	a.sink = func(chunk Chunk) error {
 		if chunk.FinishReason != "" {
-			held = &chunk
+			lastChunk = &chunk
 			return nil
 		}
-		// A caller that went away does not end the run.
+		// The run continues after the caller disconnected, so the error is ignored.
 		_ = deliver(chunk)
 		return nil
 	}
-	err := a.callOnce(ctx, key, decision, done)
-	recorded := a.record(ctx, key, a.result(ctx, err))
+	err := a.startRun(ctx, key, decision, release)
+	recorded := a.recordResult(ctx, key, a.runResult(ctx, err))
 	if err != nil {
-		return a.failure(ctx, err)
+		return a.finalError(ctx, err)
 	}
 	if recorded.Outcome != string(outcome.Completed) {
 		return resultError(recorded)
 	}
-	if held == nil {
+	if lastChunk == nil {
 		return nil
 	}
-	if err := deliver(*held); err != nil {
+	if err := deliver(*lastChunk); err != nil {
 		return outcome.Wrap(err, outcome.Cancelled, outcome.ReasonCallerCancelled, "the caller went away; the result is recorded")
 	}
 	return nil
 }
 
-// callOnce starts the run on the first replica that does not refuse it, and follows that run only.
-func (a *answer) callOnce(ctx context.Context, key string, decision routing.Decision, done func()) error {
-	pause := newPause()
+// startRun starts the run on the first replica that does not refuse it, and forwards that run
+// only.
+func (a *answer) startRun(ctx context.Context, key string, decision routing.Decision, release func()) error {
+	pause := newRetryBackoff()
 	for attempts := 1; ; attempts++ {
 		_, err := a.callEngine(ctx, decision.Endpoint, false)
 		if a.mayHaveRun {
-			defer done()
+			defer release()
 			return a.followRun(ctx, decision.Endpoint, err)
 		}
-		done()
+		release()
 		a.excludeReplica(decision.Endpoint.Replica)
-		if errorx.IsOfType(err, engine.KindInvalid) || attempts >= maxFreshAttempts ||
+		if errorx.IsOfType(err, engine.KindInvalid) || attempts >= maxInitialAttempts ||
 			!a.runner.budgets.spend(a.request.Service) || !pause.wait(ctx) {
 			return err
 		}
-		a.runner.metrics.retry(a.request.Service.Name, freshCause(err))
+		a.runner.metrics.retry(a.request.Service.Name, retryCause(err))
 		var pickError error
-		if decision, done, pickError = a.pick(); pickError != nil {
+		if decision, release, pickError = a.pick(); pickError != nil {
 			return err
 		}
-		// The claim names the replica on which others look for the run.
+		// The claim names the replica on which further callers look for the run.
 		if claim, claimError := a.claim(ctx, key, decision.Endpoint.Replica); claimError != nil || !claim.Granted {
-			done()
+			release()
 			return err
 		}
 	}
 }
 
-// followRun attaches again to the one run of a marked request until it has ended, or
-// is known to be gone, or the engine stays unreachable.
+// followRun reattaches to the single run of a non-repeatable request until it has ended, is
+// known to be lost, or the engine stays unreachable for reattachTimeout. A run that did not
+// complete is cancelled unless the engine does not have it.
 func (a *answer) followRun(ctx context.Context, to engine.Endpoint, err error) error {
-	err = a.attachUntilEnd(ctx, to, err)
+	err = a.reattachUntilEnd(ctx, to, err)
 	if err != nil && !errorx.IsOfType(err, engine.KindNoSuchRun) {
 		a.runner.cancelRun(to, a.request.ID)
 	}
 	return err
 }
 
-func (a *answer) attachUntilEnd(ctx context.Context, to engine.Endpoint, err error) error {
-	pause := newPause()
+// reattachUntilEnd reattaches after err until the run has ended or cannot be read any more.
+func (a *answer) reattachUntilEnd(ctx context.Context, to engine.Endpoint, err error) error {
+	pause := newRetryBackoff()
 	lastProgress := time.Now()
 	for err != nil && ctx.Err() == nil {
 		if errorx.IsOfType(err, engine.KindNoSuchRun) || errorx.IsOfType(err, engine.KindInvalid) ||
-			errors.Is(err, errRunCancelled) || errors.Is(err, errAnswerTooLong) || time.Since(lastProgress) > attachPatience {
+			errors.Is(err, errRunCancelled) || errors.Is(err, errAnswerTooLong) || time.Since(lastProgress) > reattachTimeout {
 			return err
 		}
 		if !pause.wait(ctx) {
 			return err
 		}
 		a.runner.metrics.retry(a.request.Service.Name, retryReattach)
-		before := a.offset
+		previousOffset := a.offset
 		_, err = a.callEngine(ctx, to, true)
-		if a.offset > before {
+		if a.offset > previousOffset {
 			lastProgress = time.Now()
 			pause.reset()
 		}
@@ -175,25 +179,26 @@
 	return err
 }
 
-// result is what is recorded of a run that ended with err.
-func (a *answer) result(ctx context.Context, err error) Result {
+// runResult returns the result to record for a run that ended with err.
+func (a *answer) runResult(ctx context.Context, err error) Result {
 	if err == nil {
 		return Result{Outcome: string(outcome.Completed), Text: a.prior.String(), Finish: a.finish, Usage: a.usage}
 	}
-	failure := outcome.As(a.failure(ctx, err))
+	failure := outcome.As(a.finalError(ctx, err))
 	return Result{Outcome: string(failure.Outcome), Text: failure.Message}
 }
 
-// record completes the key and returns the result that stands. Where it cannot be
-// recorded the result at hand is returned; a resend then finds the claim and waits.
-func (a *answer) record(ctx context.Context, key string, result Result) Result {
+// recordResult completes the key and returns the recorded result, which is an earlier one if the
+// key already had it. If recording fails, result itself is returned; a resent request then
+// finds the claim and waits.
+func (a *answer) recordResult(ctx context.Context, key string, result Result) Result {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), completeTimeout)
 	defer cancel()
-	pause := newPause()
+	pause := newRetryBackoff()
 	for {
-		standing, err := a.runner.Claimer.Complete(ctx, a.request.Tenant.Name, key, result)
+		recorded, err := a.runner.Claimer.Complete(ctx, a.request.Tenant.Name, key, result)
 		if err == nil {
-			return standing
+			return recorded
 		}
 		if !pause.wait(ctx) {
 			a.runner.Logger.Warn().Err(err).Str("request", a.request.ID).Msg("result of a marked request could not be recorded")
@@ -202,8 +207,8 @@
 	}
 }
 
-// replay gives a recorded result to this caller.
-func (a *answer) replay(result Result) error {
+// replayResult sends a recorded result to this caller.
+func (a *answer) replayResult(result Result) error {
 	if result.Outcome != string(outcome.Completed) {
 		return resultError(result)
 	}
@@ -217,7 +222,7 @@
 	return nil
 }
 
-// resultError is the error that a recorded result other than an answer stands for.
+// resultError returns the error for a recorded result that is not a completed answer.
 func resultError(result Result) error {
 	reason := outcome.ReasonEngineFailed
 	if result.Outcome == string(outcome.Failed) {
--- a/internal/session/marked_test.go
+++ b/internal/session/marked_test.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-func markedRequest(id string) Request {
+func nonRepeatableRequest(id string) Request {
 	request := testRequest(id)
 	request.NotRepeatable, request.IdempotencyKey, request.Fingerprint = true, "certificate-17", "f"
 	return request
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fakes, claimer := newFakeFleet(), newFakeClaimer()
 		for attempt := range 3 {
-			got, err := run(t, fakes, claimer, markedRequest(fmt.Sprint("q", attempt)))
+			got, err := run(t, fakes, claimer, nonRepeatableRequest(fmt.Sprint("q", attempt)))
 			if err != nil || got.text != answerText(0, answerTokens) || got.finish != "stop" {
 				t.Fatal(got, err)
 			}
@@ -28,7 +28,7 @@
 		if fakes.starts != 1 {
 			t.Fatal(fakes.starts, "starts")
 		}
-		other := markedRequest("q9")
+		other := nonRepeatableRequest("q9")
 		other.Fingerprint = "g"
 		if _, err := run(t, fakes, claimer, other); outcome.As(err).Reason != outcome.ReasonConflict {
 			t.Fatal(err)
@@ -43,13 +43,13 @@
 		first, second := newTestRunner(fakes, claimer), newTestRunner(fakes, claimer)
 		var got [2]received
 		var errs [2]error
-		ctx, goAway := context.WithCancel(t.Context())
-		go func() { errs[0] = first.Run(ctx, markedRequest("q0"), got[0].sink) }()
+		ctx, disconnect := context.WithCancel(t.Context())
+		go func() { errs[0] = first.Run(ctx, nonRepeatableRequest("q0"), got[0].sink) }()
 		synctest.Wait()
-		go func() { errs[1] = second.Run(t.Context(), markedRequest("q1"), got[1].sink) }()
+		go func() { errs[1] = second.Run(t.Context(), nonRepeatableRequest("q1"), got[1].sink) }()
 		synctest.Wait()
-		// The first caller goes away; its run goes on.
-		goAway()
+		// The first caller disconnects; its run continues.
+		disconnect()
 		synctest.Wait()
 		close(fakes.block)
 		synctest.Wait()
@@ -60,7 +60,7 @@
 }
 
 // TestOrphanedClaimIsReadFromTheEngine has a claim whose holder is gone: the answer is read
-// from the engine where that has the run, and is indeterminate where it has none.
+// from the engine if it has the run, and the outcome is indeterminate if it does not.
 func TestOrphanedClaimIsReadFromTheEngine(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			}
 			fakes.runs["r2"] = map[string]bool{"gone": known}
 			for attempt := range 2 {
-				got, err := run(t, fakes, claimer, markedRequest(fmt.Sprint("q", attempt)))
+				got, err := run(t, fakes, claimer, nonRepeatableRequest(fmt.Sprint("q", attempt)))
 				if known && (err != nil || got.text != answerText(0, answerTokens)) || !known && outcomeOf(err) != outcome.Indeterminate {
 					t.Fatal(known, got, err)
 				}
@@ -86,10 +86,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		refused := fault{open: "refused"}
 		fakes, claimer := newFakeFleet(refused, refused, refused, refused), newFakeClaimer()
-		if _, err := run(t, fakes, claimer, markedRequest("q0")); outcomeOf(err) != outcome.NotRun {
+		if _, err := run(t, fakes, claimer, nonRepeatableRequest("q0")); outcomeOf(err) != outcome.NotRun {
 			t.Fatal(err)
 		}
-		got, err := run(t, fakes, claimer, markedRequest("q1"))
+		got, err := run(t, fakes, claimer, nonRepeatableRequest("q1"))
 		if err != nil || !got.whole() || fakes.starts != 1 {
 			t.Fatal(got, err, fakes.starts)
 		}
@@ -101,7 +101,7 @@
 		fakes, claimer := newFakeFleet(), newFakeClaimer()
 		claimer.down = true
 		before := time.Now()
-		_, err := run(t, fakes, claimer, markedRequest("q0"))
+		_, err := run(t, fakes, claimer, nonRepeatableRequest("q0"))
 		if outcomeOf(err) != outcome.NotRun || fakes.starts != 0 {
 			t.Fatal(err, fakes.starts, time.Since(before))
 		}
@@ -112,7 +112,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fakes, claimer := newFakeFleet(fault{cut: 2}, fault{forget: true}), newFakeClaimer()
 		for attempt := range 2 {
-			if _, err := run(t, fakes, claimer, markedRequest(fmt.Sprint("q", attempt))); outcomeOf(err) != outcome.Indeterminate {
+			if _, err := run(t, fakes, claimer, nonRepeatableRequest(fmt.Sprint("q", attempt))); outcomeOf(err) != outcome.Indeterminate {
 				t.Fatal(err)
 			}
 		}
--- a/internal/session/metrics.go
+++ b/internal/session/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Causes of a further attempt, a label of the retries metric.
+// Causes of a retry, values of the label "cause" of the retries metric.
 const (
 	retryNotSent  = "not_sent"
 	retryRefused  = "refused"
@@ -18,7 +18,7 @@
 	retryRestart  = "restart"
 )
 
-// metrics of online requests, by service.
+// metrics holds the metrics of online requests, by service.
 type metrics struct {
 	firstToken *prometheus.HistogramVec
 	interToken *prometheus.HistogramVec
@@ -28,7 +28,7 @@
 	services   *xsync.Map[string, *serviceMetrics]
 }
 
-// serviceMetrics are one service's metrics, looked up once.
+// serviceMetrics holds the metrics of one service, so that their labels are looked up once.
 type serviceMetrics struct {
 	firstToken prometheus.Observer
 	interToken prometheus.Observer
@@ -80,7 +80,7 @@
 
 func (m *metrics) retry(service, cause string) { m.retries.WithLabelValues(service, cause).Inc() }
 
-func (m *metrics) ended(service string, err error) {
+func (m *metrics) requestEnded(service string, err error) {
 	if err == nil {
 		m.service(service).completed.Inc()
 		return
@@ -89,11 +89,11 @@
 	m.outcomes.WithLabelValues(service, string(failure.Outcome), string(failure.Reason)).Inc()
 }
 
-// tokenClock measures first token and inter-token times of one request.
+// tokenClock measures the time to the first token and the inter-token times of one request.
 type tokenClock struct {
 	metrics *serviceMetrics
 	last    time.Time
-	begun   bool
+	started bool
 }
 
 func (c *tokenClock) observe(tokens int) {
@@ -103,8 +103,8 @@
 	now := time.Now()
 	elapsed := now.Sub(c.last).Seconds()
 	c.last = now
-	if !c.begun {
-		c.begun = true
+	if !c.started {
+		c.started = true
 		c.metrics.firstToken.Observe(elapsed)
 		return
 	}
--- a/internal/session/prior_reader.go
+++ b/internal/session/prior_reader.go
@@ -7,29 +7,31 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// priorReadAhead is how many tokens behind the caller's offset are read to find a place
-// where both streams end a chunk.
+// priorReadAhead is the number of tokens read past the caller's offset to find a chunk
+// boundary that both streams share.
 const priorReadAhead = 256
 
-// boundary is the end of a chunk: the offset behind it, and the bytes of text up to it.
+// boundary is the end of a chunk: the token offset and the bytes of text before it.
 type boundary struct {
 	offset int
 	bytes  int
 }
 
 // priorReader reads the beginning of a run's answer again, for a caller that reconnected
-// with its offset only: without the text so far another replica could not go on. Chunks of two
-// streams need not end at the same tokens, so the text up to the caller's offset is
-// found where both end one.
+// without sending the text received so far: another replica needs that text to resume the
+// run. Chunks of two streams need not end at the same tokens, so the text before the caller's
+// offset is determined at a chunk boundary that both streams share.
 type priorReader struct {
 	cancel context.CancelFunc
-	// done is closed when the goroutine has ended; text and ends are its own until then.
-	done chan struct{}
-	text strings.Builder
-	ends []boundary
+	// done is closed when the reading goroutine has ended; text and ends must not be read
+	// before.
+	done      chan struct{}
+	text      strings.Builder
+	chunkEnds []boundary
 }
 
-// readPrior starts to read the run from its first token, until some tokens behind offset.
+// readPrior starts reading the run from its first token until priorReadAhead tokens past the
+// request's offset.
 func readPrior(ctx context.Context, client engine.Client, to engine.Endpoint, request engine.Request) *priorReader {
 	offset := request.Offset
 	request.Offset, request.AttachOnly = 0, true
@@ -55,28 +57,28 @@
 		}
 		next += chunk.Tokens
 		r.text.WriteString(chunk.Text)
-		r.ends = append(r.ends, boundary{offset: next, bytes: r.text.Len()})
+		r.chunkEnds = append(r.chunkEnds, boundary{offset: next, bytes: r.text.Len()})
 	}
 }
 
-// stop ends the reading; text and ends stand then.
+// stop ends the reading; text and ends do not change after it.
 func (r *priorReader) stop() {
 	r.cancel()
 	<-r.done
 }
 
-// before returns the text in front of what the caller got since it reconnected, whose chunks
-// end at ends. It is called after stop.
-func (r *priorReader) before(received string, ends []boundary) (prior string, found bool) {
-	at := make(map[int]int, len(r.ends))
-	for _, end := range r.ends {
-		at[end.offset] = end.bytes
+// textBefore returns the text that precedes received, which is the text that the caller got since
+// it reconnected, in chunks with the boundaries ends. It must be called after stop.
+func (r *priorReader) textBefore(received string, ends []boundary) (prior string, found bool) {
+	bytesAt := make(map[int]int, len(r.chunkEnds))
+	for _, end := range r.chunkEnds {
+		bytesAt[end.offset] = end.bytes
 	}
-	whole := r.text.String()
+	text := r.text.String()
 	for _, end := range ends {
-		bytes, common := at[end.offset]
-		if common && bytes >= end.bytes && whole[bytes-end.bytes:bytes] == received[:end.bytes] {
-			return whole[:bytes-end.bytes], true
+		length, shared := bytesAt[end.offset]
+		if shared && length >= end.bytes && text[length-end.bytes:length] == received[:end.bytes] {
+			return text[:length-end.bytes], true
 		}
 	}
 	return "", false
--- a/internal/session/repeatable.go
+++ b/internal/session/repeatable.go
@@ -10,47 +10,47 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// runRepeatable carries a request that may run more than once to its end: a broken
-// stream is attached to again, then resumed on another replica.
+// runRepeatable runs a request that may run more than once. After a broken stream it first
+// reattaches to the run, then resumes on another replica.
 func (a *answer) runRepeatable(ctx context.Context) error {
 	if a.request.Reconnects() {
 		if done, err := a.reconnect(ctx); done {
 			return err
 		}
 	}
-	pause := newPause()
-	fresh := 0
+	pause := newRetryBackoff()
+	attempts := 0
 	for {
-		before := a.offset
+		previousOffset := a.offset
 		err := a.attempt(ctx)
 		if err == nil {
 			return nil
 		}
-		if ended := a.endOf(ctx, err); ended != nil {
+		if ended := a.terminalError(ctx, err); ended != nil {
 			return ended
 		}
-		if a.offset > before {
+		if a.offset > previousOffset {
 			pause.reset()
 		}
-		fresh++
-		if !a.mayRetry(fresh, err) || !pause.wait(ctx) {
-			return a.failure(ctx, err)
+		attempts++
+		if !a.mayRetry(attempts, err) || !pause.wait(ctx) {
+			return a.finalError(ctx, err)
 		}
 	}
 }
 
-// reconnect attaches to the run of an earlier connection. done is false where the
-// request can go on on another replica.
+// reconnect attaches to the run of an earlier connection. done is false if the request can
+// be resumed on another replica.
 func (a *answer) reconnect(ctx context.Context) (done bool, err error) {
 	endpoint, found := a.runner.endpoint(a.request.Replica)
-	cause := error(engine.KindNoSuchRun.New("replica %s is not known", a.request.Replica))
+	cause := error(engine.KindNoSuchRun.New("replica %s is not in the directory", a.request.Replica))
 	if found {
-		cause = a.followReconnected(ctx, endpoint)
+		cause = a.streamFromEarlier(ctx, endpoint)
 	}
 	if cause == nil {
 		return true, nil
 	}
-	if ended := a.endOf(ctx, cause); ended != nil {
+	if ended := a.terminalError(ctx, cause); ended != nil {
 		return true, ended
 	}
 	if !a.priorKnown {
@@ -62,44 +62,45 @@
 	return false, nil
 }
 
-// followReconnected follows the run of an earlier connection, and meanwhile reads what the
-// caller got of it, where the caller did not send that.
-func (a *answer) followReconnected(ctx context.Context, to engine.Endpoint) error {
+// streamFromEarlier forwards the run of an earlier connection. If the caller did not send the
+// text received so far, it reads that text from the engine at the same time.
+func (a *answer) streamFromEarlier(ctx context.Context, to engine.Endpoint) error {
 	if a.priorKnown {
-		return a.followOn(ctx, to, true)
+		return a.streamFrom(ctx, to, true)
 	}
 	reader := readPrior(ctx, a.runner.Client, to, a.engineRequest())
 	defer reader.stop()
-	err := a.followOn(ctx, to, true)
+	err := a.streamFrom(ctx, to, true)
 	if err != nil {
-		a.learnPrior(reader)
+		a.prependPrior(reader)
 	}
 	return err
 }
 
-// attempt runs or resumes the request on one replica that routing picks.
+// attempt runs or resumes the request on one replica chosen by routing. If all replicas are
+// excluded, the exclusions are dropped.
 func (a *answer) attempt(ctx context.Context) error {
-	decision, done, err := a.pick()
+	decision, release, err := a.pick()
 	if err != nil {
 		if len(a.exclude) > 0 {
 			a.exclude = nil
-			decision, done, err = a.pick()
+			decision, release, err = a.pick()
 		}
 		if err != nil {
 			return err
 		}
 	}
-	defer done()
-	err = a.followOn(ctx, decision.Endpoint, false)
+	defer release()
+	err = a.streamFrom(ctx, decision.Endpoint, false)
 	if err != nil {
 		a.excludeReplica(decision.Endpoint.Replica)
 	}
 	return err
 }
 
-// followOn opens a stream on one replica and follows it. A stream that breaks is attached
-// to again there as long as it brings new tokens; a run that is given up is cancelled.
-func (a *answer) followOn(ctx context.Context, to engine.Endpoint, attachOnly bool) error {
+// streamFrom opens a stream on one replica and forwards it. It reattaches to a broken stream
+// there as long as each one brings new tokens; a run that it gives up is cancelled.
+func (a *answer) streamFrom(ctx context.Context, to engine.Endpoint, attachOnly bool) error {
 	started := false
 	for {
 		before := a.offset
@@ -119,7 +120,8 @@
 	}
 }
 
-// abandon cancels the run on a replica that will not be read again from here.
+// abandon cancels a run that this request does not read any more, unless the caller
+// disconnected and may reconnect to it.
 func (a *answer) abandon(ctx context.Context, to engine.Endpoint, mayRun bool, cause error) {
 	callerGone := errors.Is(cause, errSink) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), errDeadline)
 	if !mayRun || callerGone && a.request.KeepRun {
@@ -128,10 +130,10 @@
 	a.runner.cancelRun(to, a.request.ID)
 }
 
-// mayRetry decides on a further attempt and counts it. A stream that has begun is always
-// resumed, until its deadline: it is accepted work. Before that, attempts are bounded
-// and take from the service's retry budget.
-func (a *answer) mayRetry(fresh int, cause error) bool {
+// mayRetry reports whether to make a further attempt, and counts it. A stream that has begun
+// is accepted work and is resumed until its deadline, if the prior text is known. Before the
+// first token, attempts are bounded and use the service's retry budget.
+func (a *answer) mayRetry(attempts int, cause error) bool {
 	service := a.request.Service
 	if a.offset > 0 {
 		a.runner.metrics.retry(service.Name, retryResume)
@@ -141,14 +143,15 @@
 	if errors.As(cause, &refusal) && !a.mayHaveRun {
 		return false
 	}
-	if fresh >= maxFreshAttempts || !a.runner.budgets.spend(service) {
+	if attempts >= maxInitialAttempts || !a.runner.budgets.spend(service) {
 		return false
 	}
-	a.runner.metrics.retry(service.Name, freshCause(cause))
+	a.runner.metrics.retry(service.Name, retryCause(cause))
 	return true
 }
 
-func freshCause(cause error) string {
+// retryCause returns the metric label of a retry before the first token.
+func retryCause(cause error) string {
 	switch {
 	case errorx.IsOfType(cause, engine.KindNotSent):
 		return retryNotSent
--- a/internal/session/retry_budget.go
+++ b/internal/session/retry_budget.go
@@ -6,14 +6,15 @@
 	"github.com/sloelift/sloelift/internal/config"
 )
 
-// retryFloor is the number of retries that a service with little traffic may make at once,
-// and the bound of what a quiet time saves up.
-const retryFloor = 20.0
+// maxRetryCredits is a service's initial number of retry credits and their maximum: a service with
+// little traffic may make this many retries at once, and a quiet period saves up no more.
+const maxRetryCredits = 20.0
 
-// retryBudgets keeps, for each service, retries to a share of its requests, so that a
-// failing service is not loaded further by its own retries.
+// retryBudgets limits each service's retries to a share of its requests, so that retries do
+// not overload a failing service further.
 type retryBudgets struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// credits holds the number of retries available, by service.
 	credits map[string]float64
 }
 
@@ -21,14 +22,14 @@
 	return &retryBudgets{credits: map[string]float64{}}
 }
 
-// earn adds the share of one request.
+// earn adds the credit for one request, a share of RetryBudgetPercent of a retry.
 func (b *retryBudgets) earn(service *config.Service) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.credits[service.Name] = min(b.balance(service.Name)+float64(service.RetryBudgetPercent)/100, retryFloor)
+	b.credits[service.Name] = min(b.balance(service.Name)+float64(service.RetryBudgetPercent)/100, maxRetryCredits)
 }
 
-// spend takes one retry; false where the budget is used up.
+// spend takes one retry from the budget; it returns false if the budget is used up.
 func (b *retryBudgets) spend(service *config.Service) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -40,11 +41,11 @@
 	return true
 }
 
-// balance is called with the mutex held.
+// balance returns the service's credits. The caller must hold the mutex.
 func (b *retryBudgets) balance(service string) float64 {
 	credits, known := b.credits[service]
 	if !known {
-		return retryFloor
+		return maxRetryCredits
 	}
 	return credits
 }
--- a/internal/session/runner.go
+++ b/internal/session/runner.go
@@ -18,17 +18,17 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// Bounds of one request.
+// Limits of one request.
 const (
-	// maxFreshAttempts bounds attempts before the first token.
-	maxFreshAttempts = 4
-	maxAnswerBytes   = 8 << 20
-	cancelTimeout    = 2 * time.Second
-	// defaultRetryAfter is told with NotRun where no better time is known.
+	// maxInitialAttempts bounds the attempts before the first token.
+	maxInitialAttempts = 4
+	maxAnswerBytes     = 8 << 20
+	cancelTimeout      = 2 * time.Second
+	// defaultRetryAfter is reported with NotRun if no better delay is known.
 	defaultRetryAfter = time.Second
 )
 
-// Dependencies of a Runner.
+// Dependencies are the collaborators of an EngineRunner.
 type Dependencies struct {
 	Limiter    admission.Limiter
 	Router     routing.Router
@@ -40,18 +40,18 @@
 	Logger     zerolog.Logger
 }
 
-// EngineRunner is the Runner that works with engines through the fleet.
+// EngineRunner is the Runner that runs requests on the engines of the fleet.
 type EngineRunner struct {
 	Dependencies
 	budgets *retryBudgets
 	metrics *metrics
-	// cancels counts cancels of abandoned engine runs that are under way.
+	// cancels tracks the cancel calls in flight for abandoned engine runs.
 	cancels sync.WaitGroup
 }
 
 var _ Runner = (*EngineRunner)(nil)
 
-// NewEngineRunner returns a Runner.
+// NewEngineRunner returns a Runner that uses the given dependencies.
 func NewEngineRunner(dependencies Dependencies) *EngineRunner {
 	dependencies.Logger = dependencies.Logger.With().Str(logging.FieldSlice, "session").Logger()
 	return &EngineRunner{
@@ -61,19 +61,20 @@
 	}
 }
 
-// Wait returns when no cancel of an abandoned engine run is under way.
+// Wait waits until no cancel call for an abandoned engine run is in flight.
 func (r *EngineRunner) Wait() { r.cancels.Wait() }
 
-// errDeadline is the cause of a context that ended by the request's own deadline.
+// errDeadline is the cause of a context that ended at the request's own deadline. Its text is
+// sent to callers.
 var errDeadline = errors.New("the request's deadline has passed")
 
-// Run runs one request; see Runner.
+// Run implements Runner.
 func (r *EngineRunner) Run(ctx context.Context, request Request, sink Sink) error {
 	service := r.metrics.service(request.Service.Name)
 	service.running.Inc()
 	defer service.running.Dec()
 	err := r.admitAndRun(ctx, &request, sink, service)
-	r.metrics.ended(request.Service.Name, err)
+	r.metrics.requestEnded(request.Service.Name, err)
 	if err != nil {
 		r.logEnd(&request, err)
 	}
@@ -82,27 +83,27 @@
 
 func (r *EngineRunner) admitAndRun(ctx context.Context, request *Request, sink Sink, service *serviceMetrics) error {
 	clock := tokenClock{metrics: service, last: time.Now()}
-	bounded, cancel := context.WithDeadlineCause(ctx, request.Deadline, errDeadline)
+	deadlineContext, cancel := context.WithDeadlineCause(ctx, request.Deadline, errDeadline)
 	defer cancel()
 	if !request.Reconnects() {
-		release, err := r.Limiter.Admit(bounded, admission.OnlineRequest{
+		release, err := r.Limiter.Admit(deadlineContext, admission.OnlineRequest{
 			Tenant: request.Tenant, Service: request.Service, Priority: request.Priority,
 		})
 		if err != nil {
-			return notRunEnd(bounded, err)
+			return notAdmittedError(deadlineContext, err)
 		}
 		defer release()
 		r.budgets.earn(request.Service)
 	}
-	attempt := newAnswer(r, request, sink, clock)
+	answer := newAnswer(r, request, sink, clock)
 	if request.NotRepeatable {
-		return attempt.runMarked(ctx)
+		return answer.runNonRepeatable(ctx)
 	}
-	return attempt.runRepeatable(bounded)
+	return answer.runRepeatable(deadlineContext)
 }
 
-// notRunEnd is the error of a request that ended before any engine saw it.
-func notRunEnd(ctx context.Context, err error) error {
+// notAdmittedError returns the error of a request that ended before it was sent to any engine.
+func notAdmittedError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errDeadline) {
 		return outcome.Wrap(cause, outcome.Cancelled, outcome.ReasonCallerCancelled, "the caller went away")
 	}
@@ -113,7 +114,7 @@
 	return outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "not admitted").After(defaultRetryAfter)
 }
 
-// endpoint finds a replica by its id in the present directory.
+// endpoint looks up a replica by its id in the current directory, which is sorted by id.
 func (r *EngineRunner) endpoint(replica string) (engine.Endpoint, bool) {
 	replicas := r.Fleet.Directory().Replicas
 	index := sort.Search(len(replicas), func(i int) bool { return replicas[i].ID >= replica })
@@ -123,7 +124,7 @@
 	return replicas[index].Endpoint, true
 }
 
-// cancelRun ends an engine run that nobody will read, without making the caller wait.
+// cancelRun cancels an abandoned engine run in the background, so that the caller does not wait.
 func (r *EngineRunner) cancelRun(to engine.Endpoint, requestID string) {
 	r.cancels.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
--- a/internal/session/runner_test.go
+++ b/internal/session/runner_test.go
@@ -16,14 +16,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // TestRunUnderFaults draws faults for each call to an engine and checks that the caller
-// gets the whole answer once and in order or an outcome that is true.
+// gets either the whole answer, once and in order, or a correct outcome.
 func TestRunUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fakes := newFakeFleet(rapid.SliceOfN(rapid.Custom(drawFault), 0, 12).Draw(rt, "faults")...)
 		claimer := newFakeClaimer()
 		claimer.loseAnswers = rapid.IntRange(0, 2).Draw(rt, "lostClaims")
-		marked := rapid.Bool().Draw(rt, "marked")
-		reconnects := !marked && rapid.Bool().Draw(rt, "reconnects")
+		nonRepeatable := rapid.Bool().Draw(rt, "marked")
+		reconnects := !nonRepeatable && rapid.Bool().Draw(rt, "reconnects")
 		var got received
 		if reconnects {
 			got.next = 2 * rapid.IntRange(0, answerTokens/2-1).Draw(rt, "offset")
@@ -34,7 +34,7 @@
 		var err error
 		synctest.Test(t, func(t *testing.T) {
 			request := testRequest("q1")
-			if request.NotRepeatable = marked; marked {
+			if request.NotRepeatable = nonRepeatable; nonRepeatable {
 				request.IdempotencyKey = "k"
 			}
 			if reconnects {
@@ -54,10 +54,10 @@
 			rt.Fatalf("tokens out of order or a wrong resume: %+v", got)
 		}
 		if outcomeOf(err) == outcome.NotRun && (fakes.starts > 0 || reconnects) {
-			rt.Fatalf("told not_run after %d starts, reconnected %t: %v", fakes.starts, reconnects, err)
+			rt.Fatalf("outcome not_run after %d starts, reconnected %t: %v", fakes.starts, reconnects, err)
 		}
-		if marked && fakes.starts > 1 {
-			rt.Fatalf("a marked request was started %d times", fakes.starts)
+		if nonRepeatable && fakes.starts > 1 {
+			rt.Fatalf("a non-repeatable request was started %d times", fakes.starts)
 		}
 	})
 }
@@ -89,7 +89,8 @@
 		if err != nil || !got.whole() || fakes.badResume {
 			t.Fatal(got, err, fakes.badResume)
 		}
-		// r1 broke twice and forgot the run; r2 broke and went away; r3 ended it.
+		// r1's stream broke twice and r1 lost the run; r2's broke and r2 became unreachable; r3
+		// completed it.
 		if fakes.starts != 3 || !contains(fakes.cancels, "r2 q1") {
 			t.Fatal(fakes.starts, fakes.cancels)
 		}
@@ -118,7 +119,7 @@
 			var got received
 			_ = runner.Run(t.Context(), testRequest("q"), got.sink)
 		}
-		// The floor of 20 retries, 10 percent of the requests, and a call each.
+		// The initial 20 retries and 10 percent of the requests are used up.
 		var got received
 		fakes.faults = []fault{{open: "refused"}}
 		if err := runner.Run(t.Context(), testRequest("q"), got.sink); outcomeOf(err) != outcome.NotRun || fakes.starts != 0 {
@@ -193,7 +194,7 @@
 			t.Fatal(err)
 		}
 		if !contains(fakes.cancels, "r1 q1") {
-			t.Fatal("the run was left")
+			t.Fatal("the run was not cancelled")
 		}
 	})
 }
@@ -219,8 +220,8 @@
 	}
 }
 
-// TestHungEngineIsLeft has an engine that holds a stream silently: one that shows life is waited
-// for, one that does not is left for another replica.
+// TestHungEngineIsLeft has an engine that sends nothing on an open stream: the runner waits if
+// the engine answers probes, and retries on another replica if it does not.
 func TestHungEngineIsLeft(t *testing.T) {
 	for hung, starts := range map[string]int{"": 1, "r1": 2} {
 		synctest.Test(t, func(t *testing.T) {
@@ -235,21 +236,23 @@
 	}
 }
 
-// TestMarkedRequestOnAHungEngineStaysThere waits for the only replica that may have run it.
+// TestMarkedRequestOnAHungEngineStaysThere guards against starting a non-repeatable request on a
+// second replica: the runner waits for the replica that may have run it.
 func TestMarkedRequestOnAHungEngineStaysThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := newFakeFleet()
 		fakes.block, fakes.hung = make(chan struct{}), "r1"
 		time.AfterFunc(10*time.Second, func() { close(fakes.block) })
-		got, err := run(t, fakes, newFakeClaimer(), markedRequest("q1"))
+		got, err := run(t, fakes, newFakeClaimer(), nonRepeatableRequest("q1"))
 		if err != nil || !got.whole() || fakes.starts != 1 {
 			t.Fatal(got, err, fakes.starts)
 		}
 	})
 }
 
-// TestReconnectedStreamIsResumedElsewhere has a caller that reconnected with its offset only, and
-// an engine that dies then: the text so far was read from the engine meanwhile.
+// TestReconnectedStreamIsResumedElsewhere has a caller that reconnected without the text received
+// so far, and an engine that dies afterwards: the runner resumes with the text that it read from
+// the engine in the meantime.
 func TestReconnectedStreamIsResumedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := newFakeFleet(fault{cut: 2}, fault{forget: true, open: "not_sent"})
@@ -259,7 +262,7 @@
 		got := received{next: 4, text: answerText(0, 4)}
 		runner := newTestRunner(fakes, newFakeClaimer())
 		err := runner.Run(t.Context(), request, func(chunk Chunk) error {
-			// The second stream has read what there is.
+			// Wait until the prior reader has read all chunks.
 			synctest.Wait()
 			return got.sink(chunk)
 		})
@@ -271,7 +274,7 @@
 }
 
 func TestPriorIsFoundWhereChunksEndTogether(t *testing.T) {
-	reader := &priorReader{ends: []boundary{{2, 4}, {5, 10}, {7, 14}}}
+	reader := &priorReader{chunkEnds: []boundary{{2, 4}, {5, 10}, {7, 14}}}
 	reader.text.WriteString("aabbccddeeffgg")
 	for name, c := range map[string]struct {
 		received string
@@ -284,7 +287,7 @@
 		"nowhere":              {received: "ddee", ends: []boundary{{3, 0}, {4, 4}}},
 		"other text":           {received: "xxee", ends: []boundary{{3, 0}, {5, 4}}},
 	} {
-		if prior, found := reader.before(c.received, c.ends); prior != c.want || found != c.found {
+		if prior, found := reader.textBefore(c.received, c.ends); prior != c.want || found != c.found {
 			t.Errorf("%s: %q, %t", name, prior, found)
 		}
 	}
--- a/internal/session/watchdog.go
+++ b/internal/session/watchdog.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// silenceTimeout is how long a stream may bring nothing before its engine is asked for
-	// a sign of life: a request may wait its turn at a healthy engine much longer.
+	// silenceTimeout is how long a stream may deliver no chunk before its engine is probed. It
+	// is no reason to give up by itself: a healthy engine may queue a request much longer.
 	silenceTimeout = 3 * time.Second
 	probeTimeout   = 2 * time.Second
 )
 
 // errStalled is the cause of a stream that was given up because its engine hangs.
-var errStalled = errors.New("the engine does not answer")
+var errStalled = errors.New("the engine does not answer probes")
 
-// watchdog finds an engine that hangs with its connections open.
+// watchdog detects an engine that hangs while its connections stay open.
 type watchdog struct {
 	client engine.Client
 	to     engine.Endpoint
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
-	// probing is held by a probe, so that none is under way once stop has returned.
+	// probing is held during a probe, so that none is in flight once stop has returned.
 	probing sync.Mutex
-	// chunks counts progress, so that a probe that lost against a chunk changes nothing.
+	// chunks counts the chunks received, so that a probe during which a chunk arrived has no
+	// effect.
 	chunks atomic.Int64
 }
 
-// watch returns a watchdog whose ctx ends when the engine hangs. stop must be called.
-func watch(ctx context.Context, client engine.Client, to engine.Endpoint) *watchdog {
+// newWatchdog returns a watchdog whose ctx is cancelled when the engine hangs. The caller must call
+// stop.
+func newWatchdog(ctx context.Context, client engine.Client, to engine.Endpoint) *watchdog {
 	w := &watchdog{client: client, to: to}
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	w.timer = time.AfterFunc(silenceTimeout, w.probe)
@@ -55,10 +57,10 @@
 	w.timer.Stop()
 }
 
-// stalled says whether the engine was found hanging.
+// stalled reports whether the engine was found to hang.
 func (w *watchdog) stalled() bool { return errors.Is(context.Cause(w.ctx), errStalled) }
 
-// probe asks the engine for its load; any answer is a sign of life.
+// probe requests the engine's load. Any answer counts as alive, also a refusal.
 func (w *watchdog) probe() {
 	w.probing.Lock()
 	defer w.probing.Unlock()
