--- a/internal/edge/caller_connection.go
+++ b/internal/edge/caller_connection.go
@@ -9,54 +9,57 @@
 	"time"
 )
 
-// maxReadAhead bounds the bytes that are read behind a request that is served.
+// maxReadAhead bounds the bytes that are read past the request being served.
 const maxReadAhead = 64 << 10
 
-// callerListener gives out connections whose end is noticed while a request is served.
+// callerListener accepts connections whose end is detected while a request is served.
 type callerListener struct{ net.Listener }
 
 // Accept waits for the next connection.
 func (l callerListener) Accept() (net.Conn, error) {
-	accepted, err := l.Listener.Accept()
+	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &callerConnection{Conn: accepted, gone: func() {}}, nil
+	return &callerConnection{Conn: connection, onEnd: func() {}}, nil
 }
 
-// callerConnection is a caller's connection. While a request is served, net/http looks for the end of its connection with a read of one
-// byte, and looks no further where that brings the first byte of the next request: replicas would work on for a caller who sent
-// that and left. From there on the connection itself reads ahead.
+// callerConnection is a caller's connection. While a request is served, net/http detects the end of
+// the connection with a read of one byte, and stops doing so if that returns the first byte of a
+// pipelined request: replicas would continue to work for a caller that sent it and disconnected.
+// From there on the connection itself reads ahead.
 type callerConnection struct {
 	net.Conn
-	// gone is called when the end is found; it is set before the first read.
-	gone func()
+	// onEnd is called when the end of the connection is detected; it is set before the first read.
+	onEnd func()
 
 	// mutex guards the fields below.
 	mutex sync.Mutex
-	// deadline is the server's own for reads.
+	// deadline is the read deadline set by the server.
 	deadline time.Time
-	// reading is closed when reading ahead has ended; nil where it has not begun.
-	reading chan struct{}
-	// ahead is what was read; failure ended it, where the server did not.
-	ahead   []byte
-	failure error
+	// readEnded is closed when reading ahead has ended; nil if it has not begun.
+	readEnded chan struct{}
+	// readBytes holds the bytes read ahead. readError is the error that ended reading ahead, nil if the
+	// server's next read ended it.
+	readBytes []byte
+	readError error
 }
 
-// withCaller has a request's context end with its caller's connection, and carry it.
-func withCaller(ctx context.Context, connection net.Conn) context.Context {
+// connectionContext returns a context for the requests of a connection, which carries the connection and
+// is cancelled when it ends. It is the server's ConnContext.
+func connectionContext(ctx context.Context, connection net.Conn) context.Context {
 	ctx = context.WithValue(ctx, connectionKey{}, connection)
-	caller, is := connection.(*callerConnection)
-	if !is {
+	caller, ok := connection.(*callerConnection)
+	if !ok {
 		return ctx
 	}
-	ctx, caller.gone = context.WithCancel(ctx)
+	ctx, caller.onEnd = context.WithCancel(ctx)
 	return ctx
 }
 
-// Read reads for the server.
+// Read implements net.Conn for the server; it returns the bytes read ahead first.
 func (c *callerConnection) Read(into []byte) (int, error) {
-	if count, done, err := c.takeAhead(into); done {
+	if count, done, err := c.takeReadAhead(into); done {
 		return count, err
 	}
 	count, err := c.Conn.Read(into)
@@ -66,48 +69,51 @@
 	return count, err
 }
 
-// takeAhead ends the reading ahead and gives out what it brought; done is false where that is nothing.
-func (c *callerConnection) takeAhead(into []byte) (count int, done bool, err error) {
+// takeReadAhead stops reading ahead and returns the bytes or the error that it resulted in; done is
+// false if there is neither.
+func (c *callerConnection) takeReadAhead(into []byte) (count int, done bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.reading != nil {
-		// A connection that takes no deadline has ended, and with it the reading.
+	if c.readEnded != nil {
+		// An expired deadline ends the pending read. Setting it fails only on a closed connection,
+		// where that read has ended as well.
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
-		reading := c.reading
+		readEnded := c.readEnded
 		c.mutex.Unlock()
-		<-reading
+		<-readEnded
 		c.mutex.Lock()
-		c.reading = nil
+		c.readEnded = nil
 		_ = c.Conn.SetReadDeadline(c.deadline)
 	}
-	if len(c.ahead) > 0 {
-		count = copy(into, c.ahead)
-		c.ahead = c.ahead[count:]
+	if len(c.readBytes) > 0 {
+		count = copy(into, c.readBytes)
+		c.readBytes = c.readBytes[count:]
 		return count, true, nil
 	}
-	return 0, c.failure != nil, c.failure
+	return 0, c.readError != nil, c.readError
 }
 
-// readAhead begins to read ahead.
+// readAhead starts a goroutine that reads up to about maxReadAhead bytes, until a read fails or
+// takeReadAhead ends it.
 func (c *callerConnection) readAhead() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	ended := make(chan struct{})
-	c.reading = ended
+	c.readEnded = ended
 	go func() {
 		defer close(ended)
 		for buffer := make([]byte, 1<<10); ; {
 			count, err := c.Conn.Read(buffer)
 			c.mutex.Lock()
-			c.ahead = append(c.ahead, buffer[:count]...)
-			full := len(c.ahead) >= maxReadAhead
+			c.readBytes = append(c.readBytes, buffer[:count]...)
+			full := len(c.readBytes) >= maxReadAhead
 			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-				c.failure = err
+				c.readError = err
 			}
-			failed := c.failure != nil
+			failed := c.readError != nil
 			c.mutex.Unlock()
 			if failed {
-				c.gone()
+				c.onEnd()
 			}
 			if full || err != nil {
 				return
@@ -116,18 +122,18 @@
 	}()
 }
 
-// SetReadDeadline sets the server's deadline for reads.
+// SetReadDeadline sets the server's read deadline. While reading ahead, it takes effect afterwards.
 func (c *callerConnection) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.deadline = deadline
-	if c.reading != nil {
+	if c.readEnded != nil {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// SetDeadline sets the server's deadline for reads and writes.
+// SetDeadline sets the server's read and write deadlines.
 func (c *callerConnection) SetDeadline(deadline time.Time) error {
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return err
@@ -135,8 +141,8 @@
 	return c.SetWriteDeadline(deadline)
 }
 
-// Close closes the connection.
+// Close closes the connection and cancels the context of its requests.
 func (c *callerConnection) Close() error {
-	c.gone()
+	c.onEnd()
 	return c.Conn.Close()
 }
--- a/internal/edge/connection_limit.go
+++ b/internal/edge/connection_limit.go
@@ -7,42 +7,50 @@
 	"time"
 )
 
-// callerShare is the part of the process's file descriptors that callers' connections may take. The others are for connections to replicas
-// (up to 64 kept for each), to other nodes (two each), to the key-value service, and for files.
+// callerShare is the fraction of the process's file descriptors that callers' connections may use.
+// The others are for connections to replicas (up to 64 idle ones kept for each), to other nodes
+// (two each), to the key-value service, and for files.
 const callerShare = 0.5
 
-// connectionLimit keeps callers' connections below a number, so that those who come can always be accepted and replicas be reached: for a
-// new connection over the limit it closes one on which no request is served, that which has waited longest. Where all of them serve
-// requests, the new one is closed. It is safe for concurrent use.
+// connectionLimit limits the number of callers' connections, so that file descriptors remain for
+// accepting new ones and for reaching replicas. For a new connection over the limit it closes the
+// one that has been idle longest. If all others are serving requests, it closes the new one. It
+// is safe for concurrent use.
 type connectionLimit struct {
-	// most is the number of connections; 0 is no limit.
-	most    int
-	dropped func(waited time.Duration)
+	// maxConnections is the maximum number of connections; 0 means no limit.
+	maxConnections int
+	// onDrop is called for each connection closed, with the time since its state last changed.
+	onDrop func(waited time.Duration)
 
 	// mutex guards open.
 	mutex sync.Mutex
 	open  map[net.Conn]*openConnection
 }
 
-// connectionKey is that of the caller's connection in a request's context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// openConnection is what is known of one connection.
+// openConnection is the state of one open connection.
 type openConnection struct {
-	// serving says that a request is served; since is when that became so or ceased to be.
+	// serving is true while a request is served; since is when serving last changed, or when the
+	// connection was accepted.
 	serving bool
 	since   time.Time
 }
 
-// newConnectionLimit returns a limit for a process with so many file descriptors; 0 is no limit. dropped is called for each connection
-// that is closed.
-func newConnectionLimit(fileDescriptors int, dropped func(waited time.Duration)) *connectionLimit {
-	return &connectionLimit{most: int(callerShare * float64(fileDescriptors)), dropped: dropped, open: map[net.Conn]*openConnection{}}
+// newConnectionLimit returns a limit for a process that may have the given number of file
+// descriptors open; 0 means no limit. onDrop is called for each connection that the limit closes.
+func newConnectionLimit(fileDescriptors int, onDrop func(waited time.Duration)) *connectionLimit {
+	return &connectionLimit{
+		maxConnections: int(callerShare * float64(fileDescriptors)),
+		onDrop:         onDrop,
+		open:           map[net.Conn]*openConnection{},
+	}
 }
 
-// change follows connections as they come and go; it is the server's ConnState. One that has sent a part of a head only counts as
-// waiting.
-func (l *connectionLimit) change(connection net.Conn, state http.ConnState) {
+// connectionState records connections that open and close; it is the server's ConnState. A connection that
+// has sent only a part of a request header counts as idle.
+func (l *connectionLimit) connectionState(connection net.Conn, state http.ConnState) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
@@ -55,48 +63,50 @@
 	}
 }
 
-// serve has handler serve, and notes the connections on which it does.
-func (l *connectionLimit) serve(handler http.Handler) http.Handler {
+// wrapHandler wraps handler to record which connections are serving a request.
+func (l *connectionLimit) wrapHandler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		connection, _ := request.Context().Value(connectionKey{}).(net.Conn)
-		l.set(connection, true)
-		defer l.set(connection, false)
+		l.setServing(connection, true)
+		defer l.setServing(connection, false)
 		handler.ServeHTTP(writer, request)
 	})
 }
 
-func (l *connectionLimit) set(connection net.Conn, serving bool) {
+func (l *connectionLimit) setServing(connection net.Conn, serving bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.open[connection]; known != nil {
-		known.serving, known.since = serving, time.Now()
+	if state := l.open[connection]; state != nil {
+		state.serving, state.since = serving, time.Now()
 	}
 }
 
-// makeRoom closes connections until there are no more than the limit. The mutex is held.
+// makeRoom closes connections until the limit is met. The caller must hold the mutex.
 func (l *connectionLimit) makeRoom(now time.Time) {
-	for l.most > 0 && len(l.open) > l.most {
+	for l.maxConnections > 0 && len(l.open) > l.maxConnections {
 		chosen := l.leastNeeded()
-		l.dropped(now.Sub(l.open[chosen].since))
+		l.onDrop(now.Sub(l.open[chosen].since))
 		delete(l.open, chosen)
-		// Its end is what is wanted, whatever comes of it; the line of dropped says that it went.
+		// An error of Close does not matter: the connection is not used again, and onDrop has
+		// reported it.
 		_ = chosen.Close()
 	}
 }
 
-// leastNeeded returns a connection without a request, that which has waited longest, or else the newest. The mutex is held.
+// leastNeeded returns the connection that has been idle longest, or the newest one if none is idle.
+// The caller must hold the mutex.
 func (l *connectionLimit) leastNeeded() net.Conn {
 	var chosen net.Conn
-	for connection, each := range l.open {
-		if chosen == nil || each.before(l.open[chosen]) {
+	for connection, candidate := range l.open {
+		if chosen == nil || candidate.closesBefore(l.open[chosen]) {
 			chosen = connection
 		}
 	}
 	return chosen
 }
 
-// before says that a connection is closed rather than another.
-func (o *openConnection) before(other *openConnection) bool {
+// closesBefore reports whether this connection is to be closed before the other one.
+func (o *openConnection) closesBefore(other *openConnection) bool {
 	if o.serving != other.serving {
 		return !o.serving
 	}
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -1,2 +1,3 @@
-// Package edge is the process that callers reach: its listeners, its readiness and its planned stop.
+// Package edge runs the HTTP server of a process that accepts callers: its listeners, its readiness
+// and its graceful shutdown.
 package edge
--- a/internal/edge/gone_fake_test.go
+++ b/internal/edge/gone_fake_test.go
@@ -28,15 +28,15 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// patience bounds the wait for what must happen; a test that passes does not wait for it.
-const patience = 10 * time.Second
+// eventTimeout is the timeout of an expected event; a passing test does not wait that long.
+const eventTimeout = 10 * time.Second
 
-// recordingNetwork is the system's network on ports of its choice.
+// recordingNetwork is the system's network, listening on ports chosen by the system.
 type recordingNetwork struct {
 	network.System
 	mutex     sync.Mutex
 	listeners map[netip.AddrPort]net.Listener
-	// dial replaces Dial where it is set.
+	// dial replaces Dial if set.
 	dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 }
 
@@ -55,11 +55,12 @@
 	return n.System.Dial(ctx, address)
 }
 
-// socketReplica is a replica on a socket that serves by a script, and tells which requests came and that a connection has ended.
+// socketReplica is a replica that listens on a TCP socket and serves by a script.
 type socketReplica struct {
 	listener net.Listener
-	arrived  chan string
-	ended    chan string
+	// arrived receives the id of each request, ended the id when its connection has ended.
+	arrived chan string
+	ended   chan string
 }
 
 func startReplica(t *testing.T, script func(connection net.Conn, request *http.Request)) *socketReplica {
@@ -100,16 +101,17 @@
 	return r.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// silentScript sends nothing.
+// silentScript is a script that sends nothing.
 func silentScript(net.Conn, *http.Request) {}
 
-// firstEvent sends the head and one event of a stream.
+// firstEvent is a script that sends the header and one event of a stream.
 func firstEvent(connection net.Conn, request *http.Request) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: x\n\n\r\n",
 		request.Header.Get(replicatest.Headers.RequestID))
 }
 
-// eventThenBreak sends one event and breaks off, but for a request that goes on behind it.
+// eventThenBreak is a script that sends one event and closes the connection for writing; to a
+// request that resumes the stream it sends nothing.
 func eventThenBreak(connection net.Conn, request *http.Request) {
 	if request.Header.Get(replicatest.Headers.LastEventID) == "" {
 		firstEvent(connection, request)
@@ -117,7 +119,7 @@
 	}
 }
 
-// waitingQuota decides on nothing until the caller is gone.
+// waitingQuota is a quota that blocks until the caller has disconnected, and then admits.
 type waitingQuota struct{ asked func() }
 
 func (q waitingQuota) Admit(ctx context.Context, _ *tenant.Tenant, _ int64) quota.Verdict {
@@ -128,7 +130,7 @@
 
 func (waitingQuota) GiveBack(*tenant.Tenant) {}
 
-// recordingSubmitter takes submissions.
+// recordingSubmitter accepts submissions and records their bodies.
 type recordingSubmitter struct{ submitted chan []byte }
 
 func (r recordingSubmitter) Submit(writer http.ResponseWriter, _ *http.Request, _ forward.Authenticated, body []byte) {
@@ -136,7 +138,7 @@
 	writer.WriteHeader(http.StatusAccepted)
 }
 
-// fullDemand has other nodes' callers want far more than there is.
+// fullDemand reports a demand of other nodes that far exceeds the capacity.
 type fullDemand struct{ reached func() }
 
 func (d fullDemand) OthersDemand(string, time.Time) (loadshare.Demand, bool) {
@@ -146,32 +148,37 @@
 // KeepFresh is called while requests are held.
 func (d fullDemand) KeepFresh() { d.reached() }
 
-// goneTest is an edge on sockets before two replicas.
-type goneTest struct {
+// edgeHarness is a Server in front of two replicas, all on TCP sockets.
+type edgeHarness struct {
 	t        *testing.T
-	via      *recordingNetwork
+	network  *recordingNetwork
 	server   *Server
 	routes   *route.Holder
 	replicas []*socketReplica
-	// log holds the log's lines.
+	// log receives the log lines of the handler.
 	log             chan string
 	fileDescriptors int
 }
 
-// Write takes a log line.
-func (g *goneTest) Write(line []byte) (int, error) {
-	g.log <- string(line)
+// Write implements io.Writer for the logger.
+func (h *edgeHarness) Write(line []byte) (int, error) {
+	h.log <- string(line)
 	return len(line), nil
 }
 
-func newGoneTest(t *testing.T, script func(net.Conn, *http.Request), change func(*goneTest, *forward.Options)) *goneTest {
+func newEdgeHarness(t *testing.T, script func(net.Conn, *http.Request), configure func(*edgeHarness, *forward.Options)) *edgeHarness {
 	t.Helper()
-	test := &goneTest{t: t, via: &recordingNetwork{listeners: map[netip.AddrPort]net.Listener{}}, routes: route.NewHolder(), log: make(chan string, 1024)}
+	harness := &edgeHarness{
+		t:       t,
+		network: &recordingNetwork{listeners: map[netip.AddrPort]net.Listener{}},
+		routes:  route.NewHolder(),
+		log:     make(chan string, 1024),
+	}
 	directory := replica.NewDirectory()
 	var infos []replica.Info
 	for index := range 2 {
 		started := startReplica(t, script)
-		test.replicas = append(test.replicas, started)
+		harness.replicas = append(harness.replicas, started)
 		infos = append(infos, replica.Info{ID: fmt.Sprint("i", index), Service: "s", Address: started.address(), Slots: 1})
 	}
 	directory.Replace(infos)
@@ -180,25 +187,33 @@
 		t.Fatal(err)
 	}
 	options := forward.Options{
-		Routes: test.routes, Directory: directory, Picker: balance.NewPicker(directory, region.Topology{}, nil), Client: replica.NewClient(test.via, replicatest.Headers),
-		Logger: zerolog.New(test), Metrics: metrics,
+		Routes:    harness.routes,
+		Directory: directory,
+		Picker:    balance.NewPicker(directory, region.Topology{}, nil),
+		Client:    replica.NewClient(harness.network, replicatest.Headers),
+		Logger:    zerolog.New(harness),
+		Metrics:   metrics,
 	}
-	test.routes.Offer(goneTable(1))
-	if change != nil {
-		change(test, &options)
+	harness.routes.Offer(harnessTable(1))
+	if configure != nil {
+		configure(harness, &options)
 	}
-	test.server = NewServer(Options{
-		Handler: forward.NewHandler(options), Logger: zerolog.Nop(), Network: test.via, Grace: time.Millisecond, FileDescriptors: test.fileDescriptors,
-		Addresses: Addresses{Callers: callers, Readiness: readiness, ReadyPath: "/ready"},
+	harness.server = NewServer(Options{
+		Handler:         forward.NewHandler(options),
+		Logger:          zerolog.Nop(),
+		Network:         harness.network,
+		Grace:           time.Millisecond,
+		FileDescriptors: harness.fileDescriptors,
+		Addresses:       Addresses{Callers: callers, Readiness: readiness, ReadyPath: "/ready"},
 	})
-	if err := test.server.Start(t.Context()); err != nil {
+	if err := harness.server.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { test.server.Stop(context.Background()) })
-	return test
+	t.Cleanup(func() { harness.server.Stop(context.Background()) })
+	return harness
 }
 
-func goneTable(version int64) *route.Table {
+func harnessTable(version int64) *route.Table {
 	table := route.NewTable(version, []*route.Route{{
 		Name: "r", Host: "h.example", Prefix: "/p/", Kind: route.Stream, Resumable: true, Attempts: 2, Backends: []route.Backend{{Service: "s", Weight: 1}},
 	}, {
@@ -210,64 +225,64 @@
 	return table
 }
 
-// send connects and sends a request, of which the last bytes are left out.
-func (g *goneTest) send(id string, left int) *net.TCPConn {
-	g.t.Helper()
-	connection := g.connect()
+// send connects and sends a request without its last omitted bytes.
+func (h *edgeHarness) send(id string, omitted int) *net.TCPConn {
+	h.t.Helper()
+	connection := h.connect()
 	text := "POST /p/x HTTP/1.1\r\nHost: h.example\r\nX-Id: " + id + "\r\nX-Key: key\r\nX-Deadline: 60000\r\nContent-Length: 4\r\n\r\nbody"
-	if _, err := io.WriteString(connection, text[:len(text)-left]); err != nil {
-		g.t.Fatal(err)
+	if _, err := io.WriteString(connection, text[:len(text)-omitted]); err != nil {
+		h.t.Fatal(err)
 	}
 	return connection
 }
 
-// connect opens a connection as a caller does.
-func (g *goneTest) connect() *net.TCPConn {
-	g.t.Helper()
-	g.via.mutex.Lock()
-	address := g.via.listeners[callers].Addr().String()
-	g.via.mutex.Unlock()
+// connect opens a connection to the callers' listener.
+func (h *edgeHarness) connect() *net.TCPConn {
+	h.t.Helper()
+	h.network.mutex.Lock()
+	address := h.network.listeners[callers].Addr().String()
+	h.network.mutex.Unlock()
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	g.t.Cleanup(func() { _ = connection.Close() })
+	h.t.Cleanup(func() { _ = connection.Close() })
 	return connection.(*net.TCPConn)
 }
 
-// expect waits for an event of any replica.
-func (g *goneTest) expect(what string, pick func(*socketReplica) chan string, id string) {
-	g.t.Helper()
-	timer := time.NewTimer(patience)
+// expect waits until either replica sends id on the channel that pick returns.
+func (h *edgeHarness) expect(what string, pick func(*socketReplica) chan string, id string) {
+	h.t.Helper()
+	timer := time.NewTimer(eventTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case got := <-pick(g.replicas[0]):
+		case got := <-pick(h.replicas[0]):
 			if got == id {
 				return
 			}
-		case got := <-pick(g.replicas[1]):
+		case got := <-pick(h.replicas[1]):
 			if got == id {
 				return
 			}
 		case <-timer.C:
-			g.t.Fatalf("request %s: %s did not happen", id, what)
+			h.t.Fatalf("request %s: %s did not happen", id, what)
 		}
 	}
 }
 
-func (g *goneTest) expectArrival(id string) {
-	g.t.Helper()
-	g.expect("the arrival at a replica", func(r *socketReplica) chan string { return r.arrived }, id)
+func (h *edgeHarness) expectArrival(id string) {
+	h.t.Helper()
+	h.expect("the arrival at a replica", func(r *socketReplica) chan string { return r.arrived }, id)
 }
 
-func (g *goneTest) expectEnd(id string) {
-	g.t.Helper()
-	g.expect("the end of the replica's work", func(r *socketReplica) chan string { return r.ended }, id)
+func (h *edgeHarness) expectEnd(id string) {
+	h.t.Helper()
+	h.expect("the end of the replica's work", func(r *socketReplica) chan string { return r.ended }, id)
 }
 
-// waysToLeave are those by which a caller leaves.
-var waysToLeave = map[string]func(*net.TCPConn){
+// waysToDisconnect holds the ways in which a caller can disconnect.
+var waysToDisconnect = map[string]func(*net.TCPConn){
 	"closed":      func(connection *net.TCPConn) { _ = connection.Close() },
 	"half closed": func(connection *net.TCPConn) { _ = connection.CloseWrite() },
 	"reset": func(connection *net.TCPConn) {
@@ -276,7 +291,7 @@
 	},
 }
 
-// readEvents reads so many events of a stream.
+// readEvents reads count events of a stream.
 func readEvents(t *testing.T, from io.Reader, count int) {
 	t.Helper()
 	reader := bufio.NewReader(from)
@@ -295,35 +310,35 @@
 	t.Helper()
 	select {
 	case <-event:
-	case <-time.After(patience):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(eventTimeout):
+		t.Fatalf("timeout while waiting for %s", what)
 	}
 }
 
-// awaitLog waits for a log line that has text in it.
-func (g *goneTest) awaitLog(text string) {
-	g.t.Helper()
-	timer := time.NewTimer(patience)
+// awaitLog waits for a log line that contains text.
+func (h *edgeHarness) awaitLog(text string) {
+	h.t.Helper()
+	timer := time.NewTimer(eventTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case line := <-g.log:
+		case line := <-h.log:
 			if strings.Contains(line, text) {
 				return
 			}
 		case <-timer.C:
-			g.t.Fatalf("no log line with %s", text)
+			h.t.Fatalf("timeout while waiting for a log line with %s", text)
 		}
 	}
 }
 
-// expectNoArrival fails where a request has come to a replica.
-func (g *goneTest) expectNoArrival(id string) {
-	g.t.Helper()
-	for _, each := range g.replicas {
-		for range len(each.arrived) {
-			if got := <-each.arrived; got == id {
-				g.t.Errorf("request %s came to a replica after its caller had left", id)
+// expectNoArrival fails the test if a request with this id has arrived at a replica.
+func (h *edgeHarness) expectNoArrival(id string) {
+	h.t.Helper()
+	for _, socket := range h.replicas {
+		for range len(socket.arrived) {
+			if got := <-socket.arrived; got == id {
+				h.t.Errorf("request %s arrived at a replica after its caller had disconnected", id)
 			}
 		}
 	}
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -19,60 +19,65 @@
 )
 
 const (
-	// headerTimeout, maxHeaderBytes and idleTimeout are wider than what any configuration asks of callers.
+	// headerTimeout, maxHeaderBytes and idleTimeout are less strict than any configuration's limits
+	// for callers.
 	headerTimeout  = 15 * time.Second
 	maxHeaderBytes = 64 << 10
 	idleTimeout    = 2 * time.Minute
-	// leaveNotice is how long a process that stops keeps its connections open, so that those who give them out hear of it.
-	leaveNotice = 2500 * time.Millisecond
-	// stopMargin is kept between the end of the last answer and the end of the process's time.
+	// notReadyDelay is how long a stopping process keeps accepting connections, so that load balancers
+	// notice that it is not ready.
+	notReadyDelay = 2500 * time.Millisecond
+	// stopMargin is the time between the deadline for the last answer and the end of the grace
+	// period.
 	stopMargin = 700 * time.Millisecond
-	// defaultGrace holds where the settings name no time to stop in.
-	defaultGrace = 30 * time.Second
+	// defaultGracePeriod is the grace period if the settings have none.
+	defaultGracePeriod = 30 * time.Second
 )
 
-// Server serves callers and tells whether it takes new ones.
+// Server serves callers and reports whether it is ready for new ones.
 type Server struct {
-	handler *forward.Handler
-	logger  zerolog.Logger
-	grace   time.Duration
+	handler     *forward.Handler
+	logger      zerolog.Logger
+	gracePeriod time.Duration
 
-	callers   *http.Server
-	readiness *http.Server
-	via       network.Network
-	addresses Addresses
-	leaving   atomic.Bool
-	serving   sync.WaitGroup
+	callerServer    *http.Server
+	readinessServer *http.Server
+	network         network.Network
+	addresses       Addresses
+	stopping        atomic.Bool
+	serveLoops      sync.WaitGroup
 }
 
 // Addresses of a Server.
 type Addresses struct {
 	Callers   netip.AddrPort
 	Readiness netip.AddrPort
-	// ReadyPath is where readiness is asked for.
+	// ReadyPath is the HTTP path of the readiness check.
 	ReadyPath string
 }
 
-// Options of a Server. Calls adds routes that stand before all others.
+// Options of a Server.
 type Options struct {
 	Handler   *forward.Handler
 	Logger    zerolog.Logger
 	Network   network.Network
 	Addresses Addresses
-	Grace     time.Duration
-	// FileDescriptors is what the process may have open; 0 is no bound.
+	// Grace is the time that Stop may take; 0 means defaultGrace.
+	Grace time.Duration
+	// FileDescriptors is the number that the process may have open; 0 means no limit.
 	FileDescriptors int
-	Calls           func(router *mux.Router)
+	// Calls, if set, adds routes that take precedence over Handler.
+	Calls func(router *mux.Router)
 }
 
-// NewServer returns a Server; nothing listens before Start.
+// NewServer returns a Server. It does not listen before Start.
 func NewServer(options Options) *Server {
 	server := &Server{
-		handler: options.Handler, via: options.Network, addresses: options.Addresses,
-		logger: options.Logger.With().Str(logging.FieldSlice, "edge").Logger(), grace: options.Grace,
+		handler: options.Handler, network: options.Network, addresses: options.Addresses,
+		logger: options.Logger.With().Str(logging.FieldSlice, "edge").Logger(), gracePeriod: options.Grace,
 	}
-	if server.grace <= 0 {
-		server.grace = defaultGrace
+	if server.gracePeriod <= 0 {
+		server.gracePeriod = defaultGracePeriod
 	}
 	limit := newConnectionLimit(options.FileDescriptors, func(waited time.Duration) {
 		server.logger.Info().Dur("waited", waited).Msg("caller_connection_dropped")
@@ -83,42 +88,51 @@
 	}
 	router.NotFoundHandler = options.Handler
 	router.MethodNotAllowedHandler = options.Handler
-	server.callers = &http.Server{
-		Handler: limit.serve(router), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: logging.Discard(), ConnContext: withCaller, ConnState: limit.change,
+	server.callerServer = &http.Server{
+		Handler:           limit.wrapHandler(router),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          logging.Discard(),
+		ConnContext:       connectionContext,
+		ConnState:         limit.connectionState,
 	}
 	readiness := mux.NewRouter()
 	readiness.HandleFunc(options.Addresses.ReadyPath, server.serveReady).Methods(http.MethodGet)
-	server.readiness = &http.Server{Handler: readiness, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: logging.Discard()}
+	server.readinessServer = &http.Server{
+		Handler: readiness, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: logging.Discard(),
+	}
 	return server
 }
 
-// Start listens, for callers first: where readiness answers that the process is ready, callers can connect to it.
+// Start listens and serves. It listens for callers before the readiness check, so that callers can
+// connect once the process reports ready.
 func (s *Server) Start(ctx context.Context) error {
-	for _, each := range []struct {
+	for _, endpoint := range []struct {
 		server  *http.Server
 		address netip.AddrPort
-	}{{s.callers, s.addresses.Callers}, {s.readiness, s.addresses.Readiness}} {
-		listener, err := s.via.Listen(ctx, each.address)
+	}{{s.callerServer, s.addresses.Callers}, {s.readinessServer, s.addresses.Readiness}} {
+		listener, err := s.network.Listen(ctx, endpoint.address)
 		if err != nil {
 			return err
 		}
-		s.serve(each.server, callerListener{listener})
+		s.serve(endpoint.server, callerListener{listener})
 	}
 	return nil
 }
 
 func (s *Server) serve(server *http.Server, listener net.Listener) {
-	s.serving.Go(func() {
+	s.serveLoops.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			s.logger.Error().Err(err).Msg("listener_failed")
 		}
 	})
 }
 
-// Ready says that the process knows what it needs to serve and does not stop.
+// Ready reports whether the process has the configuration that it needs to serve and is not
+// stopping.
 func (s *Server) Ready() bool {
-	return !s.leaving.Load() && s.handler.Known()
+	return !s.stopping.Load() && s.handler.Known()
 }
 
 func (s *Server) serveReady(writer http.ResponseWriter, _ *http.Request) {
@@ -129,21 +143,22 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// Stop is the planned stop: the process calls itself not ready, serves on until that is known, then closes idle
-// connections and waits for the answers under way.
+// Stop shuts the server down gracefully: it reports not ready, continues to serve for notReadyDelay
+// (a third of the grace period at most), then closes idle connections and waits for the requests in
+// flight until stopMargin before the end of the grace period.
 func (s *Server) Stop(ctx context.Context) {
-	began := time.Now()
-	s.leaving.Store(true)
+	started := time.Now()
+	s.stopping.Store(true)
 	s.handler.Leave()
-	bounded, cancel := context.WithDeadline(ctx, began.Add(s.grace-stopMargin))
+	graceContext, cancel := context.WithDeadline(ctx, started.Add(s.gracePeriod-stopMargin))
 	defer cancel()
 	select {
-	case <-time.After(min(leaveNotice, s.grace/3)):
-	case <-bounded.Done():
+	case <-time.After(min(notReadyDelay, s.gracePeriod/3)):
+	case <-graceContext.Done():
 	}
-	err := s.callers.Shutdown(bounded)
-	s.logger.Info().Err(err).Dur("took", time.Since(began)).Msg("callers_served")
-	_ = s.callers.Close()
-	_ = s.readiness.Close()
-	s.serving.Wait()
+	err := s.callerServer.Shutdown(graceContext)
+	s.logger.Info().Err(err).Dur("took", time.Since(started)).Msg("callers_served")
+	_ = s.callerServer.Close()
+	_ = s.readinessServer.Close()
+	s.serveLoops.Wait()
 }
--- a/internal/edge/server_test.go
+++ b/internal/edge/server_test.go
@@ -22,7 +22,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// pipeNetwork listens in memory and dials through the scripted replicas.
+// pipeNetwork listens in memory and dials scripted replicas.
 type pipeNetwork struct {
 	*replicatest.Network
 	pipes *networktest.Pipes
@@ -32,7 +32,7 @@
 	return n.pipes.Listen(ctx, address)
 }
 
-// get makes one GET on a connection of its own; 0 is no answer.
+// get sends one GET on a new connection and returns its status, or 0 if there is no answer.
 func (n *pipeNetwork) get(address netip.AddrPort, path string) int {
 	connection, err := n.pipes.Dial(context.Background(), address)
 	if err != nil {
@@ -104,7 +104,8 @@
 	})
 }
 
-// TestPlannedStop: not ready at once, the answer under way comes whole, and all ends within the grace time.
+// TestPlannedStop checks that a stopping server is not ready at once, completes the request in
+// flight, and stops within the grace period.
 func TestPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(connection net.Conn, request *http.Request) bool {
@@ -116,7 +117,7 @@
 		answered := make(chan int, 1)
 		go func() { answered <- network.get(callers, "/p/x") }()
 		time.Sleep(time.Second)
-		began := time.Now()
+		started := time.Now()
 		stopped := make(chan struct{})
 		go func() {
 			server.Stop(t.Context())
@@ -127,10 +128,10 @@
 			t.Errorf("ready answers %d while the process stops", status)
 		}
 		if status := <-answered; status != http.StatusOK {
-			t.Errorf("the answer under way ends with %d", status)
+			t.Errorf("the request in flight was answered with %d", status)
 		}
 		<-stopped
-		if took := time.Since(began); took > 8*time.Second {
+		if took := time.Since(started); took > 8*time.Second {
 			t.Errorf("the stop took %s", took)
 		}
 		network.CloseAll()
