--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -42,7 +42,7 @@
 
 	callerServer    *http.Server
 	readinessServer *http.Server
-	network         network.Network
+	listenNetwork   network.Network
 	addresses       Addresses
 	stopping        atomic.Bool
 	serveLoops      sync.WaitGroup
@@ -73,7 +73,7 @@
 // NewServer returns a Server. It does not listen before Start.
 func NewServer(options Options) *Server {
 	server := &Server{
-		handler: options.Handler, network: options.Network, addresses: options.Addresses,
+		handler: options.Handler, listenNetwork: options.Network, addresses: options.Addresses,
 		logger: options.Logger.With().Str(logging.FieldSlice, "edge").Logger(), gracePeriod: options.Grace,
 	}
 	if server.gracePeriod <= 0 {
@@ -112,7 +112,7 @@
 		server  *http.Server
 		address netip.AddrPort
 	}{{s.callerServer, s.addresses.Callers}, {s.readinessServer, s.addresses.Readiness}} {
-		listener, err := s.network.Listen(ctx, endpoint.address)
+		listener, err := s.listenNetwork.Listen(ctx, endpoint.address)
 		if err != nil {
 			return err
 		}
