--- a/internal/gateway/authentication.go
+++ b/internal/gateway/authentication.go
@@ -15,12 +15,12 @@
 
 var errUnauthorized = outcome.New(outcome.NotRun, outcome.ReasonUnauthorized, "a valid bearer key is required")
 
-// errNoConfiguration is told while no configuration is in force: no key can be judged.
+// errNoConfiguration is returned while no configuration is in force, since no key can be checked.
 var errNoConfiguration = outcome.New(outcome.NotRun, outcome.ReasonUnavailable,
 	"no configuration is in force on this node yet; send the request to another one").After(time.Second)
 
-// tenantOf finds the tenant of a request by the digest of its bearer key.
-func tenantOf(snapshot *config.Snapshot, r *http.Request) (*config.Tenant, error) {
+// authenticate returns the tenant of a request, looked up by the SHA-256 digest of its bearer key.
+func authenticate(snapshot *config.Snapshot, r *http.Request) (*config.Tenant, error) {
 	if snapshot.Revision == 0 {
 		return nil, errNoConfiguration
 	}
--- a/internal/gateway/batch_body.go
+++ b/internal/gateway/batch_body.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/job"
 )
 
-// Batch states of OpenAI's interface.
+// Batch states of the OpenAI API.
 const (
 	batchInProgress = "in_progress"
 	batchCompleted  = "completed"
@@ -15,7 +15,7 @@
 	batchExpired    = "expired"
 )
 
-// batchBody is OpenAI's batch object.
+// batchBody is the batch object of the OpenAI API.
 type batchBody struct {
 	ID               string            `json:"id"`
 	Object           string            `json:"object"`
@@ -33,7 +33,7 @@
 	CancelledAt      int64             `json:"cancelled_at,omitempty"`
 	RequestCounts    requestCounts     `json:"request_counts"`
 	Metadata         map[string]string `json:"metadata"`
-	// AtRisk is this system's own: the batch will not make its deadline at its present rate.
+	// AtRisk is an extension of the OpenAI API: the batch will miss its deadline at its current rate.
 	AtRisk bool `json:"at_risk"`
 }
 
@@ -43,7 +43,7 @@
 	Failed    int `json:"failed"`
 }
 
-func batchBodyOf(status job.Status) batchBody {
+func newBatchBody(status job.Status) batchBody {
 	body := batchBody{
 		ID:               status.ID,
 		Object:           objectBatch,
@@ -51,14 +51,14 @@
 		InputFileID:      status.Metadata[metadataInput],
 		CompletionWindow: status.Metadata[metadataWindow],
 		Status:           batchInProgress,
-		CreatedAt:        unixOf(status.AcceptedAt),
-		InProgressAt:     unixOf(status.AcceptedAt),
-		ExpiresAt:        unixOf(status.Deadline),
+		CreatedAt:        unixSeconds(status.AcceptedAt),
+		InProgressAt:     unixSeconds(status.AcceptedAt),
+		ExpiresAt:        unixSeconds(status.Deadline),
 		RequestCounts:    requestCounts{Total: status.Total, Completed: status.Completed, Failed: status.Failed},
-		Metadata:         callersMetadata(status.Metadata),
+		Metadata:         callerMetadata(status.Metadata),
 		AtRisk:           status.AtRisk,
 	}
-	ended := unixOf(status.EndedAt)
+	ended := unixSeconds(status.EndedAt)
 	switch status.Phase {
 	case job.PhaseCompleted:
 		body.Status, body.CompletedAt = batchCompleted, ended
@@ -78,20 +78,21 @@
 	return body
 }
 
-// unixOf is 0 for the zero time, as OpenAI's interface has it.
-func unixOf(at time.Time) int64 {
-	if at.IsZero() {
+// unixSeconds returns Unix seconds, and 0 for the zero time as in the OpenAI API.
+func unixSeconds(instant time.Time) int64 {
+	if instant.IsZero() {
 		return 0
 	}
-	return at.Unix()
+	return instant.Unix()
 }
 
-func callersMetadata(kept map[string]string) map[string]string {
-	shown := map[string]string{}
-	for key, value := range kept {
+// callerMetadata returns a job's metadata without the reserved keys.
+func callerMetadata(stored map[string]string) map[string]string {
+	visible := map[string]string{}
+	for key, value := range stored {
 		if !strings.HasPrefix(key, reservedMetadata) {
-			shown[key] = value
+			visible[key] = value
 		}
 	}
-	return shown
+	return visible
 }
--- a/internal/gateway/batch_output.go
+++ b/internal/gateway/batch_output.go
@@ -16,7 +16,8 @@
 	errorsPrefix = "errors-"
 )
 
-// outputID names the results of a job as a file: those with an answer, or those without.
+// outputID identifies the results of a job as a file: either the results with an answer, or those
+// without one.
 type outputID struct {
 	job    string
 	errors bool
@@ -30,15 +31,16 @@
 	return outputPrefix + o.job
 }
 
+// parseOutputID parses a file id; it returns false if the id is not that of a job's results.
 func parseOutputID(id string) (outputID, bool) {
-	if name, is := strings.CutPrefix(id, outputPrefix); is {
+	if name, ok := strings.CutPrefix(id, outputPrefix); ok {
 		return outputID{job: name}, true
 	}
-	name, is := strings.CutPrefix(id, errorsPrefix)
-	return outputID{job: name, errors: true}, is
+	name, ok := strings.CutPrefix(id, errorsPrefix)
+	return outputID{job: name, errors: true}, ok
 }
 
-// resultLine is one line of OpenAI's batch output.
+// resultLine is one line of a batch output file of the OpenAI API.
 type resultLine struct {
 	ID       string          `json:"id"`
 	CustomID string          `json:"custom_id"`
@@ -57,7 +59,7 @@
 	Message string `json:"message"`
 }
 
-func resultLineOf(jobID string, result job.ItemResult) resultLine {
+func newResultLine(jobID string, result job.ItemResult) resultLine {
 	id := fmt.Sprintf("%s-%d", jobID, result.Index)
 	line := resultLine{ID: "batch_req_" + id, CustomID: result.CustomID}
 	if result.Status > 0 && len(result.Body) > 0 {
@@ -71,19 +73,19 @@
 
 func hasAnswer(result job.ItemResult) bool { return result.Outcome == string(outcome.Completed) }
 
-// writeResults writes the job's results of the asked sort as JSONL, in item order.
-func (s *Server) writeResults(r *http.Request, call call, output outputID, to io.Writer) error {
+// writeResults writes the job's results selected by output as JSONL, in item order.
+func (s *Server) writeResults(r *http.Request, call authenticatedCall, output outputID, to io.Writer) error {
 	encoder := json.NewEncoder(to)
 	encoder.SetEscapeHTML(false)
 	return s.jobs.Results(r.Context(), call.tenant.Name, output.job, 0, func(result job.ItemResult) error {
 		if hasAnswer(result) == output.errors {
 			return nil
 		}
-		return encoder.Encode(resultLineOf(output.job, result))
+		return encoder.Encode(newResultLine(output.job, result))
 	})
 }
 
-func (s *Server) writeOutput(w http.ResponseWriter, r *http.Request, call call, output outputID) error {
+func (s *Server) writeOutput(w http.ResponseWriter, r *http.Request, call authenticatedCall, output outputID) error {
 	if _, err := s.jobs.Status(r.Context(), call.tenant.Name, output.job); err != nil {
 		return err
 	}
@@ -94,25 +96,27 @@
 	return content.end()
 }
 
-// outputFile describes the results as a file; its length is counted by writing it to nowhere.
-func (s *Server) outputFile(r *http.Request, call call, output outputID) (fileBody, error) {
+// outputFile describes the results as a file. To know the length, it encodes all results and
+// discards the content.
+func (s *Server) outputFile(r *http.Request, call authenticatedCall, output outputID) (fileBody, error) {
 	status, err := s.jobs.Status(r.Context(), call.tenant.Name, output.job)
 	if err != nil {
 		return fileBody{}, err
 	}
-	var counted countingWriter
-	if err := s.writeResults(r, call, output, &counted); err != nil {
+	var counter countingWriter
+	if err := s.writeResults(r, call, output, &counter); err != nil {
 		return fileBody{}, err
 	}
 	return fileBody{
-		ID: output.String(), Object: objectFile, Bytes: counted.bytes, CreatedAt: unixOf(status.EndedAt),
+		ID: output.String(), Object: objectFile, Bytes: counter.bytes, CreatedAt: unixSeconds(status.EndedAt),
 		Filename: output.String() + ".jsonl", Purpose: purposeBatchOutput, Status: "processed",
 	}, nil
 }
 
+// countingWriter counts the bytes written to it and discards them.
 type countingWriter struct{ bytes int64 }
 
-// Write counts only.
+// Write implements io.Writer.
 func (c *countingWriter) Write(content []byte) (int, error) {
 	c.bytes += int64(len(content))
 	return len(content), nil
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -25,18 +25,19 @@
 	maxMetadataBytes    = 512
 	maxCompletionWindow = 14 * 24 * time.Hour
 	defaultRetention    = 7 * 24 * time.Hour
-	// reservedMetadata begins the keys under which this slice keeps its own fields with a
-	// job; callers never see them.
+	// reservedMetadata is the prefix of the metadata keys in which the gateway stores its own fields
+	// with a job. They are not shown to callers.
 	reservedMetadata = "sloelift/"
 	metadataInput    = reservedMetadata + "input_file_id"
 	metadataWindow   = reservedMetadata + "completion_window"
-	// metadataJob and metadataService are caller's metadata that the system reads.
+	// metadataJob, metadataService and metadataPriority are keys of the caller's metadata that the
+	// gateway reads.
 	metadataJob      = "job"
 	metadataService  = "service"
 	metadataPriority = "priority"
 )
 
-// batchRequest is the body of a batch's creation.
+// batchRequest is the request body that creates a batch.
 type batchRequest struct {
 	InputFileID      string            `json:"input_file_id"`
 	Endpoint         string            `json:"endpoint"`
@@ -44,7 +45,7 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
-func (s *Server) createBatch(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) createBatch(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	body, release, err := s.bodies.read(w, r)
 	if err != nil {
 		return err
@@ -62,22 +63,22 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, batchBodyOf(status))
+	writeJSON(w, http.StatusOK, newBatchBody(status))
 	return nil
 }
 
-// submit streams the input file into the job.
+// submit submits a job and streams the input file to it as its items.
 func (s *Server) submit(ctx context.Context, submission job.Submission, fileID string) (job.Status, error) {
 	if _, err := s.files.Get(ctx, submission.Tenant, fileID); err != nil {
 		return job.Status{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	items, to := io.Pipe()
+	items, writer := io.Pipe()
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		_ = to.CloseWithError(s.files.Read(ctx, submission.Tenant, fileID, to))
+		_ = writer.CloseWithError(s.files.Read(ctx, submission.Tenant, fileID, writer))
 	}()
 	submission.Items = items
 	status, err := s.jobs.Submit(ctx, submission)
@@ -86,7 +87,7 @@
 	return status, err
 }
 
-func (b *batchRequest) submission(r *http.Request, call call) (job.Submission, error) {
+func (b *batchRequest) submission(r *http.Request, call authenticatedCall) (job.Submission, error) {
 	if err := b.check(); err != nil {
 		return job.Submission{}, err
 	}
@@ -115,7 +116,7 @@
 		Operation: engine.Operation(b.Endpoint),
 		Deadline:  window,
 		Retention: defaultRetention,
-		Metadata:  b.keptMetadata(),
+		Metadata:  b.storedMetadata(),
 	}
 	submission.NotRepeatable = r.Header.Get(headerNotRepeatable) == "true"
 	if template != nil {
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// template is the declared Job that metadata names; nil where it names none.
-func (b *batchRequest) template(call call) (*config.Job, error) {
+// template returns the declared Job named in the metadata, and nil if none is named.
+func (b *batchRequest) template(call authenticatedCall) (*config.Job, error) {
 	name := b.Metadata[metadataJob]
 	if name == "" {
 		return nil, nil
@@ -156,7 +157,9 @@
 	return template, nil
 }
 
-func (b *batchRequest) service(call call, template *config.Job) (*config.Service, error) {
+// service returns the service that runs the batch: the one named in the metadata, else the
+// template's, else the tenant's only service.
+func (b *batchRequest) service(call authenticatedCall, template *config.Job) (*config.Service, error) {
 	name := b.Metadata[metadataService]
 	if name == "" && template != nil {
 		name = template.Service
@@ -167,14 +170,16 @@
 		}
 		return nil, notFound(fmt.Sprintf("service %q is not there for this tenant", name))
 	}
-	services := servicesOf(call.snapshot, call.tenant)
+	services := tenantServices(call.snapshot, call.tenant)
 	if len(services) != 1 {
 		return nil, invalid("metadata: service or job must say which of the tenant's services runs the batch")
 	}
 	return services[0], nil
 }
 
-func (b *batchRequest) priority(r *http.Request, call call, template *config.Job) (*config.Priority, error) {
+// priority returns the batch's priority: the one named in the header, else in the metadata, else
+// the template's, else the default one.
+func (b *batchRequest) priority(r *http.Request, call authenticatedCall, template *config.Job) (*config.Priority, error) {
 	name := r.Header.Get(headerPriority)
 	if name == "" {
 		name = b.Metadata[metadataPriority]
@@ -182,10 +187,11 @@
 	if name == "" && template != nil {
 		name = template.Priority
 	}
-	return priorityOf(call.snapshot, name, "", false)
+	return resolvePriority(call.snapshot, name, "", false)
 }
 
-// window is the time to the job's deadline: the declared job's, unless the request's is shorter.
+// window returns the time until the job's deadline: the request's completion window, or the
+// declared job's deadline if that is shorter.
 func (b *batchRequest) window(template *config.Job) (time.Duration, error) {
 	window, err := time.ParseDuration(b.CompletionWindow)
 	if err != nil || window <= 0 || window > maxCompletionWindow {
@@ -197,8 +203,8 @@
 	return window, nil
 }
 
-// clientKey names the job. Without a key of the caller's it is made of the request's
-// content, so that a request sent again after a lost answer is the same job.
+// clientKey returns the idempotency key of the job. Without a key from the caller it is a digest
+// of the request's content, so that a request resent after a lost answer refers to the same job.
 func (b *batchRequest) clientKey(header string) string {
 	if header != "" {
 		return header
@@ -208,41 +214,41 @@
 	return "content-" + hex.EncodeToString(digest[:])
 }
 
-func (b *batchRequest) keptMetadata() map[string]string {
-	kept := map[string]string{metadataInput: b.InputFileID, metadataWindow: b.CompletionWindow}
+func (b *batchRequest) storedMetadata() map[string]string {
+	stored := map[string]string{metadataInput: b.InputFileID, metadataWindow: b.CompletionWindow}
 	for key, value := range b.Metadata {
-		kept[key] = value
+		stored[key] = value
 	}
-	return kept
+	return stored
 }
 
-func (s *Server) getBatch(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) getBatch(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	status, err := s.jobs.Status(r.Context(), call.tenant.Name, mux.Vars(r)["batch"])
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, batchBodyOf(status))
+	writeJSON(w, http.StatusOK, newBatchBody(status))
 	return nil
 }
 
-func (s *Server) cancelBatch(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) cancelBatch(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	status, err := s.jobs.Cancel(r.Context(), call.tenant.Name, mux.Vars(r)["batch"])
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, batchBodyOf(status))
+	writeJSON(w, http.StatusOK, newBatchBody(status))
 	return nil
 }
 
-func (s *Server) listBatches(w http.ResponseWriter, r *http.Request, call call) error {
-	asked, err := pageOf(r)
+func (s *Server) listBatches(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
+	requested, err := parsePage(r)
 	if err != nil {
 		return err
 	}
-	statuses, err := s.jobs.List(r.Context(), call.tenant.Name, asked.after, asked.limit+1)
+	statuses, err := s.jobs.List(r.Context(), call.tenant.Name, requested.after, requested.limit+1)
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, makePage(statuses, asked, batchBodyOf, func(batch batchBody) string { return batch.ID }))
+	writeJSON(w, http.StatusOK, newListBody(statuses, requested, newBatchBody, func(batch batchBody) string { return batch.ID }))
 	return nil
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// bodyMemoryBytes bounds the JSON bodies that one node holds at a time.
+	// bodyMemoryBytes bounds the JSON bodies that one node holds in memory at a time.
 	bodyMemoryBytes = 128 << 20
-	// uploadStepBytes is what an upload must bring within each BodyTimeout.
-	uploadStepBytes = 64 << 10
-	// unknownBodyBytes is the first read buffer of a body that names no length.
-	unknownBodyBytes = 16 << 10
+	// uploadProgressBytes is the number of bytes that an upload must deliver within each BodyTimeout.
+	uploadProgressBytes = 64 << 10
+	// unknownLengthBufferBytes is the initial read buffer of a body without a Content-Length.
+	unknownLengthBufferBytes = 16 << 10
 )
 
 var errBodyTooLarge = outcome.New(outcome.NotRun, outcome.ReasonTooLarge, "the body is larger than this system accepts")
 
-// bodyReader reads JSON bodies within bounds of size, time and the node's memory.
+// bodyReader reads JSON bodies within limits of size, time and the node's memory.
 type bodyReader struct {
 	limit   int64
 	timeout time.Duration
@@ -36,7 +36,7 @@
 	return &bodyReader{limit: limit, timeout: timeout, memory: semaphore.NewWeighted(max(bodyMemoryBytes, limit))}
 }
 
-// read returns the whole body and a function that gives its memory back.
+// read returns the whole body, and a function that releases the memory reserved for it.
 func (b *bodyReader) read(w http.ResponseWriter, r *http.Request) (body []byte, release func(), err error) {
 	if r.ContentLength > b.limit {
 		return nil, nil, errBodyTooLarge
@@ -68,7 +68,7 @@
 		body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(r.Body, body)
 	} else {
-		body, err = readUnknown(r.Body, b.limit)
+		body, err = readUnknownLength(r.Body, b.limit)
 	}
 	if err != nil {
 		return nil, err
@@ -79,8 +79,8 @@
 	return body, nil
 }
 
-func readUnknown(body io.Reader, limit int64) ([]byte, error) {
-	read := make([]byte, 0, unknownBodyBytes)
+func readUnknownLength(body io.Reader, limit int64) ([]byte, error) {
+	read := make([]byte, 0, unknownLengthBufferBytes)
 	for {
 		if len(read) == cap(read) {
 			read = append(read, 0)[:len(read)]
@@ -99,7 +99,7 @@
 	}
 }
 
-// bodyError tells the caller what was wrong with how the body was sent.
+// bodyError returns the error for the caller after reading the body failed with err.
 func bodyError(err error) error {
 	var failure *outcome.Error
 	var tooLarge *http.MaxBytesError
@@ -117,7 +117,7 @@
 	}
 }
 
-// bodyMessage names the field of a JSON body that is wrong, in the caller's terms.
+// bodyMessage returns a message for the caller which names the invalid field of a JSON body.
 func bodyMessage(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -130,13 +130,13 @@
 	return err.Error()
 }
 
-// uploadBody is a body that may be long. Its sender must bring uploadStepBytes, or the
-// rest, within each timeout.
+// uploadBody reads a body that may be long. Its sender must deliver uploadProgressBytes, or the
+// remainder, within each timeout.
 type uploadBody struct {
-	body       io.Reader
-	controller *http.ResponseController
-	timeout    time.Duration
-	sinceStep  int
+	body           io.Reader
+	controller     *http.ResponseController
+	timeout        time.Duration
+	sinceExtension int
 }
 
 func newUploadBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) *uploadBody {
@@ -145,24 +145,25 @@
 		controller: http.NewResponseController(w),
 		timeout:    timeout,
 	}
-	upload.extend()
+	upload.extendDeadline()
 	return upload
 }
 
-func (u *uploadBody) extend() {
-	u.sinceStep = 0
+// extendDeadline sets the read deadline for the next uploadProgressBytes.
+func (u *uploadBody) extendDeadline() {
+	u.sinceExtension = 0
 	_ = u.controller.SetReadDeadline(time.Now().Add(u.timeout))
 }
 
-// Read reads on, and puts the deadline off after each step.
+// Read implements io.Reader. It extends the read deadline after each uploadProgressBytes.
 func (u *uploadBody) Read(into []byte) (int, error) {
 	count, err := u.body.Read(into)
-	u.sinceStep += count
-	if u.sinceStep >= uploadStepBytes {
-		u.extend()
+	u.sinceExtension += count
+	if u.sinceExtension >= uploadProgressBytes {
+		u.extendDeadline()
 	}
 	return count, err
 }
 
-// end lifts the deadline.
-func (u *uploadBody) end() { _ = u.controller.SetReadDeadline(time.Time{}) }
+// clearDeadline clears the read deadline.
+func (u *uploadBody) clearDeadline() { _ = u.controller.SetReadDeadline(time.Time{}) }
--- a/internal/gateway/chunk_queue.go
+++ b/internal/gateway/chunk_queue.go
@@ -8,21 +8,21 @@
 	"github.com/sloelift/sloelift/internal/subscription"
 )
 
-// maxQueuedBytes bounds the text that waits for a slow reader. Above it the engine's
-// stream is not read until the caller has caught up.
+// maxQueuedBytes bounds the text queued for a slow reader. Above it the engine's stream is not
+// read until the caller has read more.
 const maxQueuedBytes = 1 << 20
 
-// chunkOverheadBytes is counted for each chunk beside its text.
+// chunkOverheadBytes is counted for each chunk in addition to its text.
 const chunkOverheadBytes = 96
 
-// chunkQueue carries chunks from the session to the writer of one answer.
+// chunkQueue passes chunks from the session to the writer of one answer.
 type chunkQueue struct {
 	mutex  sync.Mutex
 	chunks []session.Chunk
 	bytes  int
 	ended  bool
 	err    error
-	// readable and writable each hold a token after a change that the other side may wait for.
+	// readable is signalled after a push or end, writable after a take.
 	readable chan struct{}
 	writable chan struct{}
 }
@@ -31,10 +31,10 @@
 	return &chunkQueue{readable: make(chan struct{}, 1), writable: make(chan struct{}, 1)}
 }
 
-// push adds a chunk; it waits while the queue is full, until ctx ends.
+// push adds a chunk. While the queue is full it blocks until ctx ends.
 func (q *chunkQueue) push(ctx context.Context, chunk session.Chunk) error {
 	for {
-		if q.add(chunk) {
+		if q.tryAdd(chunk) {
 			subscription.Signal(q.readable)
 			return nil
 		}
@@ -46,7 +46,8 @@
 	}
 }
 
-func (q *chunkQueue) add(chunk session.Chunk) bool {
+// tryAdd adds a chunk; it returns false if the queue is full.
+func (q *chunkQueue) tryAdd(chunk session.Chunk) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.bytes > maxQueuedBytes {
@@ -57,7 +58,7 @@
 	return true
 }
 
-// end says that no chunk follows.
+// end marks the end of the chunks; err is the error of the session, or nil.
 func (q *chunkQueue) end(err error) {
 	q.mutex.Lock()
 	q.ended, q.err = true, err
@@ -65,7 +66,8 @@
 	subscription.Signal(q.readable)
 }
 
-// take returns what waits, in spare's memory; ended is true when nothing follows.
+// take returns all queued chunks and reuses spare's memory for the next ones. ended is true if no
+// chunks follow; err is then the error of the session.
 func (q *chunkQueue) take(spare []session.Chunk) (chunks []session.Chunk, ended bool, err error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// clientOf is OpenAI's public client with only the base URL and the key changed.
+// clientOf returns OpenAI's public client with only the base URL and the key changed.
 func clientOf(node *testNode, key string, options ...option.RequestOption) openai.Client {
 	options = append([]option.RequestOption{option.WithBaseURL(node.url + "/v1"), option.WithAPIKey(key)}, options...)
 	return openai.NewClient(options...)
@@ -84,7 +84,7 @@
 	for _, model := range page.Data {
 		names = append(names, model.ID)
 	}
-	// The storm model is not of a service that this tenant may use.
+	// The tenant may not use the service of the storm model.
 	if strings.Join(names, " ") != "clerk clerk:nikah" {
 		t.Fatal(names)
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The same request sent again is the same batch.
+	// The same request sent again returns the same batch.
 	again, err := client.Batches.New(t.Context(), batchOf(file.ID))
 	if err != nil || again.ID != batch.ID || batch.Metadata["shelf"] != "7" || len(batch.Metadata) != 1 || batch.InputFileID != file.ID {
 		t.Fatal(again, err)
@@ -202,7 +202,7 @@
 	if pages.Err() != nil || strings.Join(listed, " ") != strings.Join(ids, " ") {
 		t.Fatal(listed, pages.Err())
 	}
-	// Nothing of one tenant is there for another.
+	// Another tenant cannot access the batch and the file.
 	other := clientOf(node, tidewaterKey, option.WithMaxRetries(0))
 	if _, err := other.Batches.Get(t.Context(), ids[0]); statusIn(err) != 404 {
 		t.Fatal(err)
@@ -218,7 +218,8 @@
 	}
 }
 
-// TestBatchTemplate checks what a declared job and the headers make of a batch.
+// TestBatchTemplate checks which fields of a batch come from a declared job, and their defaults
+// without one.
 func TestBatchTemplate(t *testing.T) {
 	node := newTestCluster().start(t)
 	client := clientOf(node, registryKey)
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/session"
 )
 
-// Objects of OpenAI's answers.
+// Object types and the role in answers of the OpenAI API.
 const (
 	objectChat       = "chat.completion"
 	objectChatChunk  = "chat.completion.chunk"
@@ -16,7 +16,7 @@
 	roleAssistant    = "assistant"
 )
 
-// completionBody is the JSON answer of both operations.
+// completionBody is the JSON answer of chat and text completions.
 type completionBody struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -51,7 +51,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-func usageOf(usage engine.Usage) usageBody {
+func newUsageBody(usage engine.Usage) usageBody {
 	return usageBody{
 		PromptTokens:        usage.PromptTokens,
 		CompletionTokens:    usage.CompletionTokens,
@@ -61,7 +61,7 @@
 }
 
 // complete runs the request and answers with one JSON body.
-func (s *Server) complete(w http.ResponseWriter, r *http.Request, request *generation) error {
+func (s *Server) complete(w http.ResponseWriter, r *http.Request, request *generationRequest) error {
 	var text strings.Builder
 	var finish string
 	var usage engine.Usage
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (g *generation) completion(text, finish string, usage engine.Usage) completionBody {
+func (g *generationRequest) completion(text, finish string, usage engine.Usage) completionBody {
 	choice := completionChoice{FinishReason: finish}
 	object := objectCompletion
 	if g.Operation == engine.OperationChat {
@@ -97,6 +97,6 @@
 		Created: g.created,
 		Model:   g.parsed.Model,
 		Choices: []completionChoice{choice},
-		Usage:   usageOf(usage),
+		Usage:   newUsageBody(usage),
 	}
 }
--- a/internal/gateway/cost_test.go
+++ b/internal/gateway/cost_test.go
@@ -23,13 +23,13 @@
 	"github.com/sloelift/sloelift/internal/session"
 )
 
-// stepTime is the time of an engine's step.
+// stepTime is the duration of one engine step.
 const stepTime = 3400 * time.Microsecond
 
-// costTokens is the length of the answers in the benchmarks.
-const costTokens = 64
+// answerTokens is the length of the answers in the benchmarks.
+const answerTokens = 64
 
-// trivialEngine answers in the process, with one chunk a token.
+// trivialEngine answers within the process, with one chunk for each token.
 type trivialEngine struct{ engine.Client }
 
 func (trivialEngine) Generate(context.Context, engine.Endpoint, engine.Request) (engine.Stream, error) {
@@ -39,20 +39,20 @@
 type trivialStream struct{ sent int }
 
 func (s *trivialStream) Next() (engine.Chunk, error) {
-	if s.sent == costTokens {
+	if s.sent == answerTokens {
 		return engine.Chunk{}, io.EOF
 	}
 	chunk := engine.Chunk{Offset: s.sent, Tokens: 1, Text: " token"}
 	s.sent++
-	if s.sent == costTokens {
-		chunk.FinishReason, chunk.Usage = "stop", &engine.Usage{CompletionTokens: costTokens}
+	if s.sent == answerTokens {
+		chunk.FinishReason, chunk.Usage = "stop", &engine.Usage{CompletionTokens: answerTokens}
 	}
 	return chunk, nil
 }
 
 func (s *trivialStream) Close() error { return nil }
 
-func newCostServer(client engine.Client, endpoints ...engine.Endpoint) *Server {
+func newBenchmarkServer(client engine.Client, endpoints ...engine.Endpoint) *Server {
 	cluster := newTestCluster()
 	cluster.fleet.endpoints = append([]engine.Endpoint{}, endpoints...)
 	runner := session.NewEngineRunner(session.Dependencies{
@@ -65,7 +65,7 @@
 	})
 }
 
-// chatBody is a chat with a prompt of 2 kB.
+// chatBody returns a chat request with a prompt of 2 kB.
 func chatBody(stream bool) string {
 	return fmt.Sprintf(`{"model":"clerk","max_tokens":64,"stream":%t,"messages":[{"role":"system","content":"%s"},{"role":"user","content":"Is it spelled so?"}]}`,
 		stream, strings.Repeat("Confirm the spelling of names. ", 64))
@@ -91,12 +91,12 @@
 	return request
 }
 
-// BenchmarkHandler is the processor time of gateway and session alone: no sockets, an
+// BenchmarkHandler measures the CPU time of gateway and session alone, without sockets and with an
 // engine in the process. One operation is one request with an answer of 64 tokens.
 func BenchmarkHandler(b *testing.B) {
 	for _, stream := range []bool{false, true} {
 		b.Run(fmt.Sprintf("stream=%t", stream), func(b *testing.B) {
-			server := newCostServer(trivialEngine{}, engine.Endpoint{Replica: "r1"})
+			server := newBenchmarkServer(trivialEngine{}, engine.Endpoint{Replica: "r1"})
 			body := chatBody(stream)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -110,13 +110,13 @@
 	}
 }
 
-// BenchmarkLoopback is the time of streamed requests of some callers at once, straight to an
-// engine and through the gateway. Callers, gateway and engine share the process.
+// BenchmarkLoopback measures the latency of concurrent streamed requests, directly to an engine and
+// through the gateway. Callers, gateway and engine share the process.
 func BenchmarkLoopback(b *testing.B) {
-	fake := newFakeEngine(b, costTokens)
+	fake := newFakeEngine(b, answerTokens)
 	client := engine.NewHTTPClient()
 	defer client.Close()
-	server := newCostServer(client, fake.endpoint("r1"))
+	server := newBenchmarkServer(client, fake.endpoint("r1"))
 	if err := server.Start(); err != nil {
 		b.Fatal(err)
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// processorTime is what the process has used so far; unlike time, it is little changed by a
-// busy machine.
+// processorTime returns the CPU time used by the process so far; unlike elapsed time, it hardly
+// depends on the load of the machine.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -144,7 +144,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// loopback makes b.N requests, shared by the callers.
+// loopback sends b.N requests, distributed over the callers.
 func loopback(b *testing.B, url string, callers int) {
 	transport := &http.Transport{MaxIdleConnsPerHost: callers}
 	defer transport.CloseIdleConnections()
@@ -156,14 +156,14 @@
 	for range callers {
 		group.Go(func() error {
 			for number := next.Add(1); number <= int64(b.N); number = next.Add(1) {
-				begun := time.Now()
-				toFirst, err := streamOnce(b.Context(), transport, url, fmt.Sprint("q", number))
+				started := time.Now()
+				timeToFirst, err := streamOnce(b.Context(), transport, url, fmt.Sprint("q", number))
 				if err != nil {
 					return err
 				}
 				mutex.Lock()
-				_ = first.RecordValue(toFirst.Microseconds())
-				_ = total.RecordValue(time.Since(begun).Microseconds())
+				_ = first.RecordValue(timeToFirst.Microseconds())
+				_ = total.RecordValue(time.Since(started).Microseconds())
 				mutex.Unlock()
 			}
 			return nil
@@ -181,7 +181,7 @@
 
 // streamOnce reads one streamed answer and returns the time to its first event.
 func streamOnce(ctx context.Context, transport *http.Transport, url, id string) (time.Duration, error) {
-	begun := time.Now()
+	started := time.Now()
 	request := newChatRequest(ctx, url, chatBody(true))
 	request.Header.Set(engine.HeaderRequestID, id)
 	response, err := transport.RoundTrip(request)
@@ -193,7 +193,7 @@
 	if _, err := reader.ReadString('\n'); err != nil || response.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("%s: %w", response.Status, err)
 	}
-	toFirst := time.Since(begun)
+	timeToFirst := time.Since(started)
 	_, err = io.Copy(io.Discard, reader)
-	return toFirst, err
+	return timeToFirst, err
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,3 +1,3 @@
-// Package gateway is the callers' interface of a node: OpenAI-compatible HTTP for
+// Package gateway serves the HTTP API of a node for callers, compatible with the OpenAI API for
 // chat, completions, models, files and batches.
 package gateway
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -8,20 +8,22 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// errLeaving is told to requests that come while the node stops; another node takes them.
+// errLeaving is returned for requests that arrive while the node stops; another node accepts them.
 var errLeaving = outcome.New(outcome.NotRun, outcome.ReasonLeaving, "this node is stopping; send the request to another one").After(time.Second)
 
-// drain counts requests in progress and lets none in once it has started.
+// drain counts the requests in flight and admits no more once draining has started.
 type drain struct {
 	mutex    sync.Mutex
 	running  int
 	draining bool
-	// empty is closed when draining and nothing runs.
+	// empty is closed once draining has started and no request is in flight.
 	empty chan struct{}
 }
 
 func newDrain() *drain { return &drain{empty: make(chan struct{})} }
 
+// enter counts a request; it returns false if the node is draining. After true, leave must be
+// called.
 func (d *drain) enter() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -39,7 +41,7 @@
 	d.closeIfEmpty()
 }
 
-// closeIfEmpty is called with the mutex held.
+// closeIfEmpty closes empty if draining is complete. The caller must hold the mutex.
 func (d *drain) closeIfEmpty() {
 	if d.draining && d.running == 0 {
 		close(d.empty)
@@ -67,7 +69,7 @@
 	return d.draining
 }
 
-// wait returns when nothing runs, or with ctx's error.
+// wait returns nil once draining is complete, or ctx's error.
 func (d *drain) wait(ctx context.Context) error {
 	select {
 	case <-d.empty:
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// Error types of the OpenAI interface.
+// Error types of the OpenAI API.
 const (
 	typeInvalid        = "invalid_request_error"
 	typeAuthentication = "authentication_error"
@@ -20,19 +20,20 @@
 	typeServer         = "server_error"
 )
 
-// Reasons of this slice, beside those of package outcome.
+// Reasons of this package, in addition to those of package outcome.
 const (
 	reasonSlowBody   outcome.Reason = "body_too_slow"
 	reasonTruncated  outcome.Reason = "body_truncated"
 	reasonSlowHeader outcome.Reason = "header_too_slow"
 )
 
-// statusClientGone is written to the log only: nobody reads the answer.
+// statusClientGone is the status of an answer to a caller that has disconnected, so that it is not
+// received.
 const statusClientGone = 499
 
 const defaultRetryAfter = time.Second
 
-// errorBody is OpenAI's error shape with the typed outcome added.
+// errorBody is the error object of the OpenAI API, extended by the outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -53,8 +54,8 @@
 	return outcome.New(outcome.NotRun, outcome.ReasonNotFound, message)
 }
 
-// statusOf returns the HTTP status and the error type for a failure.
-func statusOf(failure *outcome.Error) (status int, kind string) {
+// httpStatus returns the HTTP status and the error type for a failure.
+func httpStatus(failure *outcome.Error) (status int, kind string) {
 	switch failure.Reason {
 	case outcome.ReasonInvalid, reasonTruncated:
 		return http.StatusBadRequest, typeInvalid
@@ -83,22 +84,22 @@
 	}
 }
 
-func errorBodyOf(failure *outcome.Error) errorBody {
-	_, kind := statusOf(failure)
+func newErrorBody(failure *outcome.Error) errorBody {
+	_, kind := httpStatus(failure)
 	return errorBody{Error: errorDetail{
 		Message: failure.Message, Type: kind, Code: string(failure.Reason), Outcome: string(failure.Outcome),
 	}}
 }
 
-// writeError answers with a failure. Only work that did not run and may be sent again is
-// marked as such: Retry-After, and x-should-retry, which OpenAI's clients obey.
+// writeError writes an error answer. Only for a request that did not run and may be sent again, it
+// sets Retry-After, and X-Should-Retry to true, which OpenAI's clients obey.
 func writeError(w http.ResponseWriter, err error) {
 	failure := outcome.As(err)
-	status, _ := statusOf(failure)
+	status, _ := httpStatus(failure)
 	header := w.Header()
-	again := failure.Outcome == outcome.NotRun && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable)
-	header.Set("X-Should-Retry", strconv.FormatBool(again))
-	if again {
+	retryable := failure.Outcome == outcome.NotRun && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable)
+	header.Set("X-Should-Retry", strconv.FormatBool(retryable))
+	if retryable {
 		wait := failure.RetryAfter
 		if wait <= 0 {
 			wait = defaultRetryAfter
@@ -112,7 +113,7 @@
 	if status == http.StatusRequestTimeout || status == http.StatusRequestEntityTooLarge || failure.Reason == reasonTruncated {
 		header.Set("Connection", "close")
 	}
-	writeJSON(w, status, errorBodyOf(failure))
+	writeJSON(w, status, newErrorBody(failure))
 }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
--- a/internal/gateway/errors_test.go
+++ b/internal/gateway/errors_test.go
@@ -13,14 +13,14 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestErrors sends raw requests and prints what the caller is told.
+// TestErrors sends raw requests and compares the answers to the caller with testdata/errors.
 func TestErrors(t *testing.T) {
 	fake := newFakeEngine(t, 3)
 	fake.refuse = true
 	cluster := newTestCluster(fake)
 	cluster.limits.MaxBodyBytes = 400
 	cluster.limits.MaxBatchFileBytes = 600
-	// Nothing waits for these; they only have to pass.
+	// Short timeouts, which some of the requests run into.
 	cluster.limits.BodyTimeout = 100 * time.Millisecond
 	cluster.limits.HeaderTimeout = 100 * time.Millisecond
 	node := cluster.start(t)
@@ -32,8 +32,8 @@
 	}
 }
 
-// rawRequest builds the bytes of a request. The input's first line is method and path, then
-// come headers, a line with "." and the body.
+// rawRequest builds the bytes of a request. The first line of the input has method and path;
+// headers, a line with "." and the body follow.
 func rawRequest(t *testing.T, d *datadriven.TestData) string {
 	head, body, _ := strings.Cut(d.Input+"\n", "\n.\n")
 	body = strings.TrimSuffix(body, "\n")
@@ -80,14 +80,14 @@
 	}
 	defer response.Body.Close()
 	body, _ := io.ReadAll(response.Body)
-	told := fmt.Sprint(response.StatusCode)
+	result := fmt.Sprint(response.StatusCode)
 	for _, name := range []string{"Retry-After", "X-Should-Retry"} {
 		if value := response.Header.Get(name); value != "" {
-			told += fmt.Sprintf(" %s=%s", name, value)
+			result += fmt.Sprintf(" %s=%s", name, value)
 		}
 	}
 	if response.Close {
-		told += " close"
+		result += " close"
 	}
-	return told + "\n" + string(body)
+	return result + "\n" + string(body)
 }
--- a/internal/gateway/event_id.go
+++ b/internal/gateway/event_id.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// tenantTagBytes of a digest bind a request id to its tenant.
+	// tenantTagBytes is the number of digest bytes that bind a request id to its tenant.
 	tenantTagBytes    = 8
 	eventIDSeparator  = ":"
 	maxEventIDBytes   = 512
 	eventIDFieldCount = 3
 )
 
-// newRequestID returns an id that is unique in the whole system and bound to its tenant:
-// a ULID and a digest of it with the tenant's name. Another tenant's attempt to attach
-// fails whether it keeps the digest (it does not fit) or changes it (no engine has such a run).
+// newRequestID returns an id that is unique in the whole system and bound to its tenant: a ULID
+// and a digest of the ULID and the tenant's name. Another tenant cannot attach to the run with this
+// id: unchanged, the digest does not match that tenant; changed, no engine has a run with the id.
 func newRequestID(tenant string) string {
 	unique := ulid.Make().String()
 	return unique + "-" + tenantTag(unique, tenant)
@@ -30,14 +30,14 @@
 	return hex.EncodeToString(digest[:tenantTagBytes])
 }
 
-// ownsRequestID says whether the request id was made for the tenant.
+// ownsRequestID reports whether the request id was created for the tenant.
 func ownsRequestID(id, tenant string) bool {
 	unique, tag, found := strings.Cut(id, "-")
 	return found && len(unique) == ulid.EncodedSize && tag == tenantTag(unique, tenant)
 }
 
-// eventID tells where a stream can be gone on with: the engine run, its replica, and the
-// number of tokens up to the end of the event.
+// eventID identifies the position from which a stream can be resumed: the engine run, its replica,
+// and the number of tokens up to the end of the event.
 type eventID struct {
 	request string
 	replica string
@@ -52,7 +52,7 @@
 	return strconv.AppendInt(text, int64(e.offset), 10)
 }
 
-// parseEventID reads a Last-Event-ID; false where it is not one of this system for the tenant.
+// parseEventID parses a Last-Event-ID; it returns false if the id was not issued to the tenant.
 func parseEventID(text, tenant string) (eventID, bool) {
 	if len(text) > maxEventIDBytes {
 		return eventID{}, false
--- a/internal/gateway/fake_engine_test.go
+++ b/internal/gateway/fake_engine_test.go
@@ -17,32 +17,32 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// fakeEngine answers every prompt with the same tokens, over the engine protocol. Its
-// runs advance as they are read; hold can hold them, each token once for all readers of a run.
+// fakeEngine answers every prompt with the same tokens, over the engine protocol. Its runs advance
+// as they are read; hold can block them at each token, once for all readers of a run.
 type fakeEngine struct {
 	server *httptest.Server
 	tokens int
-	// token makes the text of one token.
+	// token returns the text of one token.
 	token func(index int) string
 
 	mutex   sync.Mutex
 	started map[string]bool
 	cancels map[string]bool
-	// hold, when set, is received from before each token is made.
+	// hold, if set, is received from before each token is generated.
 	hold chan struct{}
 	runs map[string]*fakeRun
 	// pace is the time between tokens, for benchmarks.
 	pace time.Duration
-	// refuse answers everything with 429 and X-Not-Run.
+	// refuse makes the engine answer every new run with 429 and X-Not-Run.
 	refuse bool
-	// cutAt closes the connection before this token, once; 0 never does.
+	// cutAt is the token before which the connection is closed, once; 0 means never.
 	cutAt int
 }
 
-// fakeRun counts the tokens made; changed is closed with each.
+// fakeRun counts the tokens generated; changed is closed and replaced with each.
 type fakeRun struct {
-	made    int
-	changed chan struct{}
+	generated int
+	changed   chan struct{}
 }
 
 func newFakeEngine(t testing.TB, tokens int) *fakeEngine {
@@ -93,7 +93,7 @@
 	return len(e.started)
 }
 
-// open notes the run; false where it was refused.
+// open records the run; it returns false if the request was refused.
 func (e *fakeEngine) open(w http.ResponseWriter, r *http.Request) bool {
 	id := r.Header.Get(engine.HeaderRequestID)
 	e.mutex.Lock()
@@ -133,7 +133,7 @@
 		if e.pace > 0 {
 			time.Sleep(e.pace)
 		}
-		if e.cutNow(index) {
+		if e.takeCut(index) {
 			panic(http.ErrAbortHandler)
 		}
 		e.event(w, r, index)
@@ -144,13 +144,13 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// awaitToken waits until the token is made by this reader of the run or another one;
-// false where the reader has gone.
+// awaitToken waits until the token is generated for this or another reader of the run; it returns
+// false if the reader has disconnected.
 func (e *fakeEngine) awaitToken(r *http.Request, index int) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	run := e.runs[r.Header.Get(engine.HeaderRequestID)]
-	for run.made <= index {
+	for run.generated <= index {
 		changed := run.changed
 		e.mutex.Unlock()
 		released := false
@@ -162,7 +162,7 @@
 		}
 		e.mutex.Lock()
 		if released {
-			run.made++
+			run.generated++
 			close(run.changed)
 			run.changed = make(chan struct{})
 		} else if r.Context().Err() != nil {
@@ -172,7 +172,7 @@
 	return true
 }
 
-func (e *fakeEngine) cutNow(index int) bool {
+func (e *fakeEngine) takeCut(index int) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.cutAt == 0 || index != e.cutAt {
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// fixedFleet routes over given engines, in order.
+// fixedFleet routes each request to the first given engine that is not excluded.
 type fixedFleet struct{ endpoints []engine.Endpoint }
 
 func (f *fixedFleet) Pick(request routing.Request) (routing.Decision, func(), error) {
@@ -102,7 +102,7 @@
 	return func() {}, nil
 }
 
-// memoryClaimer keeps keys in memory.
+// memoryClaimer keeps claims of idempotency keys in memory.
 type memoryClaimer struct {
 	mutex  sync.Mutex
 	claims map[string]*session.Claim
@@ -111,12 +111,12 @@
 func (m *memoryClaimer) Claim(_ context.Context, tenant, key, _, requestID, replica string) (session.Claim, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	present := m.claims[tenant+"/"+key]
-	if present == nil {
+	claim := m.claims[tenant+"/"+key]
+	if claim == nil {
 		m.claims[tenant+"/"+key] = &session.Claim{RequestID: requestID, Replica: replica}
 		return session.Claim{Granted: true}, nil
 	}
-	return *present, nil
+	return *claim, nil
 }
 
 func (m *memoryClaimer) Complete(_ context.Context, tenant, key string, result session.Result) (session.Result, error) {
@@ -146,7 +146,14 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	file := job.File{ID: fmt.Sprintf("file-%d", len(m.files)), Tenant: tenant, Name: name, Purpose: purpose, Bytes: int64(len(read)), CreatedAt: time.Unix(1000, 0)}
+	file := job.File{
+		ID:        fmt.Sprintf("file-%d", len(m.files)),
+		Tenant:    tenant,
+		Name:      name,
+		Purpose:   purpose,
+		Bytes:     int64(len(read)),
+		CreatedAt: time.Unix(1000, 0),
+	}
 	m.files = append(m.files, file)
 	m.contents[file.ID] = read
 	return file, nil
@@ -193,7 +200,7 @@
 	return listed, nil
 }
 
-// memoryJobs completes a job's items one for each Status call.
+// memoryJobs keeps jobs in memory. Each Status call completes one item of the job.
 type memoryJobs struct {
 	mutex       sync.Mutex
 	jobs        []*job.Status
@@ -286,7 +293,13 @@
 		if err := json.Unmarshal([]byte(line), &request); err != nil {
 			return err
 		}
-		result := job.ItemResult{Index: item, CustomID: request.CustomID, Outcome: string(outcome.Completed), Status: 200, Body: json.RawMessage(`{"choices":[]}`)}
+		result := job.ItemResult{
+			Index:    item,
+			CustomID: request.CustomID,
+			Outcome:  string(outcome.Completed),
+			Status:   200,
+			Body:     json.RawMessage(`{"choices":[]}`),
+		}
 		if item >= status.Completed {
 			result.Outcome, result.Status, result.Body = string(outcome.Indeterminate), 0, nil
 		}
@@ -305,7 +318,7 @@
 	jobs   *memoryJobs
 }
 
-// testCluster is what several nodes share.
+// testCluster is the state that several nodes share.
 type testCluster struct {
 	fleet   *fixedFleet
 	claimer *memoryClaimer
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -19,12 +19,12 @@
 	partFile           = "file"
 	partPurpose        = "purpose"
 	maxPurposeBytes    = 64
-	// maxExtraParts bounds parts that this interface does not read.
+	// maxExtraParts bounds the multipart parts that the gateway does not use.
 	maxExtraParts = 16
 	contentJSONL  = "application/jsonl"
 )
 
-// fileBody is OpenAI's file object.
+// fileBody is the file object of the OpenAI API.
 type fileBody struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
@@ -41,14 +41,14 @@
 	Deleted bool   `json:"deleted"`
 }
 
-func fileBodyOf(file job.File) fileBody {
+func newFileBody(file job.File) fileBody {
 	return fileBody{
 		ID: file.ID, Object: objectFile, Bytes: file.Bytes, CreatedAt: file.CreatedAt.Unix(),
 		Filename: file.Name, Purpose: file.Purpose, Status: "processed",
 	}
 }
 
-func (s *Server) uploadFile(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) uploadFile(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	upload := newUploadBody(w, r, s.limits.MaxBatchFileBytes, s.limits.BodyTimeout)
 	_, parameters, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if err != nil || parameters["boundary"] == "" {
@@ -58,17 +58,17 @@
 	if err != nil {
 		return err
 	}
-	upload.end()
-	writeJSON(w, http.StatusOK, fileBodyOf(file))
+	upload.clearDeadline()
+	writeJSON(w, http.StatusOK, newFileBody(file))
 	return nil
 }
 
-// storeUpload stores the file part as it streams in. The purpose may come behind it; where
-// it is then found wrong the file is deleted again.
-func (s *Server) storeUpload(r *http.Request, call call, parts *multipart.Reader) (job.File, error) {
+// storeUpload stores the file part while it is received. The purpose may follow the file; if it is
+// then found invalid, the file is deleted again.
+func (s *Server) storeUpload(r *http.Request, call authenticatedCall, parts *multipart.Reader) (job.File, error) {
 	var file job.File
 	var purposeError error
-	stored, purposeSeen := false, false
+	stored, purposeReceived := false, false
 	for count := 0; ; count++ {
 		part, err := parts.NextPart()
 		if errors.Is(err, io.EOF) {
@@ -80,27 +80,27 @@
 		if err == nil {
 			switch part.FormName() {
 			case partPurpose:
-				purposeSeen = true
+				purposeReceived = true
 				purposeError = checkPurpose(part)
 			case partFile:
 				if stored {
 					err = invalid("file: only one is accepted")
 					break
 				}
-				file, err = s.putPart(r, call, part)
+				file, err = s.storePart(r, call, part)
 				stored = err == nil
 			}
 		}
 		if err != nil {
-			s.dropFile(r, call, file, stored)
+			s.deleteStored(r, call, file, stored)
 			return job.File{}, bodyError(err)
 		}
 	}
-	if purposeError == nil && !purposeSeen {
+	if purposeError == nil && !purposeReceived {
 		purposeError = invalid("purpose: is required")
 	}
 	if purposeError != nil {
-		s.dropFile(r, call, file, stored)
+		s.deleteStored(r, call, file, stored)
 		return job.File{}, bodyError(purposeError)
 	}
 	if !stored {
@@ -120,35 +120,35 @@
 	return nil
 }
 
-// putPart stores one part. An error of the body comes back as such, not as the store's.
-func (s *Server) putPart(r *http.Request, call call, part *multipart.Part) (job.File, error) {
-	content := &failingReader{reader: part}
+// storePart stores one part. If reading the body failed, it returns that error, not the store's.
+func (s *Server) storePart(r *http.Request, call authenticatedCall, part *multipart.Part) (job.File, error) {
+	content := &errorRecordingReader{reader: part}
 	file, err := s.files.Put(r.Context(), call.tenant.Name, part.FileName(), purposeBatch, content)
 	if content.err != nil {
 		if err == nil {
-			s.dropFile(r, call, file, true)
+			s.deleteStored(r, call, file, true)
 		}
 		return job.File{}, content.err
 	}
 	return file, err
 }
 
-// failingReader remembers the error of the reader below it.
-type failingReader struct {
+// errorRecordingReader records the error of the wrapped reader, other than io.EOF.
+type errorRecordingReader struct {
 	reader io.Reader
 	err    error
 }
 
-// Read reads on.
-func (f *failingReader) Read(into []byte) (int, error) {
-	count, err := f.reader.Read(into)
+// Read implements io.Reader.
+func (r *errorRecordingReader) Read(into []byte) (int, error) {
+	count, err := r.reader.Read(into)
 	if err != nil && !errors.Is(err, io.EOF) {
-		f.err = err
+		r.err = err
 	}
 	return count, err
 }
 
-func (s *Server) dropFile(r *http.Request, call call, file job.File, stored bool) {
+func (s *Server) deleteStored(r *http.Request, call authenticatedCall, file job.File, stored bool) {
 	if !stored {
 		return
 	}
@@ -157,8 +157,8 @@
 	}
 }
 
-func (s *Server) listFiles(w http.ResponseWriter, r *http.Request, call call) error {
-	asked, err := pageOf(r)
+func (s *Server) listFiles(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
+	requested, err := parsePage(r)
 	if err != nil {
 		return err
 	}
@@ -166,17 +166,17 @@
 		writeJSON(w, http.StatusOK, listBody[fileBody]{Object: objectList, Data: []fileBody{}})
 		return nil
 	}
-	files, err := s.files.List(r.Context(), call.tenant.Name, asked.after, asked.limit+1)
+	files, err := s.files.List(r.Context(), call.tenant.Name, requested.after, requested.limit+1)
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, makePage(files, asked, fileBodyOf, func(file fileBody) string { return file.ID }))
+	writeJSON(w, http.StatusOK, newListBody(files, requested, newFileBody, func(file fileBody) string { return file.ID }))
 	return nil
 }
 
-func (s *Server) getFile(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) getFile(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	id := mux.Vars(r)["file"]
-	if output, is := parseOutputID(id); is {
+	if output, ok := parseOutputID(id); ok {
 		body, err := s.outputFile(r, call, output)
 		if err != nil {
 			return err
@@ -188,13 +188,13 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, fileBodyOf(file))
+	writeJSON(w, http.StatusOK, newFileBody(file))
 	return nil
 }
 
-func (s *Server) getFileContent(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) getFileContent(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	id := mux.Vars(r)["file"]
-	if output, is := parseOutputID(id); is {
+	if output, ok := parseOutputID(id); ok {
 		return s.writeOutput(w, r, call, output)
 	}
 	if _, err := s.files.Get(r.Context(), call.tenant.Name, id); err != nil {
@@ -207,9 +207,9 @@
 	return content.end()
 }
 
-func (s *Server) deleteFile(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) deleteFile(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	id := mux.Vars(r)["file"]
-	if _, is := parseOutputID(id); is {
+	if _, ok := parseOutputID(id); ok {
 		return invalid("results are deleted when their retention ends")
 	}
 	if err := s.files.Delete(r.Context(), call.tenant.Name, id); err != nil {
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/session"
 )
 
-// Request headers of the callers' interface beyond OpenAI's.
+// Headers that this API adds to those of the OpenAI API.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerPriority       = "X-Priority"
@@ -23,23 +23,23 @@
 
 const maxIdempotencyKeyBytes = 255
 
-// call is one authenticated request with the configuration it is served under.
-type call struct {
+// authenticatedCall is the tenant of an authenticated request and the configuration under which it is served.
+type authenticatedCall struct {
 	snapshot *config.Snapshot
 	tenant   *config.Tenant
 }
 
-// generation is a parsed online request.
-type generation struct {
+// generationRequest is a parsed online request.
+type generationRequest struct {
 	session.Request
 	parsed  engine.Generation
 	created int64
-	// answerID is the id in the answer's JSON.
+	// answerID is the "id" in the answer's JSON.
 	answerID string
 }
 
 func (s *Server) handleGeneration(operation engine.Operation) handler {
-	return func(w http.ResponseWriter, r *http.Request, call call) error {
+	return func(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 		body, release, err := s.bodies.read(w, r)
 		if err != nil {
 			return err
@@ -57,43 +57,44 @@
 	}
 }
 
-func parseGeneration(r *http.Request, call call, operation engine.Operation, body []byte) (*generation, error) {
+func parseGeneration(r *http.Request, call authenticatedCall, operation engine.Operation, body []byte) (*generationRequest, error) {
 	parsed, err := engine.ParseGeneration(operation, body)
 	if err != nil {
 		return nil, invalid(bodyMessage(err))
 	}
-	found, err := resolve(call.snapshot, call.tenant, parsed.Model)
+	resolved, err := resolveTarget(call.snapshot, call.tenant, parsed.Model)
 	if err != nil {
 		return nil, err
 	}
-	priority, err := priorityOf(call.snapshot, r.Header.Get(headerPriority), parsed.ServiceTier, true)
+	priority, err := resolvePriority(call.snapshot, r.Header.Get(headerPriority), parsed.ServiceTier, true)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	request := &generation{parsed: parsed, created: now.Unix(), Request: session.Request{
+	request := &generationRequest{parsed: parsed, created: now.Unix(), Request: session.Request{
 		ID:        newRequestID(call.tenant.Name),
 		Tenant:    call.tenant,
-		Service:   found.service,
+		Service:   resolved.service,
 		Priority:  priority,
-		Model:     found.model.Name,
-		Adapter:   found.adapter,
+		Model:     resolved.model.Name,
+		Adapter:   resolved.adapter,
 		Operation: operation,
 		Body:      body,
 		Prompt:    parsed.Prompt,
 		MaxTokens: parsed.MaxTokens,
-		Deadline:  now.Add(found.service.RequestTimeout),
+		Deadline:  now.Add(resolved.service.RequestTimeout),
 	}}
-	if err := request.readMarks(r, body); err != nil {
+	if err := request.parseRepeatHeaders(r, body); err != nil {
 		return nil, err
 	}
-	request.BodyReady = parsed.Stream && !parsed.HasResume && parsed.Model == engine.JoinModel(found.model.Name, found.adapter)
+	request.BodyReady = parsed.Stream && !parsed.HasResume && parsed.Model == engine.JoinModel(resolved.model.Name, resolved.adapter)
 	request.answerID = answerPrefix(operation) + request.ID
 	return request, nil
 }
 
-// readMarks reads the headers that say how the request may be repeated or gone on with.
-func (g *generation) readMarks(r *http.Request, body []byte) error {
+// parseRepeatHeaders reads the headers that control whether the request may be repeated, and whether it
+// reconnects to a stream.
+func (g *generationRequest) parseRepeatHeaders(r *http.Request, body []byte) error {
 	g.KeepRun = g.parsed.Stream && r.Header.Get(headerReconnect) == "true"
 	key := r.Header.Get(headerIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// reconnect makes the request go on behind an event of an earlier connection.
-func (g *generation) reconnect(last string) error {
+// reconnect makes the request continue after an event of an earlier connection.
+func (g *generationRequest) reconnect(last string) error {
 	if !g.parsed.Stream || g.NotRepeatable {
 		return invalid(headerLastEventID + ": only a stream that is repeatable can be gone on with")
 	}
@@ -131,6 +132,7 @@
 	return nil
 }
 
+// fingerprint returns a digest of the operation and the body, for idempotency keys.
 func fingerprint(operation engine.Operation, body []byte) string {
 	digest := sha256.New()
 	digest.Write([]byte(operation))
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// metrics of the callers' interface.
+// metrics holds the metrics of the gateway.
 type metrics struct {
 	errors *prometheus.CounterVec
 }
@@ -28,7 +28,7 @@
 	return m
 }
 
-func (m *metrics) failed(err error) {
+func (m *metrics) countError(err error) {
 	failure := outcome.As(err)
 	m.errors.WithLabelValues(string(failure.Outcome), string(failure.Reason)).Inc()
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -11,7 +11,7 @@
 
 const objectModel = "model"
 
-// modelBody is OpenAI's model object; OwnedBy names the service.
+// modelBody is the model object of the OpenAI API; OwnedBy is the name of the service.
 type modelBody struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -19,26 +19,27 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (s *Server) listModels(w http.ResponseWriter, _ *http.Request, call call) error {
-	writeJSON(w, http.StatusOK, listBody[modelBody]{Object: objectList, Data: modelsOf(call.snapshot, call.tenant)})
+func (s *Server) listModels(w http.ResponseWriter, _ *http.Request, call authenticatedCall) error {
+	writeJSON(w, http.StatusOK, listBody[modelBody]{Object: objectList, Data: modelBodies(call.snapshot, call.tenant)})
 	return nil
 }
 
-func (s *Server) getModel(w http.ResponseWriter, r *http.Request, call call) error {
+func (s *Server) getModel(w http.ResponseWriter, r *http.Request, call authenticatedCall) error {
 	name := mux.Vars(r)["model"]
-	found, err := resolve(call.snapshot, call.tenant, name)
+	resolved, err := resolveTarget(call.snapshot, call.tenant, name)
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, modelBody{ID: name, Object: objectModel, OwnedBy: found.service.Name})
+	writeJSON(w, http.StatusOK, modelBody{ID: name, Object: objectModel, OwnedBy: resolved.service.Name})
 	return nil
 }
 
-// modelsOf lists each model, alone and with each adapter, once.
-func modelsOf(snapshot *config.Snapshot, tenant *config.Tenant) []modelBody {
+// modelBodies returns each model of the tenant's services once, and once more with each of its
+// adapters.
+func modelBodies(snapshot *config.Snapshot, tenant *config.Tenant) []modelBody {
 	models := []modelBody{}
 	seen := map[string]bool{}
-	for _, service := range servicesOf(snapshot, tenant) {
+	for _, service := range tenantServices(snapshot, tenant) {
 		for _, name := range service.Models {
 			model := snapshot.Models[name]
 			if model == nil || seen[name] {
--- a/internal/gateway/no_configuration_test.go
+++ b/internal/gateway/no_configuration_test.go
@@ -8,12 +8,13 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// A node that has started but has no configuration yet knows no keys. It must not tell
-// a caller that its key is wrong, which is final, but to come back or go elsewhere.
+// TestNoConfigurationIsNotUnauthorized checks the answer of a node that has started but has no
+// configuration and thus no keys yet: not that the key is invalid, which is final for the caller,
+// but that the request may be sent again, to this node later or to another one.
 func TestNoConfigurationIsNotUnauthorized(t *testing.T) {
 	request := httptest.NewRequest("GET", "/v1/models", nil)
 	request.Header.Set("Authorization", "Bearer some-key")
-	_, err := tenantOf(&config.Snapshot{}, request)
+	_, err := authenticate(&config.Snapshot{}, request)
 	failure := outcome.As(err)
 	if failure.Outcome != outcome.NotRun || failure.Reason != outcome.ReasonUnavailable || failure.RetryAfter == 0 {
 		t.Fatalf("got %v, retry after %v", failure, failure.RetryAfter)
--- a/internal/gateway/page.go
+++ b/internal/gateway/page.go
@@ -13,7 +13,7 @@
 	maxPageLimit     = 100
 )
 
-// listBody is OpenAI's page of a list.
+// listBody is a page of a list in the OpenAI API.
 type listBody[T any] struct {
 	Object  string `json:"object"`
 	Data    []T    `json:"data"`
@@ -22,29 +22,30 @@
 	HasMore bool   `json:"has_more"`
 }
 
-// page is what a caller asks of a list.
+// page is the part of a list that a caller requests: up to limit items after the id after.
 type page struct {
 	after string
 	limit int
 }
 
-func pageOf(r *http.Request) (page, error) {
+func parsePage(r *http.Request) (page, error) {
 	query := r.URL.Query()
-	asked := page{after: query.Get("after"), limit: defaultPageLimit}
+	requested := page{after: query.Get("after"), limit: defaultPageLimit}
 	if text := query.Get("limit"); text != "" {
 		limit, err := strconv.Atoi(text)
 		if err != nil || limit < 1 {
 			return page{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonInvalid, "limit: must be a number above 0")
 		}
-		asked.limit = min(limit, maxPageLimit)
+		requested.limit = min(limit, maxPageLimit)
 	}
-	return asked, nil
+	return requested, nil
 }
 
-// makePage makes a page of items, of which one more than asked for was fetched.
-func makePage[F, T any](fetched []F, asked page, convert func(F) T, id func(T) string) listBody[T] {
-	answer := listBody[T]{Object: objectList, Data: []T{}, HasMore: len(fetched) > asked.limit}
-	for _, item := range fetched[:min(len(fetched), asked.limit)] {
+// newListBody returns a page of the fetched items, of which one more than requested was fetched to
+// know whether more follow.
+func newListBody[F, T any](fetched []F, requested page, convert func(F) T, id func(T) string) listBody[T] {
+	answer := listBody[T]{Object: objectList, Data: []T{}, HasMore: len(fetched) > requested.limit}
+	for _, item := range fetched[:min(len(fetched), requested.limit)] {
 		answer.Data = append(answer.Data, convert(item))
 	}
 	if len(answer.Data) > 0 {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	maxHeaderBytes = 32 << 10
-	idleTimeout    = 2 * time.Minute
-	closeTimeout   = 2 * time.Second
-	stopDrain      = 2 * time.Second
+	maxHeaderBytes   = 32 << 10
+	idleTimeout      = 2 * time.Minute
+	closeTimeout     = 2 * time.Second
+	stopDrainTimeout = 2 * time.Second
 )
 
-// Dependencies of a Server.
+// Dependencies are the collaborators and settings of a Server.
 type Dependencies struct {
 	Address       netip.AddrPort
 	Limits        settings.Limits
@@ -37,11 +37,11 @@
 	Files         job.FileStore
 	Registerer    prometheus.Registerer
 	Logger        zerolog.Logger
-	// Network is listened on; nil is the operating system's.
+	// Network is the network to listen on; nil means the operating system's.
 	Network network.Network
 }
 
-// Server is the callers' interface of one node.
+// Server is the HTTP server of one node for callers.
 type Server struct {
 	address       netip.AddrPort
 	network       network.Network
@@ -59,7 +59,8 @@
 	slots    chan struct{}
 	listener net.Listener
 	server   *http.Server
-	served   chan struct{}
+	// serveDone is closed when the serving goroutine has ended.
+	serveDone chan struct{}
 }
 
 // NewServer returns a Server that does not listen yet.
@@ -76,12 +77,12 @@
 		bodies:        newBodyReader(d.Limits.MaxBodyBytes, d.Limits.BodyTimeout),
 		drain:         newDrain(),
 		slots:         make(chan struct{}, d.Limits.MaxConnections),
-		served:        make(chan struct{}),
+		serveDone:     make(chan struct{}),
 	}
 	s.metrics = newMetrics(d.Registerer, s)
 	s.server = &http.Server{
 		Handler:           markServing(s.routes()),
-		ConnContext:       withConnection,
+		ConnContext:       connectionContext,
 		ReadHeaderTimeout: d.Limits.HeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -89,7 +90,7 @@
 	return s
 }
 
-// Start listens and serves.
+// Start listens at the configured address and serves in the background.
 func (s *Server) Start() error {
 	if s.network == nil {
 		s.network = network.System{}
@@ -101,7 +102,7 @@
 	s.listener = &boundedListener{Listener: listener, slots: s.slots}
 	s.listening.Store(true)
 	go func() {
-		defer close(s.served)
+		defer close(s.serveDone)
 		if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 			s.logger.Error().Err(err).Msg("callers are not served any more")
 		}
@@ -110,38 +111,40 @@
 	return nil
 }
 
-// Address is where Start listens.
+// Address returns the address on which Start listens.
 func (s *Server) Address() net.Addr { return s.listener.Addr() }
 
 func (s *Server) connections() int { return len(s.slots) }
 
-// Ready says whether new requests are taken.
+// Ready reports whether the node accepts new requests: it listens, is not draining and has a
+// configuration.
 func (s *Server) Ready() bool {
 	return s.listening.Load() && !s.drain.isDraining() && s.configuration.Current().Revision > 0
 }
 
-// Drain stops taking new requests, which are told that they did not run, and returns when
-// those in progress have ended or ctx has. It may be called more than once.
+// Drain stops accepting new requests, which get the outcome not_run, and returns when the requests
+// in flight have ended, or with ctx's error. It may be called more than once.
 func (s *Server) Drain(ctx context.Context) error {
 	s.drain.start()
 	s.server.SetKeepAlivesEnabled(false)
 	return s.drain.wait(ctx)
 }
 
-// Stop drains for stopDrain at most, then closes what is left. A planned stop has called Drain before, with a bound of
-// its own; what is cut here must not take the time in which the other slices stop.
+// Stop drains for stopDrainTimeout at most, then closes the remaining connections. A planned stop has
+// called Drain before, with its own timeout; Stop must not use up the time in which the other
+// components stop.
 func (s *Server) Stop(ctx context.Context) error {
 	if !s.listening.Load() {
 		return nil
 	}
-	bounded, cancelDrain := context.WithTimeout(ctx, stopDrain)
+	drainContext, cancelDrain := context.WithTimeout(ctx, stopDrainTimeout)
 	defer cancelDrain()
-	err := s.Drain(bounded)
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
+	err := s.Drain(drainContext)
+	closeContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
-	if shutdownError := s.server.Shutdown(closing); shutdownError != nil {
+	if shutdownError := s.server.Shutdown(closeContext); shutdownError != nil {
 		_ = s.server.Close()
 	}
-	<-s.served
+	<-s.serveDone
 	return err
 }
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -19,10 +19,11 @@
 
 const chatStream = `{"model":"clerk","stream":true,"messages":[{"role":"user","content":"x"}]%s}`
 
-// openStream sends a streamed chat and returns its answer.
+// openStream sends a streamed chat request and returns the answer.
 func openStream(t *testing.T, node *testNode, key, more string, headers ...string) *http.Response {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, node.url+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(chatStream, more)))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, node.url+"/v1/chat/completions",
+		strings.NewReader(fmt.Sprintf(chatStream, more)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +40,8 @@
 	return response
 }
 
-// readEvents reads count events, or all where count is 0, and returns their text and last id.
+// readEvents reads count events, or all if count is 0, and returns their text and last id. whole is
+// true if the end of the answer was read.
 func readEvents(t *testing.T, events *bufio.Reader, count int) (text, lastID string, whole bool) {
 	t.Helper()
 	var read strings.Builder
@@ -49,11 +51,11 @@
 			return read.String(), lastID, false
 		}
 		line = strings.TrimSpace(line)
-		if id, is := strings.CutPrefix(line, "id: "); is {
+		if id, ok := strings.CutPrefix(line, "id: "); ok {
 			lastID = id
 		}
-		data, is := strings.CutPrefix(line, "data: ")
-		if !is {
+		data, ok := strings.CutPrefix(line, "data: ")
+		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
@@ -86,8 +88,8 @@
 	}
 }
 
-// TestReconnectToAnotherNode has a caller lose its connection and go on at another node;
-// another tenant can't.
+// TestReconnectToAnotherNode checks that a caller which lost its connection can resume the stream at
+// another node, and that another tenant cannot.
 func TestReconnectToAnotherNode(t *testing.T) {
 	fake := newFakeEngine(t, 8)
 	fake.hold = make(chan struct{})
@@ -111,7 +113,8 @@
 	}
 }
 
-// TestReconnectAfterTheEngineIsGone goes on with the text that the caller sends.
+// TestReconnectAfterTheEngineIsGone checks that a stream whose engine died is resumed on another
+// engine with the text that the caller sends.
 func TestReconnectAfterTheEngineIsGone(t *testing.T) {
 	gone, fake := newFakeEngine(t, 8), newFakeEngine(t, 8)
 	cluster := newTestCluster(gone, fake)
@@ -152,18 +155,18 @@
 	}()
 	fake.release(1)
 	<-ended
-	// The gateway's handler has ended when the drain has.
+	// Draining waits until the gateway's handler has ended.
 	if err := node.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	node.runner.Wait()
 	if !fake.cancelled(seen.Get(headerRequestID)) {
-		t.Fatal("the run was left")
+		t.Fatal("the run was not cancelled")
 	}
 }
 
-// TestSlowReader has an answer of more than all buffers, and a caller that reads nothing until
-// the engine has made much of it. The whole answer comes, in order.
+// TestSlowReader has an answer larger than all buffers, and a caller that reads nothing until the
+// engine has generated a large part of it. The caller must get the whole answer in order.
 func TestSlowReader(t *testing.T) {
 	const tokens, tokenBytes = 6_000, 1000
 	fake := newFakeEngine(t, tokens)
@@ -174,7 +177,8 @@
 	go func() { response <- openStream(t, node, registryKey, "") }()
 	fake.release(1)
 	opened := <-response
-	// The engine is read on while the caller reads nothing: its first tokens fit the bound.
+	// The gateway reads from the engine while the caller reads nothing: these tokens are within
+	// maxQueuedBytes.
 	fake.release(maxQueuedBytes / tokenBytes / 2)
 	go func() {
 		for range tokens - 1 - maxQueuedBytes/tokenBytes/2 {
@@ -188,7 +192,8 @@
 	}
 }
 
-// TestDrainCutsNothing stops a node while a stream runs.
+// TestDrainCutsNothing drains a node while a stream runs: new requests are rejected, and the stream
+// completes.
 func TestDrainCutsNothing(t *testing.T) {
 	fake := newFakeEngine(t, 8)
 	fake.hold = make(chan struct{})
@@ -203,7 +208,8 @@
 
 	refused := openStream(t, node, registryKey, "")
 	body, _ := io.ReadAll(refused.Body)
-	if refused.StatusCode != http.StatusServiceUnavailable || refused.Header.Get("Retry-After") != "1" || !strings.Contains(string(body), `"code":"leaving","outcome":"not_run"`) {
+	if refused.StatusCode != http.StatusServiceUnavailable || refused.Header.Get("Retry-After") != "1" ||
+		!strings.Contains(string(body), `"code":"leaving","outcome":"not_run"`) {
 		t.Fatal(refused.Status, string(body))
 	}
 	ready, err := http.Get(node.url + "/readyz")
@@ -250,7 +256,7 @@
 		t.Fatal(err)
 	}
 	defer held.Close()
-	// The held connection has its slot once it was answered.
+	// The first connection certainly has its slot once it got an answer.
 	if _, err := io.WriteString(held, "GET /readyz HTTP/1.1\r\nHost: node\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -271,7 +277,8 @@
 	}
 }
 
-// TestNotRepeatableByHTTP sends a marked request twice; it runs once, and both get its answer.
+// TestNotRepeatableByHTTP sends a non-repeatable request twice; it runs once, and both callers get
+// its answer.
 func TestNotRepeatableByHTTP(t *testing.T) {
 	fake := newFakeEngine(t, 5)
 	client := clientOf(newTestCluster(fake).start(t), registryKey,
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,12 +13,13 @@
 	"github.com/sloelift/sloelift/internal/session"
 )
 
-// writeGrace is how long after its deadline a request may still be written.
+// writeGrace is how long after a request's deadline its answer may still be written, and the
+// timeout for writing a JSON answer.
 const writeGrace = 30 * time.Second
 
-// stream runs the request and answers with server-sent events. The status is sent with
-// the first chunk, so that a request that did not run gets an error status.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, request *generation) error {
+// stream runs the request and answers with server-sent events. The status is sent with the first
+// chunk, so that a request that did not run gets an error status.
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, request *generationRequest) error {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	queue := newChunkQueue()
@@ -38,7 +39,7 @@
 		if writer.write(chunks, ended && err == nil) != nil {
 			cancel()
 		}
-		if ended && err != nil && !writer.begun {
+		if ended && err != nil && !writer.headerSent {
 			return err
 		}
 		if ended {
@@ -48,22 +49,25 @@
 	}
 }
 
-// eventWriter writes one answer's events.
+// eventWriter writes the server-sent events of one answer.
 type eventWriter struct {
 	response   http.ResponseWriter
 	controller *http.ResponseController
-	request    *generation
-	// opening and closing are the constant parts of every chunk around its choice.
-	opening []byte
-	begun   bool
-	broken  error
-	usage   engine.Usage
-	// buffer is pooled.
+	request    *generationRequest
+	// chunkPrefix is the constant part of every event between its id and its choice.
+	chunkPrefix []byte
+	// headerSent is true once the status and headers were sent.
+	headerSent bool
+	// writeFailure is the first error of a write to the caller.
+	writeFailure error
+	usage        engine.Usage
+	// buffer comes from eventBuffers.
 	buffer *[]byte
 }
 
 const (
-	// eventBufferBytes is the first size of a buffer, maxPooledBytes the largest that is kept.
+	// eventBufferBytes is the initial size of a buffer, maxPooledBytes the largest that is returned
+	// to the pool.
 	eventBufferBytes = 4 << 10
 	maxPooledBytes   = 64 << 10
 )
@@ -79,18 +83,18 @@
 	}
 }
 
-func newEventWriter(w http.ResponseWriter, request *generation) *eventWriter {
+func newEventWriter(w http.ResponseWriter, request *generationRequest) *eventWriter {
 	writer := &eventWriter{response: w, controller: http.NewResponseController(w), request: request, buffer: eventBuffers.Get().(*[]byte)}
 	object := objectCompletion
 	if request.Operation == engine.OperationChat {
 		object = objectChatChunk
 	}
-	opening := append([]byte("\ndata: {\"id\":\""), request.answerID...)
-	opening = append(opening, `","object":"`+object+`","created":`...)
-	opening = strconv.AppendInt(opening, request.created, 10)
-	opening = append(opening, `,"model":`...)
-	opening = appendQuoted(opening, request.parsed.Model)
-	writer.opening = append(opening, `,"choices":[`...)
+	prefix := append([]byte("\ndata: {\"id\":\""), request.answerID...)
+	prefix = append(prefix, `","object":"`+object+`","created":`...)
+	prefix = strconv.AppendInt(prefix, request.created, 10)
+	prefix = append(prefix, `,"model":`...)
+	prefix = appendQuoted(prefix, request.parsed.Model)
+	writer.chunkPrefix = append(prefix, `,"choices":[`...)
 	return writer
 }
 
@@ -105,7 +109,7 @@
 	return append(to, quoted...)
 }
 
-// isPlain says that text is the same inside a JSON string; most tokens are.
+// isPlain reports whether text needs no escaping in a JSON string, as is true of most tokens.
 func isPlain(text string) bool {
 	for index := range len(text) {
 		if char := text[index]; char < ' ' || char > '~' || char == '"' || char == '\\' {
@@ -115,11 +119,12 @@
 	return true
 }
 
-func (w *eventWriter) begin() {
-	if w.begun {
+// sendHeader sends the status and headers with the first event.
+func (w *eventWriter) sendHeader() {
+	if w.headerSent {
 		return
 	}
-	w.begun = true
+	w.headerSent = true
 	header := w.response.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
@@ -127,40 +132,40 @@
 	w.response.WriteHeader(http.StatusOK)
 }
 
-// write sends chunks at once, and the end of the answer where whole is set.
-func (w *eventWriter) write(chunks []session.Chunk, whole bool) error {
-	if w.broken != nil || len(chunks) == 0 && !whole {
-		return w.broken
+// write sends the chunks in a single write, followed by the end of the answer if complete is set.
+func (w *eventWriter) write(chunks []session.Chunk, complete bool) error {
+	if w.writeFailure != nil || len(chunks) == 0 && !complete {
+		return w.writeFailure
 	}
 	text := (*w.buffer)[:0]
 	for index := range chunks {
 		text = w.appendChunk(text, &chunks[index])
 	}
-	if whole {
+	if complete {
 		text = w.appendEnd(text)
 	}
 	*w.buffer = text
-	w.begin()
+	w.sendHeader()
 	return w.send()
 }
 
 func (w *eventWriter) send() error {
 	if _, err := w.response.Write(*w.buffer); err != nil {
-		w.broken = err
+		w.writeFailure = err
 		return err
 	}
-	w.broken = w.controller.Flush()
-	return w.broken
+	w.writeFailure = w.controller.Flush()
+	return w.writeFailure
 }
 
 func (w *eventWriter) appendChunk(text []byte, chunk *session.Chunk) []byte {
 	if chunk.Usage != nil {
 		w.usage = *chunk.Usage
 	}
-	first := !w.begun && len(text) == 0
+	first := !w.headerSent && len(text) == 0
 	text = append(text, "id: "...)
 	text = eventID{request: w.request.ID, replica: chunk.Replica, offset: chunk.Offset + chunk.Tokens}.appendTo(text)
-	text = append(text, w.opening...)
+	text = append(text, w.chunkPrefix...)
 	if w.request.Operation == engine.OperationChat {
 		text = append(text, `{"index":0,"delta":{`...)
 		if first {
@@ -183,9 +188,9 @@
 
 func (w *eventWriter) appendEnd(text []byte) []byte {
 	if w.request.parsed.IncludeUsage {
-		usage, _ := json.Marshal(usageOf(w.usage))
-		// The opening starts with the end of an id line, which this event has not.
-		text = append(text, w.opening[1:]...)
+		usage, _ := json.Marshal(newUsageBody(w.usage))
+		// chunkPrefix starts with the line end of an id line, which this event does not have.
+		text = append(text, w.chunkPrefix[1:]...)
 		text = append(text, `],"usage":`...)
 		text = append(text, usage...)
 		text = append(text, "}\n\n"...)
@@ -193,12 +198,12 @@
 	return append(text, "data: [DONE]\n\n"...)
 }
 
-// fail tells an error in a stream that has begun.
+// fail sends err as an event of a stream that has begun.
 func (w *eventWriter) fail(err error) {
-	if err == nil || w.broken != nil {
+	if err == nil || w.writeFailure != nil {
 		return
 	}
-	body, _ := json.Marshal(errorBodyOf(outcome.As(err)))
+	body, _ := json.Marshal(newErrorBody(outcome.As(err)))
 	*w.buffer = append(append(append((*w.buffer)[:0], "data: "...), body...), "\n\n"...)
 	_ = w.send()
 }
--- a/internal/gateway/target.go
+++ b/internal/gateway/target.go
@@ -11,26 +11,28 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// target is what a caller's "model" stands for.
+// target is the service, model and adapter that a caller's "model" refers to.
 type target struct {
 	service *config.Service
 	model   *config.Model
 	adapter string
 }
 
-// mayUse says whether the tenant may use the service.
+// mayUse reports whether the tenant may use the service. A tenant without a list of services may
+// use all.
 func mayUse(tenant *config.Tenant, service string) bool {
 	return len(tenant.Services) == 0 || slices.Contains(tenant.Services, service)
 }
 
-// resolve finds the target of a caller's "model", which is "service/model", "model" or
-// "service" (its first model), each with an optional ":adapter", or an adapter's name alone.
-// A name that several of the tenant's services have is served by the first one by name.
-func resolve(snapshot *config.Snapshot, tenant *config.Tenant, name string) (target, error) {
+// resolveTarget returns the target of a caller's "model", which is "service/model", "model" or
+// "service" (its first model), each with an optional ":adapter", or the name of an adapter alone.
+// If several of the tenant's services have a name, the first of them in order of service names is
+// used.
+func resolveTarget(snapshot *config.Snapshot, tenant *config.Tenant, name string) (target, error) {
 	base, adapter := engine.SplitModel(name)
 	serviceName, modelName, qualified := strings.Cut(base, "/")
 	if !qualified {
-		serviceName, modelName = unqualified(snapshot, tenant, base)
+		serviceName, modelName = resolveUnqualified(snapshot, tenant, base)
 	}
 	if serviceName == "" && adapter == "" {
 		serviceName, modelName = adapterOwner(snapshot, tenant, base)
@@ -46,7 +48,9 @@
 	return target{service: service, model: model, adapter: adapter}, nil
 }
 
-func unqualified(snapshot *config.Snapshot, tenant *config.Tenant, name string) (service, model string) {
+// resolveUnqualified returns the service and model for a name without "/"; service is empty if
+// there is none.
+func resolveUnqualified(snapshot *config.Snapshot, tenant *config.Tenant, name string) (service, model string) {
 	if named := snapshot.Services[name]; named != nil && len(named.Models) > 0 {
 		return name, named.Models[0]
 	}
@@ -58,9 +62,10 @@
 	return service, name
 }
 
-// adapterOwner finds the first of the tenant's services with a model that has the adapter.
+// adapterOwner returns the first of the tenant's services, by name, with a model that has the
+// adapter.
 func adapterOwner(snapshot *config.Snapshot, tenant *config.Tenant, adapter string) (service, model string) {
-	for _, candidate := range servicesOf(snapshot, tenant) {
+	for _, candidate := range tenantServices(snapshot, tenant) {
 		for _, name := range candidate.Models {
 			if declared := snapshot.Models[name]; declared != nil && slices.Contains(declared.Adapters, adapter) {
 				return candidate.Name, name
@@ -70,8 +75,8 @@
 	return "", ""
 }
 
-// servicesOf returns the tenant's services, sorted by name.
-func servicesOf(snapshot *config.Snapshot, tenant *config.Tenant) []*config.Service {
+// tenantServices returns the tenant's services, sorted by name.
+func tenantServices(snapshot *config.Snapshot, tenant *config.Tenant) []*config.Service {
 	var services []*config.Service
 	for name, service := range snapshot.Services {
 		if mayUse(tenant, name) {
@@ -82,12 +87,12 @@
 	return services
 }
 
-// Names of service_tier that stand for the default priority.
+// defaultTiers holds the values of "service_tier" that mean the default priority.
 var defaultTiers = []string{"", "auto", "default"}
 
-// priorityOf finds a declared priority: the header's, else the service tier's, else the
-// lowest of its class.
-func priorityOf(snapshot *config.Snapshot, header, tier string, online bool) (*config.Priority, error) {
+// resolvePriority returns a declared priority: the header's, else the service tier's, else the lowest
+// one for online or batch requests.
+func resolvePriority(snapshot *config.Snapshot, header, tier string, online bool) (*config.Priority, error) {
 	name := header
 	if name == "" && !slices.Contains(defaultTiers, tier) {
 		name = tier
