--- a/internal/engine/body.go
+++ b/internal/engine/body.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 )
 
-// resumeField is the body field that gives another engine the answer so far.
+// resumeField is the body field "resume", which gives another engine the answer so far.
 type resumeField struct {
 	Offset int    `json:"offset"`
 	Text   string `json:"text"`
@@ -12,8 +12,8 @@
 
 var jsonTrue = json.RawMessage("true")
 
-// generationBody returns the body with "stream" forced to true, and with the answer
-// so far in "resume" where the request goes on behind it.
+// generationBody returns the body to send to the engine: with "stream" set to true, with the
+// request's model if it has one, and with the answer so far in "resume" if the request resumes it.
 func generationBody(request Request) ([]byte, error) {
 	if request.BodyReady && request.Offset == 0 {
 		return request.Body, nil
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// Bounds of the client.
+// Limits of the client.
 const (
 	dialTimeout        = time.Second
 	idleTimeout        = 90 * time.Second
@@ -23,23 +23,24 @@
 	streamBufferBytes  = 4 << 10
 )
 
-// keepAlive finds an engine that vanished without closing its connections in about 12 s.
+// keepAlive detects an engine that disappeared without closing its connections within about 12 s.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 6 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// HTTPClient is the Client over HTTP/1.1 with pooled connections.
+// HTTPClient is a Client over HTTP/1.1 with pooled connections.
 type HTTPClient struct {
 	transport *http.Transport
-	// quietLimit is defaultQuietLimit; tests set it.
-	quietLimit time.Duration
+	// silenceTimeout is defaultSilenceTimeout except in tests.
+	silenceTimeout time.Duration
 }
 
 var _ Client = (*HTTPClient)(nil)
 
-// NewHTTPClient returns a client with its own connection pool, over the operating system's network; Close frees it.
+// NewHTTPClient returns a client with its own connection pool over the operating system's network.
+// The caller must call Close.
 func NewHTTPClient() *HTTPClient { return NewHTTPClientOver(network.System{}) }
 
 // NewHTTPClientOver returns a client that dials through the given network.
-func NewHTTPClientOver(via network.Network) *HTTPClient {
+func NewHTTPClientOver(dialer network.Network) *HTTPClient {
 	dial := func(ctx context.Context, _, hostPort string) (net.Conn, error) {
 		address, err := netip.ParseAddrPort(hostPort)
 		if err != nil {
@@ -47,11 +48,11 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		conn, err := via.Dial(ctx, address)
+		conn, err := dialer.Dial(ctx, address)
 		network.Watch(conn, keepAlive)
 		return conn, err
 	}
-	return &HTTPClient{quietLimit: defaultQuietLimit, transport: &http.Transport{
+	return &HTTPClient{silenceTimeout: defaultSilenceTimeout, transport: &http.Transport{
 		DialContext:         dial,
 		MaxIdleConns:        0,
 		MaxIdleConnsPerHost: idlePerEngine,
@@ -61,7 +62,7 @@
 	}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *HTTPClient) Close() { c.transport.CloseIdleConnections() }
 
 func url(to Endpoint, path string) string {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestGenerateKinds checks what each refusal says about whether the request may have run.
+// TestGenerateKinds checks the error kind of each status, which determines whether the request may
+// have run.
 func TestGenerateKinds(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -144,12 +145,12 @@
 	}
 }
 
-// TestGenerateWaitingIsLost checks that a caller that goes away while the engine holds the
-// request is never told that it did not run.
+// TestGenerateWaitingIsLost checks that a request is not reported as not run if the caller
+// disconnects while the engine has it.
 func TestGenerateWaitingIsLost(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	client, endpoint := serveEngine(t, func(_ http.ResponseWriter, r *http.Request) {
-		// The server notices that the caller went away only behind the body.
+		// The server detects that the caller disconnected only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
 		cancel()
 		<-r.Context().Done()
@@ -201,7 +202,7 @@
 	}
 }
 
-// BenchmarkStream is the processor time of one chunk.
+// BenchmarkStream measures the time to decode one chunk.
 func BenchmarkStream(b *testing.B) {
 	var events strings.Builder
 	const chunks = 1000
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -22,29 +22,32 @@
 	OperationCompletion Operation = "/v1/completions"
 )
 
-// Request is one generation. ID is unique in the whole system for a logical request:
-// an engine that already runs or ran ID attaches to that run and never starts a second.
+// Request is one generation.
 type Request struct {
+	// ID is unique in the whole system for a logical request. An engine that is running or has run
+	// it attaches to that run and never starts a second one.
 	ID        string
 	Operation Operation
 	// Body is the OpenAI-compatible JSON body; the client forces "stream": true.
 	Body json.RawMessage
-	// Model replaces the body's "model" where it is not empty.
+	// Model replaces the body's "model" if it is not empty.
 	Model string
-	// BodyReady says that Body has "stream": true, the right model and no "resume": it is
-	// sent as it is, unless the request goes on behind an answer so far.
+	// BodyReady is true if Body has "stream": true, the right model and no "resume". It is then sent
+	// unchanged if Offset is 0.
 	BodyReady bool
-	// Priority is the rank; a higher one goes first. Batch ranks are below online ranks.
+	// Priority is the rank; higher ranks run first. Batch ranks are below online ranks.
 	Priority int
-	// Offset is the number of output tokens the caller already has; the stream goes on behind them.
+	// Offset is the number of output tokens that the caller already has; the stream starts after
+	// them.
 	Offset int
-	// Prior is the text of those Offset tokens, which another replica continues from.
+	// Prior is the text of those Offset tokens, from which another replica continues.
 	Prior string
-	// AttachOnly asks only for an existing run of ID; KindNoSuchRun where there is none.
+	// AttachOnly restricts the request to an existing run of ID; without one, the error is
+	// KindNoSuchRun.
 	AttachOnly bool
 }
 
-// Chunk is a piece of a stream.
+// Chunk is a part of a stream.
 type Chunk struct {
 	// Offset is the index of the first token in Text; Tokens is their number.
 	Offset int
@@ -65,24 +68,24 @@
 
 // Stream is one running generation. It is used by one goroutine.
 type Stream interface {
-	// Next returns the next chunk; io.EOF after the last one. Any other error tells
-	// by its kind whether the request may have run.
+	// Next returns the next chunk, or io.EOF after the last one. The kind of any other error
+	// determines whether the request may have run.
 	Next() (Chunk, error)
-	// Close gives up the connection. It does not cancel the run.
+	// Close closes the stream. It does not cancel the run.
 	Close() error
 }
 
 // CancelResult is the state of a run after a cancel.
 type CancelResult struct {
-	// Found is false where the engine knows no such run.
+	// Found is false if the engine has no such run.
 	Found bool
-	// Finished is true where the run ended before the cancel.
+	// Finished is true if the run ended before the cancel.
 	Finished bool
-	// Offset is the number of output tokens made.
+	// Offset is the number of output tokens generated.
 	Offset int
 }
 
-// LoadReport is an engine's load. It lags; MeasuredAt is the engine's own time.
+// LoadReport is an engine's load, which lags behind. MeasuredAt is the time of the engine's clock.
 type LoadReport struct {
 	Sequence      uint64    `json:"sequence"`
 	MeasuredAt    time.Time `json:"measured_at"`
@@ -101,7 +104,7 @@
 	QueuedPrefill int       `json:"queued_prefill_tokens"`
 }
 
-// Loaded is one model version, with adapters, that an engine serves.
+// Loaded is one model version, with its adapters, that an engine serves or loads.
 type Loaded struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -110,26 +113,27 @@
 	State string `json:"state"`
 }
 
-// CacheEvent tells that a prefix block was stored in or evicted from the cache.
+// CacheEvent reports prefix blocks that were stored in or evicted from the cache, or that the cache
+// was cleared.
 type CacheEvent struct {
-	// Sequence rises by one; a gap means that events were lost.
+	// Sequence increases by one; a gap means that events were lost.
 	Sequence uint64 `json:"sequence"`
 	// Kind is "stored", "evicted" or "cleared".
 	Kind string `json:"kind"`
-	// Blocks are chained block hashes, see PrefixBlocks.
+	// Blocks holds chained block hashes as returned by PrefixBlocks.
 	Blocks []uint64 `json:"blocks"`
 }
 
-// CacheEvents is one page of events. Next is the sequence to ask from.
+// CacheEvents is one page of events. Next is the sequence from which to request the next page.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
 }
 
-// OrderKind names what an order does.
+// OrderKind is the action of an order.
 type OrderKind string
 
-// Orders an engine accepts.
+// Orders that an engine accepts.
 const (
 	OrderLoadModel     OrderKind = "load_model"
 	OrderUnloadModel   OrderKind = "unload_model"
@@ -138,7 +142,8 @@
 	OrderSetRole       OrderKind = "set_role"
 )
 
-// Order is a fenced order. An engine refuses a Fence below the highest it has seen.
+// Order is an order with a fencing token. An engine rejects a Fence below the highest one it has
+// seen.
 type Order struct {
 	Fence   uint64    `json:"fence"`
 	Kind    OrderKind `json:"kind"`
@@ -148,16 +153,21 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// Client talks to engines. It is safe for concurrent use.
+// Client calls engines. It is safe for concurrent use.
 type Client interface {
-	// Generate starts or attaches to a run. An error of KindRefused or KindNotSent
-	// means that the engine did not run it; KindLost means that it may have.
+	// Generate starts or attaches to a run. An error of KindRefused or KindNotSent means that the
+	// engine did not run it; KindLost means that it may have.
 	Generate(ctx context.Context, to Endpoint, request Request) (Stream, error)
+	// Cancel ends a run. Its result has Found false if the engine has no such run.
 	Cancel(ctx context.Context, to Endpoint, requestID string) (CancelResult, error)
+	// Load returns the engine's load report.
 	Load(ctx context.Context, to Endpoint) (LoadReport, error)
+	// CacheEvents returns the page of cache events that begins at sequence from.
 	CacheEvents(ctx context.Context, to Endpoint, from uint64) (CacheEvents, error)
+	// Order sends a fenced order. The error is KindFenced if its fencing token is too low.
 	Order(ctx context.Context, to Endpoint, order Order) error
-	// ExportCache returns the KV cache of a run as an opaque value, ImportCache gives it to another engine.
+	// ExportCache returns the KV cache of a run as an opaque value.
 	ExportCache(ctx context.Context, to Endpoint, requestID string) ([]byte, error)
+	// ImportCache imports an exported KV cache into another engine.
 	ImportCache(ctx context.Context, to Endpoint, cache []byte) error
 }
--- a/internal/engine/fx.go
+++ b/internal/engine/fx.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// Module provides the Client.
+// Module provides the Client and closes it at the end of the application.
 var Module = fx.Module("engine", fx.Provide(provideClient))
 
 func provideClient(lifecycle fx.Lifecycle, via network.Network) Client {
--- a/internal/engine/generate.go
+++ b/internal/engine/generate.go
@@ -23,22 +23,22 @@
 	HeaderNotRun       = "X-Not-Run"
 )
 
-// Generate starts or attaches to a run; see Client.
+// Generate implements Client.
 func (c *HTTPClient) Generate(ctx context.Context, to Endpoint, request Request) (Stream, error) {
 	body, err := generationBody(request)
 	if err != nil {
 		return nil, KindInvalid.Wrap(err, "request body")
 	}
-	streamContext, giveUp := context.WithCancelCause(ctx)
-	quiet := c.watchQuiet(streamContext, giveUp, to, request)
+	streamContext, cancelStream := context.WithCancelCause(ctx)
+	detector := c.detectSilence(streamContext, cancelStream, to, request)
 	cancel := func() {
-		quiet.stop()
-		giveUp(nil)
+		detector.stop()
+		cancelStream(nil)
 	}
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(streamContext, &httptrace.ClientTrace{
-		// Before each try of its own the transport asks for a connection anew; it tries
-		// again only where nothing of the request was written.
+		// The transport requests a connection again for each retry of its own. It retries only if
+		// no part of the request was written.
 		GetConn: func(string) { connected.Store(false) },
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
@@ -65,7 +65,7 @@
 		cancel()
 		return nil, KindLost.New("%s answered request %s in place of %s", to.Replica, id, request.ID)
 	}
-	return newEventStream(response.Body, cancel, quiet.progress, request.ID, request.Offset), nil
+	return newEventStream(response.Body, cancel, detector.progress, request.ID, request.Offset), nil
 }
 
 func setGenerationHeaders(header http.Header, request Request) {
@@ -81,16 +81,18 @@
 	}
 }
 
-// statusError reads a refusal and tells by its kind whether the request may have run.
+// statusError returns the error for an answer with a status other than 200. Its kind determines
+// whether the request may have run.
 func statusError(response *http.Response, to Endpoint, attachOnly bool) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBodyBytes))
 	closeBody(response.Body)
 	notRun := response.Header.Get(HeaderNotRun) == "true"
-	return statusKind(response.StatusCode, notRun, attachOnly).
+	return generationErrorKind(response.StatusCode, notRun, attachOnly).
 		New("%s answered %d: %s", to.Replica, response.StatusCode, strings.TrimSpace(string(text)))
 }
 
-func statusKind(status int, notRun, attachOnly bool) *errorx.Type {
+// generationErrorKind returns the error kind for the status of an answer to a generation.
+func generationErrorKind(status int, notRun, attachOnly bool) *errorx.Type {
 	switch status {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		return KindInvalid
@@ -105,7 +107,8 @@
 	return KindLost
 }
 
-// closeBody drains what little is left, so that the connection can be used again.
+// closeBody reads a small remainder of the body before closing it, so that the connection can be
+// reused.
 func closeBody(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxErrorBodyBytes)
 	_ = body.Close()
--- a/internal/engine/generation.go
+++ b/internal/engine/generation.go
@@ -6,21 +6,22 @@
 	"strings"
 )
 
-// Generation is what the system reads of a generation's body; all else passes through.
+// Generation holds the fields of a generation's body that this system uses; the others are passed
+// on unchanged.
 type Generation struct {
-	// Model is the name as the body has it.
+	// Model is the name as given in the body.
 	Model string
 	// Prompt is the text that engines hash into prefix blocks: the prompt itself, or one
 	// line "role: content" for each message.
 	Prompt    string
 	MaxTokens int
 	Stream    bool
-	// IncludeUsage asks for a last stream event with the usage.
+	// IncludeUsage requests a last stream event with the usage.
 	IncludeUsage bool
-	// ServiceTier is OpenAI's name for a class of service.
+	// ServiceTier is the service class, as in the OpenAI API.
 	ServiceTier string
-	// Resume is the answer so far that a reconnecting caller sends; HasResume says that the
-	// body has the field at all.
+	// Resume is the answer so far, which a reconnecting caller may send. HasResume is true if the
+	// body has the field.
 	Resume    string
 	HasResume bool
 }
@@ -54,7 +55,7 @@
 	Text string `json:"text"`
 }
 
-// Errors of ParseGeneration that name a field.
+// Errors of ParseGeneration that name the invalid field. Callers get their texts.
 var (
 	errNoModel       = errors.New("model: is required")
 	errNoMessages    = errors.New("messages: at least one message is required")
@@ -67,7 +68,7 @@
 	errOperationName = errors.New("endpoint: must be /v1/chat/completions or /v1/completions")
 )
 
-// ParseGeneration reads the body of an operation. Its error names the field that is wrong.
+// ParseGeneration parses the body of an operation. Its error names the invalid field.
 func ParseGeneration(operation Operation, body []byte) (Generation, error) {
 	var fields generationFields
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -101,9 +102,9 @@
 		return errNoModel
 	case f.Choices != nil && *f.Choices != 1:
 		return errChoices
-	case present(f.Tools):
+	case isSet(f.Tools):
 		return errTools
-	case present(f.Logprobs) && string(f.Logprobs) != "false":
+	case isSet(f.Logprobs) && string(f.Logprobs) != "false":
 		return errLogprobs
 	case f.MaxTokens < 0 || f.MaxCompletionTokens < 0:
 		return errMaxTokens
@@ -112,7 +113,8 @@
 	}
 }
 
-func present(value json.RawMessage) bool {
+// isSet reports whether a field is set to something other than null or an empty list.
+func isSet(value json.RawMessage) bool {
 	return len(value) > 0 && string(value) != "null" && string(value) != "[]"
 }
 
@@ -146,7 +148,7 @@
 }
 
 func contentText(content json.RawMessage) (string, error) {
-	if !present(content) {
+	if !isSet(content) {
 		return "", nil
 	}
 	var text string
@@ -168,7 +170,7 @@
 
 func promptText(prompt json.RawMessage) (string, error) {
 	var text string
-	if present(prompt) && json.Unmarshal(prompt, &text) == nil {
+	if isSet(prompt) && json.Unmarshal(prompt, &text) == nil {
 		return text, nil
 	}
 	var list []string
@@ -178,7 +180,7 @@
 	return list[0], nil
 }
 
-// SplitModel splits the model of a body, "name" or "name:adapter".
+// SplitModel splits a model as given in a body, "name" or "name:adapter".
 func SplitModel(model string) (name, adapter string) {
 	name, adapter, _ = strings.Cut(model, ":")
 	return name, adapter
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length in bytes of prompt text that one cache block
-// covers. Engines hash prompt text in blocks, each hash chained to the one before.
+// PrefixBlockBytes is the number of bytes of prompt text in one cache block. Engines hash prompt
+// text in blocks, each hash chained to the previous one.
 const PrefixBlockBytes = 64
 
-// PrefixBlocks returns the chained hashes of the full blocks of prompt for a
-// model and adapter. Two prompts share a cached prefix of as many blocks as
-// their results agree from the start.
+// PrefixBlocks returns the chained hashes of the full blocks of prompt for a model and adapter. The
+// number of leading hashes that two prompts have in common is the length of their shared prefix in
+// blocks.
 func PrefixBlocks(model, adapter, prompt string) []uint64 {
 	previous := xxhash.Sum64String(model + "\x00" + adapter)
 	count := len(prompt) / PrefixBlockBytes
--- a/internal/engine/silence.go
+++ b/internal/engine/silence.go
@@ -9,61 +9,64 @@
 	"github.com/joomcode/errorx"
 )
 
-// defaultQuietLimit is how long a generation may bring nothing before the engine is asked, over another connection, how far its run is.
-// A request may wait its turn at a sound engine for longer; then it is asked again after as long.
-const defaultQuietLimit = 3 * time.Second
+// defaultSilenceTimeout is how long a generation may deliver nothing before the engine is asked for the
+// state of the run over another connection. A healthy engine may queue a request for longer; the
+// state is then requested again after the same time.
+const defaultSilenceTimeout = 3 * time.Second
 
-// errSilentConnection is the cause of a generation that was given up since its connection does not bring what the engine has made.
+// errSilentConnection is the cause of a generation that was given up because its connection does not
+// deliver the tokens that the engine has generated.
 var errSilentConnection = errors.New("the connection is silent while the run goes on")
 
-// quietWatch finds a generation whose connection has gone silent without a reset.
-type quietWatch struct {
+// silenceDetector detects a generation whose connection stopped delivering data without a reset.
+type silenceDetector struct {
 	client    *HTTPClient
 	to        Endpoint
 	requestID string
 	ctx       context.Context
-	giveUp    context.CancelCauseFunc
+	cancel    context.CancelCauseFunc
 	timer     *time.Timer
-	// received is the offset behind the last chunk that came.
+	// received is the offset after the last chunk received.
 	received atomic.Int64
 }
 
-// watchQuiet returns a watch whose giveUp is called where the connection is found silent. stop must be called.
-func (c *HTTPClient) watchQuiet(ctx context.Context, giveUp context.CancelCauseFunc, to Endpoint, request Request) *quietWatch {
-	watch := &quietWatch{client: c, to: to, requestID: request.ID, ctx: ctx, giveUp: giveUp}
-	watch.received.Store(int64(request.Offset))
-	watch.timer = time.AfterFunc(c.quietLimit, watch.look)
-	return watch
+// detectSilence starts to monitor a generation and calls cancel if its connection is found silent.
+// The caller must call stop.
+func (c *HTTPClient) detectSilence(ctx context.Context, cancel context.CancelCauseFunc, to Endpoint, request Request) *silenceDetector {
+	detector := &silenceDetector{client: c, to: to, requestID: request.ID, ctx: ctx, cancel: cancel}
+	detector.received.Store(int64(request.Offset))
+	detector.timer = time.AfterFunc(c.silenceTimeout, detector.checkRun)
+	return detector
 }
 
-// progress notes that something came.
-func (w *quietWatch) progress(offset int) {
-	w.received.Store(int64(offset))
-	w.timer.Reset(w.client.quietLimit)
+// progress records a chunk that ends at offset and restarts the timer.
+func (d *silenceDetector) progress(offset int) {
+	d.received.Store(int64(offset))
+	d.timer.Reset(d.client.silenceTimeout)
 }
 
-func (w *quietWatch) stop() { w.timer.Stop() }
+func (d *silenceDetector) stop() { d.timer.Stop() }
 
-// look asks how far the run is.
-func (w *quietWatch) look() {
-	before := w.received.Load()
-	state, err := w.client.runState(w.ctx, w.to, w.requestID)
+// checkRun requests the state of the run and compares it with the tokens received.
+func (d *silenceDetector) checkRun() {
+	receivedBefore := d.received.Load()
+	state, err := d.client.requestRunState(d.ctx, d.to, d.requestID)
 	switch {
-	case w.ctx.Err() != nil || w.received.Load() != before:
+	case d.ctx.Err() != nil || d.received.Load() != receivedBefore:
 		return
 	case errorx.IsOfType(err, KindLost):
-		// The connection of this question may have gone silent as well.
-		w.client.transport.CloseIdleConnections()
-	case errorx.IsOfType(err, KindNoSuchRun), err == nil && (int64(state.Offset) > before || state.State == stateFinished):
-		w.client.transport.CloseIdleConnections()
-		w.giveUp(errSilentConnection)
+		// The connection of this call may be silent as well, so make the next call on a new one.
+		d.client.transport.CloseIdleConnections()
+	case errorx.IsOfType(err, KindNoSuchRun), err == nil && (int64(state.Offset) > receivedBefore || state.State == stateFinished):
+		d.client.transport.CloseIdleConnections()
+		d.cancel(errSilentConnection)
 		return
 	}
-	w.timer.Reset(w.client.quietLimit)
+	d.timer.Reset(d.client.silenceTimeout)
 }
 
-// runState asks an engine how far a run is; KindNoSuchRun where it knows none.
-func (c *HTTPClient) runState(ctx context.Context, to Endpoint, requestID string) (runState, error) {
+// requestRunState requests the state of a run; the error is KindNoSuchRun if the engine has no such run.
+func (c *HTTPClient) requestRunState(ctx context.Context, to Endpoint, requestID string) (runState, error) {
 	var state runState
 	err := c.controlJSON(ctx, to, "/v1/requests/"+requestID, &state)
 	return state, err
--- a/internal/engine/silence_test.go
+++ b/internal/engine/silence_test.go
@@ -14,12 +14,13 @@
 	"github.com/sloelift/sloelift/internal/network/networktest"
 )
 
-// TestSilentConnectionOfARunIsGivenUp: the connection of a run goes silent without a reset, before its head or within its stream, while the
-// engine answers others. Its state tells that from a run that waits its turn.
+// TestSilentConnectionOfARunIsGivenUp has the connection of a run go silent without a reset, before
+// the response header or within the stream, while the engine answers on other connections. The state
+// of the run distinguishes this from a run that is queued.
 func TestSilentConnectionOfARunIsGivenUp(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// state is what the engine says of the run; empty is that it knows none.
+		// state is the engine's answer about the run; empty means that it has no such run.
 		state     string
 		afterHead bool
 		lost      bool
@@ -40,7 +41,8 @@
 					select {
 					case <-silenced:
 					default:
-						// What was sent may not have been read yet, which would make the run look ahead of it.
+						// The client may not have read the sent chunk yet; with test.state the run would
+						// then seem to be ahead of the connection.
 						_, _ = fmt.Fprint(writer, `{"state":"queued","offset":0}`)
 						return
 					}
@@ -63,7 +65,7 @@
 			silencer := networktest.NewSilencer(network.System{})
 			client := NewHTTPClientOver(silencer)
 			defer client.Close()
-			client.quietLimit = 20 * time.Millisecond
+			client.silenceTimeout = 20 * time.Millisecond
 			to := Endpoint{Replica: "r1", Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 			ended := make(chan error, 1)
 			go func() { ended <- readRun(t, client, to, silencer, test.afterHead, silenced) }()
@@ -89,7 +91,8 @@
 	}
 }
 
-// readRun reads one chunk, where there is one, silences the connection, says so, and reads on to the end.
+// readRun reads one chunk if afterHead is set, silences the connection, closes silenced, and reads
+// until the stream fails.
 func readRun(t *testing.T, client *HTTPClient, to Endpoint, silencer *networktest.Silencer, afterHead bool, silenced chan<- struct{}) error {
 	stream, err := client.Generate(t.Context(), to, Request{ID: "q1", Operation: OperationChat, Body: []byte(`{}`)})
 	if err != nil {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -19,16 +19,16 @@
 
 var errLineTooLong = errors.New("line of the stream is too long")
 
-// eventStream reads one generation's server-sent events. It checks that offsets rise
-// and that every chunk belongs to the same answer.
+// eventStream reads one generation's server-sent events. It checks that offsets increase and that
+// every chunk belongs to the same answer.
 type eventStream struct {
 	body   io.ReadCloser
 	reader *bufio.Reader
 	cancel context.CancelFunc
-	// progress is called with next after each chunk.
+	// progress is called with nextOffset after each chunk.
 	progress func(next int)
-	// next is the offset behind the last chunk.
-	next int
+	// nextOffset is the offset after the last chunk.
+	nextOffset int
 	// requestID is part of the id of every chunk of this answer.
 	requestID string
 	finished  bool
@@ -36,14 +36,19 @@
 
 func newEventStream(body io.ReadCloser, cancel context.CancelFunc, progress func(next int), requestID string, offset int) *eventStream {
 	return &eventStream{
-		body: body, reader: bufio.NewReaderSize(body, streamBufferBytes), cancel: cancel, progress: progress, requestID: requestID, next: offset,
+		body:       body,
+		reader:     bufio.NewReaderSize(body, streamBufferBytes),
+		cancel:     cancel,
+		progress:   progress,
+		requestID:  requestID,
+		nextOffset: offset,
 	}
 }
 
-// wireChunk is the part of an OpenAI chunk that is read.
+// wireChunk holds the fields of an OpenAI chunk that are used.
 type wireChunk struct {
 	ID string `json:"id"`
-	// Choices has room for the only one; an array needs no memory of its own.
+	// Choices holds the only choice; an array avoids the allocation of a slice.
 	Choices [1]wireChoice `json:"choices"`
 	Usage   *wireUsage    `json:"usage"`
 	Error   *wireError    `json:"error"`
@@ -69,66 +74,66 @@
 	Message string `json:"message"`
 }
 
-// Next returns the next chunk; see Stream.
+// Next implements Stream.
 func (s *eventStream) Next() (Chunk, error) {
 	for {
 		offset, data, err := s.readEvent()
 		if err != nil {
-			return Chunk{}, KindLost.Wrap(err, "stream ended at token %d", s.next)
+			return Chunk{}, KindLost.Wrap(err, "stream ended at token %d", s.nextOffset)
 		}
 		if bytes.Equal(data, dataDone) {
 			if !s.finished {
-				return Chunk{}, KindLost.New("stream was closed without a finish reason at token %d", s.next)
+				return Chunk{}, KindLost.New("stream was closed without a finish reason at token %d", s.nextOffset)
 			}
 			return Chunk{}, io.EOF
 		}
-		chunk, present, err := s.decode(offset, data)
-		if err != nil || present {
+		chunk, hasContent, err := s.decode(offset, data)
+		if err != nil || hasContent {
 			return chunk, err
 		}
 	}
 }
 
-// decode makes a chunk of an event; present is false for an event that carries nothing.
-func (s *eventStream) decode(offset int, data []byte) (chunk Chunk, present bool, err error) {
+// decode returns the chunk of an event; present is false for an event without content.
+func (s *eventStream) decode(offset int, data []byte) (chunk Chunk, hasContent bool, err error) {
 	var wire wireChunk
 	if err := json.Unmarshal(data, &wire); err != nil {
-		return Chunk{}, false, KindLost.Wrap(err, "chunk behind token %d", s.next)
+		return Chunk{}, false, KindLost.Wrap(err, "chunk behind token %d", s.nextOffset)
 	}
 	if wire.Error != nil {
-		return Chunk{}, false, KindLost.New("engine failed at token %d: %s", s.next, wire.Error.Message)
+		return Chunk{}, false, KindLost.New("engine failed at token %d: %s", s.nextOffset, wire.Error.Message)
 	}
-	if err := s.checkAnswer(wire.ID); err != nil {
+	if err := s.checkAnswerID(wire.ID); err != nil {
 		return Chunk{}, false, err
 	}
 	choice := &wire.Choices[0]
 	chunk = Chunk{
-		Offset: s.next, Text: choice.Text + choice.Delta.Content, FinishReason: choice.FinishReason, Usage: wire.Usage.usage(),
+		Offset: s.nextOffset, Text: choice.Text + choice.Delta.Content, FinishReason: choice.FinishReason, Usage: wire.Usage.toUsage(),
 	}
 	if offset < 0 {
-		offset = s.next
+		offset = s.nextOffset
 	}
-	if offset < s.next || (offset == s.next && chunk.Text != "" && chunk.FinishReason == "") || s.finished && chunk.Text != "" {
-		return Chunk{}, false, KindLost.New("chunk up to token %d came behind token %d", offset, s.next)
+	if offset < s.nextOffset || (offset == s.nextOffset && chunk.Text != "" && chunk.FinishReason == "") || s.finished && chunk.Text != "" {
+		return Chunk{}, false, KindLost.New("chunk up to token %d came behind token %d", offset, s.nextOffset)
 	}
-	chunk.Tokens = offset - s.next
-	s.next = offset
-	s.progress(s.next)
+	chunk.Tokens = offset - s.nextOffset
+	s.nextOffset = offset
+	s.progress(s.nextOffset)
 	if chunk.FinishReason != "" {
 		s.finished = true
 	}
 	return chunk, chunk.Tokens > 0 || chunk.Text != "" || chunk.FinishReason != "" || chunk.Usage != nil, nil
 }
 
-// checkAnswer finds chunks of another request's answer.
-func (s *eventStream) checkAnswer(id string) error {
+// checkAnswerID returns an error for a chunk that belongs to another request's answer.
+func (s *eventStream) checkAnswerID(id string) error {
 	if id != "" && !strings.Contains(id, s.requestID) {
 		return KindLost.New("chunk of answer %s in the stream of request %s", id, s.requestID)
 	}
 	return nil
 }
 
-func (u *wireUsage) usage() *Usage {
+func (u *wireUsage) toUsage() *Usage {
 	if u == nil {
 		return nil
 	}
@@ -139,8 +144,8 @@
 	}
 }
 
-// readEvent returns the id (-1 where there is none) and data of the next event that has
-// data. The data is valid until the next call.
+// readEvent returns the id (-1 if there is none) and data of the next event with data. The data is
+// valid until the next call.
 func (s *eventStream) readEvent() (offset int, data []byte, err error) {
 	offset = -1
 	for {
@@ -167,19 +172,19 @@
 	}
 }
 
-// readLine returns a line without its end; its bytes are valid until the next call.
+// readLine returns the next line without its line end; the bytes are valid until the next call.
 func (s *eventStream) readLine() ([]byte, error) {
 	line, err := s.reader.ReadSlice('\n')
 	if err == nil {
 		return bytes.TrimRight(line, "\r\n"), nil
 	}
-	long := append([]byte(nil), line...)
+	longLine := append([]byte(nil), line...)
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(long) > maxStreamLineBytes {
+		if len(longLine) > maxStreamLineBytes {
 			return nil, errLineTooLong
 		}
 		line, err = s.reader.ReadSlice('\n')
-		long = append(long, line...)
+		longLine = append(longLine, line...)
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) {
@@ -187,10 +192,10 @@
 		}
 		return nil, err
 	}
-	return bytes.TrimRight(long, "\r\n"), nil
+	return bytes.TrimRight(longLine, "\r\n"), nil
 }
 
-// Close gives up the connection. After a whole answer the connection goes back to the pool.
+// Close closes the stream. After a complete answer the connection returns to the pool.
 func (s *eventStream) Close() error {
 	if s.finished {
 		closeBody(s.body)
--- a/internal/engine/table_test.go
+++ b/internal/engine/table_test.go
@@ -35,7 +35,7 @@
 	if d.HasArg("offset") {
 		d.ScanArgs(t, "offset", &offset)
 	}
-	// The tables use "." for the blank line that ends an event.
+	// The test data has "." for the blank line that ends an event.
 	input := strings.ReplaceAll(d.Input+"\n", "\n.\n", "\n\n")
 	if d.HasArg("long") {
 		input += "data: " + strings.Repeat("x", maxStreamLineBytes+streamBufferBytes) + "\n\n"
