--- a/internal/eventstream/doc.go
+++ b/internal/eventstream/doc.go
@@ -1,2 +1,2 @@
-// Package eventstream splits a stream of events (text/event-stream) at the ends of events.
+// Package eventstream splits a stream of server-sent events (text/event-stream) into whole events.
 package eventstream
--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -7,44 +7,46 @@
 )
 
 const (
-	// maxEventBytes bounds one event.
+	// maxEventBytes is the maximum size of the buffer, and thus of an event.
 	maxEventBytes = 1 << 20
-	// firstBufferBytes is the size of the buffer that most events fit in.
-	firstBufferBytes = 4 << 10
+	// initialBufferBytes is the initial size of the buffer, which is enough for most events.
+	initialBufferBytes = 4 << 10
 )
 
-// ErrTooLarge says that an event is over the bound.
+// ErrTooLarge is the error for an event that exceeds the maximum size.
 var ErrTooLarge = errors.New("an event is too large")
 
-// Events are one or more whole events as they came.
+// Events holds one or more whole events as received.
 type Events struct {
 	Bytes []byte
 	// LastID is the id of the last event that has one.
 	LastID string
-	// Count is their number.
+	// Count is the number of events.
 	Count int
 }
 
-// Reader splits a stream of events at their ends.
+// Reader reads whole events from a stream.
 type Reader struct {
 	source io.Reader
-	// buffer[:filled] is read and not yet given out; given is what the last Next gave out.
-	buffer []byte
-	filled int
-	given  int
+	// buffer[:filled] holds the bytes read from source; the first given bytes of it were returned by
+	// the last Next.
+	buffer   []byte
+	filled   int
+	returned int
 }
 
-// NewReader reads from source.
+// NewReader returns a Reader that reads from source.
 func NewReader(source io.Reader) *Reader {
-	return &Reader{source: source, buffer: make([]byte, firstBufferBytes)}
+	return &Reader{source: source, buffer: make([]byte, initialBufferBytes)}
 }
 
-// Next returns the events that have come whole, at least one unless err is set. Bytes are valid until the next call. io.EOF
-// comes only where the stream ended between events; a part of an event at the end of the stream is io.ErrUnexpectedEOF.
+// Next returns the events received completely, at least one unless the error is set. Their bytes are
+// valid until the next call. The error is io.EOF if the stream ended between events, and
+// io.ErrUnexpectedEOF if it ended within an event.
 func (r *Reader) Next() (Events, error) {
-	copy(r.buffer, r.buffer[r.given:r.filled])
-	r.filled -= r.given
-	r.given = 0
+	copy(r.buffer, r.buffer[r.returned:r.filled])
+	r.filled -= r.returned
+	r.returned = 0
 	for {
 		if r.filled == len(r.buffer) {
 			if len(r.buffer) >= maxEventBytes {
@@ -55,11 +57,11 @@
 		count, err := r.source.Read(r.buffer[r.filled:])
 		r.filled += count
 		end := lastEventEnd(r.buffer[:r.filled])
-		if errors.Is(err, io.EOF) && blank(r.buffer[end:r.filled]) {
+		if errors.Is(err, io.EOF) && onlyLineEnds(r.buffer[end:r.filled]) {
 			end = r.filled
 		}
 		if end > 0 {
-			r.given = end
+			r.returned = end
 			if errors.Is(err, io.EOF) && end < r.filled {
 				err = io.ErrUnexpectedEOF
 			}
@@ -74,22 +76,23 @@
 	}
 }
 
-// blank tells whether data is line ends only: behind an event they are part of no other.
-func blank(data []byte) bool { return len(bytes.Trim(data, "\r\n")) == 0 }
+// onlyLineEnds reports whether data consists only of line ends; after an event these belong to no other
+// event.
+func onlyLineEnds(data []byte) bool { return len(bytes.Trim(data, "\r\n")) == 0 }
 
 // countEvents returns the number of whole events in data.
 func countEvents(data []byte) int {
 	return bytes.Count(data, []byte("\n\n")) + bytes.Count(data, []byte("\r\n\r\n"))
 }
 
-// lastEventEnd returns the length of all whole events in data.
+// lastEventEnd returns the total length of the whole events in data.
 func lastEventEnd(data []byte) int {
 	end := 0
-	if at := bytes.LastIndex(data, []byte("\n\n")); at >= 0 {
-		end = at + 2
+	if index := bytes.LastIndex(data, []byte("\n\n")); index >= 0 {
+		end = index + 2
 	}
-	if at := bytes.LastIndex(data, []byte("\r\n\r\n")); at >= 0 {
-		end = max(end, at+4)
+	if index := bytes.LastIndex(data, []byte("\r\n\r\n")); index >= 0 {
+		end = max(end, index+4)
 	}
 	return end
 }
@@ -107,7 +110,8 @@
 	return ""
 }
 
-// AppendData appends the data of each event in events to text, with line feeds between the events, and returns it.
+// AppendData appends the data of each event in events to text, separated by line feeds, and returns
+// the extended text.
 func AppendData(text []byte, events []byte) []byte {
 	for len(events) > 0 {
 		event := events
@@ -115,7 +119,7 @@
 			event = events[:end]
 		}
 		events = events[len(event):]
-		data, found := dataOf(event)
+		data, found := eventData(event)
 		if !found {
 			continue
 		}
@@ -127,23 +131,24 @@
 	return text
 }
 
-// eventEnd returns the length of the first whole event in events; 0 where there is none.
+// eventEnd returns the length of the first whole event in events, or 0 if there is none.
 func eventEnd(events []byte) int {
 	end := 0
 	for _, terminator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		at := bytes.Index(events, terminator)
-		if at >= 0 && (end == 0 || at+len(terminator) < end) {
-			end = at + len(terminator)
+		index := bytes.Index(events, terminator)
+		if index >= 0 && (end == 0 || index+len(terminator) < end) {
+			end = index + len(terminator)
 		}
 	}
 	return end
 }
 
-// dataOf joins the data lines of one event by line feeds.
-func dataOf(event []byte) (data []byte, found bool) {
+// eventData returns the data lines of one event, joined by line feeds. found is false if there are
+// none.
+func eventData(event []byte) (data []byte, found bool) {
 	for _, line := range bytes.Split(event, []byte("\n")) {
-		value, is := bytes.CutPrefix(bytes.TrimSuffix(line, []byte("\r")), []byte("data:"))
-		if !is {
+		value, ok := bytes.CutPrefix(bytes.TrimSuffix(line, []byte("\r")), []byte("data:"))
+		if !ok {
 			continue
 		}
 		if found {
