--- a/internal/session/fake_test.go
+++ b/internal/session/fake_test.go
@@ -58,9 +58,9 @@
 	badResume bool
 	// block, if set, blocks streams of r1 until it is closed.
 	block chan struct{}
-	// hung is a replica that does not answer probes; probes counts the probes of all replicas.
-	hung   string
-	probes int
+	// hungReplica is a replica that does not answer probes; probes counts the probes of all replicas.
+	hungReplica string
+	probes      int
 }
 
 func newFakeFleet(faults ...fault) *fakeFleet {
@@ -135,7 +135,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.probes++
-	if f.hung == to.Replica {
+	if f.hungReplica == to.Replica {
 		return engine.LoadReport{}, engine.KindLost.New("no answer")
 	}
 	return engine.LoadReport{}, nil
@@ -295,22 +295,22 @@
 
 // received collects the answer of a caller and detects tokens out of order.
 type received struct {
-	text   string
-	finish string
-	next   int
-	broken bool
+	text       string
+	finish     string
+	next       int
+	outOfOrder bool
 }
 
 func (r *received) sink(chunk Chunk) error {
-	r.broken = r.broken || chunk.Offset != r.next || r.finish != ""
+	r.outOfOrder = r.outOfOrder || chunk.Offset != r.next || r.finish != ""
 	r.next += chunk.Tokens
 	r.text += chunk.Text
 	r.finish = chunk.FinishReason
 	return nil
 }
 
-func (r *received) whole() bool {
-	return !r.broken && r.finish == "stop" && r.text == answerText(0, answerTokens)
+func (r *received) complete() bool {
+	return !r.outOfOrder && r.finish == "stop" && r.text == answerText(0, answerTokens)
 }
 
 func outcomeOf(err error) outcome.Outcome { return outcome.Of(err) }
--- a/internal/session/join.go
+++ b/internal/session/join.go
@@ -19,15 +19,15 @@
 	a.mayHaveRun = true
 	for ctx.Err() == nil {
 		awaitContext, cancel := context.WithTimeout(ctx, claimAwaitTimeout)
-		settled, err := a.runner.Claimer.Await(awaitContext, a.request.Tenant.Name, key)
+		recorded, err := a.runner.Claimer.Await(awaitContext, a.request.Tenant.Name, key)
 		if err != nil && awaitContext.Err() == nil {
 			newRetryBackoff().wait(awaitContext)
 		}
 		cancel()
-		if err == nil && settled.Done {
-			return a.returnResult(settled.Result)
+		if err == nil && recorded.Done {
+			return a.returnResult(recorded.Result)
 		}
-		if result, whole := a.readRun(ctx, claim); whole {
+		if result, complete := a.readRun(ctx, claim); complete {
 			return a.returnResult(a.recordResult(ctx, key, result))
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 // readRun reads the complete answer of the claimed run from its engine.
-func (a *answer) readRun(ctx context.Context, claim Claim) (result Result, whole bool) {
+func (a *answer) readRun(ctx context.Context, claim Claim) (result Result, complete bool) {
 	endpoint, found := a.runner.endpoint(claim.Replica)
 	if !found {
 		return Result{}, false
--- a/internal/session/non_repeatable.go
+++ b/internal/session/non_repeatable.go
@@ -89,14 +89,14 @@
 // execute calls an engine as the holder of the claim, and records the result.
 func (a *answer) execute(ctx context.Context, key string, decision routing.Decision, release func()) error {
 	var lastChunk *Chunk
-	deliver := a.sink
+	callerSink := a.sink
 	a.sink = func(chunk Chunk) error {
 		if chunk.FinishReason != "" {
 			lastChunk = &chunk
 			return nil
 		}
 		// The run continues after the caller disconnected, so the error is ignored.
-		_ = deliver(chunk)
+		_ = callerSink(chunk)
 		return nil
 	}
 	err := a.startRun(ctx, key, decision, release)
@@ -110,7 +110,7 @@
 	if lastChunk == nil {
 		return nil
 	}
-	if err := deliver(*lastChunk); err != nil {
+	if err := callerSink(*lastChunk); err != nil {
 		return outcome.Wrap(err, outcome.Cancelled, outcome.ReasonCallerCancelled, "the caller went away; the result is recorded")
 	}
 	return nil
--- a/internal/session/non_repeatable_test.go
+++ b/internal/session/non_repeatable_test.go
@@ -62,17 +62,17 @@
 // TestOrphanedClaimIsReadFromTheEngine has a claim whose holder is gone: the answer is read
 // from the engine if it has the run, and the outcome is indeterminate if it does not.
 func TestOrphanedClaimIsReadFromTheEngine(t *testing.T) {
-	for _, known := range []bool{true, false} {
+	for _, engineHasRun := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			fakes, claimer := newFakeFleet(), newFakeClaimer()
 			if _, err := claimer.Claim(t.Context(), "registry", "certificate-17", "f", "gone", "r2"); err != nil {
 				t.Fatal(err)
 			}
-			fakes.runs["r2"] = map[string]bool{"gone": known}
+			fakes.runs["r2"] = map[string]bool{"gone": engineHasRun}
 			for attempt := range 2 {
 				got, err := run(t, fakes, claimer, nonRepeatableRequest(fmt.Sprint("q", attempt)))
-				if known && (err != nil || got.text != answerText(0, answerTokens)) || !known && outcomeOf(err) != outcome.Indeterminate {
-					t.Fatal(known, got, err)
+				if engineHasRun && (err != nil || got.text != answerText(0, answerTokens)) || !engineHasRun && outcomeOf(err) != outcome.Indeterminate {
+					t.Fatal(engineHasRun, got, err)
 				}
 			}
 			if fakes.starts != 0 {
@@ -90,7 +90,7 @@
 			t.Fatal(err)
 		}
 		got, err := run(t, fakes, claimer, nonRepeatableRequest("q1"))
-		if err != nil || !got.whole() || fakes.starts != 1 {
+		if err != nil || !got.complete() || fakes.starts != 1 {
 			t.Fatal(got, err, fakes.starts)
 		}
 	})
@@ -100,10 +100,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		fakes, claimer := newFakeFleet(), newFakeClaimer()
 		claimer.down = true
-		before := time.Now()
+		started := time.Now()
 		_, err := run(t, fakes, claimer, nonRepeatableRequest("q0"))
 		if outcomeOf(err) != outcome.NotRun || fakes.starts != 0 {
-			t.Fatal(err, fakes.starts, time.Since(before))
+			t.Fatal(err, fakes.starts, time.Since(started))
 		}
 	})
 }
--- a/internal/session/prior_reader.go
+++ b/internal/session/prior_reader.go
@@ -49,8 +49,8 @@
 	return reader
 }
 
-func (r *priorReader) read(stream engine.Stream, until int) {
-	for next := 0; next < until && r.text.Len() < maxAnswerBytes; {
+func (r *priorReader) read(stream engine.Stream, end int) {
+	for next := 0; next < end && r.text.Len() < maxAnswerBytes; {
 		chunk, err := stream.Next()
 		if err != nil || chunk.Offset != next {
 			return
--- a/internal/session/repeatable.go
+++ b/internal/session/repeatable.go
@@ -103,14 +103,14 @@
 func (a *answer) streamFrom(ctx context.Context, to engine.Endpoint, attachOnly bool) error {
 	started := false
 	for {
-		before := a.offset
+		previousOffset := a.offset
 		opened, err := a.callEngine(ctx, to, attachOnly)
 		started = started || opened
 		if err == nil {
 			return nil
 		}
 		lost := errorx.IsOfType(err, engine.KindLost)
-		if ctx.Err() == nil && lost && (a.offset > before || !attachOnly) {
+		if ctx.Err() == nil && lost && (a.offset > previousOffset || !attachOnly) {
 			attachOnly = true
 			a.runner.metrics.retry(a.request.Service.Name, retryReattach)
 			continue
--- a/internal/session/runner_test.go
+++ b/internal/session/runner_test.go
@@ -47,10 +47,10 @@
 			err = runner.Run(t.Context(), request, got.sink)
 			runner.Wait()
 		})
-		if err == nil && !got.whole() {
+		if err == nil && !got.complete() {
 			rt.Fatalf("not the whole answer: %+v", got)
 		}
-		if got.broken || fakes.badResume {
+		if got.outOfOrder || fakes.badResume {
 			rt.Fatalf("tokens out of order or a wrong resume: %+v", got)
 		}
 		if outcomeOf(err) == outcome.NotRun && (fakes.starts > 0 || reconnects) {
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fakes := newFakeFleet(fault{cut: 2}, fault{cut: 1}, fault{forget: true}, fault{cut: 1}, fault{open: "not_sent"})
 		got, err := run(t, fakes, newFakeClaimer(), testRequest("q1"))
-		if err != nil || !got.whole() || fakes.badResume {
+		if err != nil || !got.complete() || fakes.badResume {
 			t.Fatal(got, err, fakes.badResume)
 		}
 		// r1's stream broke twice and r1 lost the run; r2's broke and r2 became unreachable; r3
@@ -156,7 +156,7 @@
 			runner := newTestRunner(fakes, newFakeClaimer())
 			err := runner.Run(t.Context(), request, got.sink)
 			runner.Wait()
-			if outcomeOf(err) != c.want || fakes.starts != c.starts || fakes.badResume || err == nil && !got.whole() {
+			if outcomeOf(err) != c.want || fakes.starts != c.starts || fakes.badResume || err == nil && !got.complete() {
 				t.Errorf("%s: %v, %d starts, %+v", name, err, fakes.starts, got)
 			}
 		}
@@ -226,10 +226,10 @@
 	for hung, starts := range map[string]int{"": 1, "r1": 2} {
 		synctest.Test(t, func(t *testing.T) {
 			fakes := newFakeFleet()
-			fakes.block, fakes.hung = make(chan struct{}), hung
+			fakes.block, fakes.hungReplica = make(chan struct{}), hung
 			time.AfterFunc(30*time.Second, func() { close(fakes.block) })
 			got, err := run(t, fakes, newFakeClaimer(), testRequest("q1"))
-			if err != nil || !got.whole() || fakes.starts != starts || fakes.probes == 0 {
+			if err != nil || !got.complete() || fakes.starts != starts || fakes.probes == 0 {
 				t.Fatal(hung, got, err, fakes.starts, fakes.probes)
 			}
 		})
@@ -241,10 +241,10 @@
 func TestMarkedRequestOnAHungEngineStaysThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := newFakeFleet()
-		fakes.block, fakes.hung = make(chan struct{}), "r1"
+		fakes.block, fakes.hungReplica = make(chan struct{}), "r1"
 		time.AfterFunc(10*time.Second, func() { close(fakes.block) })
 		got, err := run(t, fakes, newFakeClaimer(), nonRepeatableRequest("q1"))
-		if err != nil || !got.whole() || fakes.starts != 1 {
+		if err != nil || !got.complete() || fakes.starts != 1 {
 			t.Fatal(got, err, fakes.starts)
 		}
 	})
@@ -267,7 +267,7 @@
 			return got.sink(chunk)
 		})
 		runner.Wait()
-		if err != nil || !got.whole() || fakes.badResume || fakes.starts != 1 {
+		if err != nil || !got.complete() || fakes.badResume || fakes.starts != 1 {
 			t.Fatal(got, err, fakes.badResume, fakes.starts)
 		}
 	})
--- a/internal/session/watchdog.go
+++ b/internal/session/watchdog.go
@@ -67,12 +67,12 @@
 	if w.ctx.Err() != nil {
 		return
 	}
-	before := w.chunks.Load()
+	chunksBefore := w.chunks.Load()
 	ctx, cancel := context.WithTimeout(w.ctx, probeTimeout)
 	defer cancel()
 	_, err := w.client.Load(ctx, w.to)
 	switch {
-	case w.ctx.Err() != nil || w.chunks.Load() != before:
+	case w.ctx.Err() != nil || w.chunks.Load() != chunksBefore:
 	case errorx.IsOfType(err, engine.KindLost) || errorx.IsOfType(err, engine.KindNotSent):
 		w.cancel(errStalled)
 	default:
