--- a/internal/edge/caller_gone_test.go
+++ b/internal/edge/caller_gone_test.go
@@ -18,25 +18,25 @@
 	for _, test := range []struct {
 		name   string
 		script func(net.Conn, *http.Request)
-		// events is the number of events that the caller reads before it disconnects, runs the number
-		// of replicas that receive its request.
-		events int
-		runs   int
+		// eventsRead is the number of events that the caller reads before it disconnects, replicas the
+		// number of replicas that receive its request.
+		eventsRead int
+		replicas   int
 	}{
 		{"waiting for the first event", silentScript, 0, 1},
 		{"streaming", firstEvent, 1, 1},
 		{"resumed elsewhere", eventThenBreak, 1, 2},
 	} {
-		for way, leave := range waysToDisconnect {
+		for way, disconnect := range waysToDisconnect {
 			t.Run(test.name+", "+way, func(t *testing.T) {
 				harness := newEdgeHarness(t, test.script, nil)
 				caller := harness.send("a", 0)
-				for range test.runs {
+				for range test.replicas {
 					harness.expectArrival("a")
 				}
-				readEvents(t, caller, test.events)
-				leave(caller)
-				for range test.runs {
+				readEvents(t, caller, test.eventsRead)
+				disconnect(caller)
+				for range test.replicas {
 					harness.expectEnd("a")
 				}
 			})
@@ -47,20 +47,20 @@
 // TestReplicaStopsForACallerWhoSentMoreAndLeft checks the same if the caller has pipelined its next
 // request, or a part of it, so that the end of the connection follows bytes that are not read yet.
 func TestReplicaStopsForACallerWhoSentMoreAndLeft(t *testing.T) {
-	for name, behind := range map[string]string{
+	for name, pipelined := range map[string]string{
 		"a part":  "POST /p/y HTTP/1.1\r\nHost: h.example\r\n",
 		"a whole": "GET /p/y HTTP/1.1\r\nHost: h.example\r\nX-Key: key\r\nX-Id: behind\r\n\r\n",
 	} {
-		for way, leave := range waysToDisconnect {
+		for way, disconnect := range waysToDisconnect {
 			t.Run(name+", "+way, func(t *testing.T) {
 				harness := newEdgeHarness(t, firstEvent, nil)
 				caller := harness.send("a", 0)
 				harness.expectArrival("a")
 				readEvents(t, caller, 1)
-				if _, err := io.WriteString(caller, behind); err != nil {
+				if _, err := io.WriteString(caller, pipelined); err != nil {
 					t.Fatal(err)
 				}
-				leave(caller)
+				disconnect(caller)
 				harness.expectEnd("a")
 			})
 		}
@@ -97,7 +97,7 @@
 			options.Gate = forward.NewGate(options.Directory, fullDemand{reached: reached})
 		}},
 	} {
-		for way, leave := range waysToDisconnect {
+		for way, disconnect := range waysToDisconnect {
 			t.Run(test.name+", "+way, func(t *testing.T) {
 				reached := make(chan struct{}, 64)
 				harness := newEdgeHarness(t, silentScript, func(made *edgeHarness, options *forward.Options) {
@@ -114,7 +114,7 @@
 				}
 				caller := harness.send("a", 0)
 				await(t, reached, "the request to come so far")
-				leave(caller)
+				disconnect(caller)
 				harness.awaitLog(`"request":"a"`)
 				harness.expectNoArrival("a")
 			})
@@ -125,11 +125,11 @@
 // TestNothingIsSentWithoutTheWholeBody checks that a request is not sent to a replica if the caller
 // disconnects while it sends the body.
 func TestNothingIsSentWithoutTheWholeBody(t *testing.T) {
-	for way, leave := range waysToDisconnect {
+	for way, disconnect := range waysToDisconnect {
 		t.Run(way, func(t *testing.T) {
 			harness := newEdgeHarness(t, silentScript, nil)
 			caller := harness.send("a", 2)
-			leave(caller)
+			disconnect(caller)
 			_, _ = io.Copy(io.Discard, caller)
 			harness.send("after", 0)
 			harness.expectArrival("after")
@@ -141,13 +141,13 @@
 // TestNothingIsSentForACallerWhoLeftBeforeTheConfiguration has the caller disconnect while its
 // request waits at a process that has just started and has no routes yet.
 func TestNothingIsSentForACallerWhoLeftBeforeTheConfiguration(t *testing.T) {
-	for way, leave := range waysToDisconnect {
+	for way, disconnect := range waysToDisconnect {
 		t.Run(way, func(t *testing.T) {
 			harness := newEdgeHarness(t, silentScript, func(made *edgeHarness, options *forward.Options) {
 				made.routes = route.NewHolder()
 				options.Routes = made.routes
 			})
-			leave(harness.send("a", 0))
+			disconnect(harness.send("a", 0))
 			harness.awaitLog(`"request":"a"`)
 			harness.routes.Offer(harnessTable(1))
 			harness.send("after", 0)
--- a/internal/edge/connection_limit.go
+++ b/internal/edge/connection_limit.go
@@ -84,12 +84,12 @@
 // makeRoom closes connections until the limit is met. The caller must hold the mutex.
 func (l *connectionLimit) makeRoom(now time.Time) {
 	for l.maxConnections > 0 && len(l.open) > l.maxConnections {
-		chosen := l.leastNeeded()
-		l.onDrop(now.Sub(l.open[chosen].since))
-		delete(l.open, chosen)
+		victim := l.leastNeeded()
+		l.onDrop(now.Sub(l.open[victim].since))
+		delete(l.open, victim)
 		// An error of Close does not matter: the connection is not used again, and onDrop has
 		// reported it.
-		_ = chosen.Close()
+		_ = victim.Close()
 	}
 }
 
