--- a/internal/gateway/cost_test.go
+++ b/internal/gateway/cost_test.go
@@ -152,7 +152,7 @@
 	var mutex sync.Mutex
 	var group errgroup.Group
 	var next atomic.Int64
-	before := processorTime()
+	cpuBefore := processorTime()
 	for range callers {
 		group.Go(func() error {
 			for number := next.Add(1); number <= int64(b.N); number = next.Add(1) {
@@ -172,7 +172,7 @@
 	if err := group.Wait(); err != nil {
 		b.Fatal(err)
 	}
-	b.ReportMetric(float64((processorTime()-before).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64((processorTime()-cpuBefore).Microseconds())/float64(b.N), "cpu-µs/op")
 	b.ReportMetric(float64(first.ValueAtQuantile(50)), "first-p50-µs")
 	b.ReportMetric(float64(first.ValueAtQuantile(99)), "first-p99-µs")
 	b.ReportMetric(float64(total.ValueAtQuantile(50)), "total-p50-µs")
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -20,10 +20,10 @@
 const chatStream = `{"model":"clerk","stream":true,"messages":[{"role":"user","content":"x"}]%s}`
 
 // openStream sends a streamed chat request and returns the answer.
-func openStream(t *testing.T, node *testNode, key, more string, headers ...string) *http.Response {
+func openStream(t *testing.T, node *testNode, key, extraFields string, headers ...string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, node.url+"/v1/chat/completions",
-		strings.NewReader(fmt.Sprintf(chatStream, more)))
+		strings.NewReader(fmt.Sprintf(chatStream, extraFields)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,9 +40,9 @@
 	return response
 }
 
-// readEvents reads count events, or all if count is 0, and returns their text and last id. whole is
+// readEvents reads count events, or all if count is 0, and returns their text and last id. complete is
 // true if the end of the answer was read.
-func readEvents(t *testing.T, events *bufio.Reader, count int) (text, lastID string, whole bool) {
+func readEvents(t *testing.T, events *bufio.Reader, count int) (text, lastID string, complete bool) {
 	t.Helper()
 	var read strings.Builder
 	for seen := 0; count == 0 || seen < count; {
@@ -107,28 +107,28 @@
 	}
 	go func() { response <- openStream(t, second, registryKey, "", headerLastEventID, lastID) }()
 	fake.release(5)
-	tail, _, whole := readEvents(t, bufio.NewReader((<-response).Body), 0)
-	if !whole || head+tail != fake.text(0) || fake.starts() != 1 {
-		t.Fatalf("%q + %q, whole %t, %d starts", head, tail, whole, fake.starts())
+	tail, _, complete := readEvents(t, bufio.NewReader((<-response).Body), 0)
+	if !complete || head+tail != fake.text(0) || fake.starts() != 1 {
+		t.Fatalf("%q + %q, whole %t, %d starts", head, tail, complete, fake.starts())
 	}
 }
 
 // TestReconnectAfterTheEngineIsGone checks that a stream whose engine died is resumed on another
 // engine with the text that the caller sends.
 func TestReconnectAfterTheEngineIsGone(t *testing.T) {
-	gone, fake := newFakeEngine(t, 8), newFakeEngine(t, 8)
-	cluster := newTestCluster(gone, fake)
+	dead, fake := newFakeEngine(t, 8), newFakeEngine(t, 8)
+	cluster := newTestCluster(dead, fake)
 	node := cluster.start(t)
 	first := openStream(t, node, registryKey, "", headerReconnect, "true")
 	head, lastID, _ := readEvents(t, bufio.NewReader(first.Body), 3)
 	first.Body.Close()
-	gone.server.CloseClientConnections()
-	gone.server.Close()
+	dead.server.CloseClientConnections()
+	dead.server.Close()
 	prior, _ := json.Marshal(head)
 	again := openStream(t, node, registryKey, `,"resume":{"text":`+string(prior)+`}`, headerLastEventID, lastID)
-	tail, _, whole := readEvents(t, bufio.NewReader(again.Body), 0)
-	if !whole || head+tail != fake.text(0) {
-		t.Fatalf("%q + %q, whole %t", head, tail, whole)
+	tail, _, complete := readEvents(t, bufio.NewReader(again.Body), 0)
+	if !complete || head+tail != fake.text(0) {
+		t.Fatalf("%q + %q, whole %t", head, tail, complete)
 	}
 }
 
@@ -186,9 +186,9 @@
 		}
 	}()
 	events := bufio.NewReader(opened.Body)
-	text, _, whole := readEvents(t, events, 0)
-	if !whole || text != fake.text(0) {
-		t.Fatalf("%d bytes of %d, whole %t", len(text), tokens*tokenBytes, whole)
+	text, _, complete := readEvents(t, events, 0)
+	if !complete || text != fake.text(0) {
+		t.Fatalf("%d bytes of %d, whole %t", len(text), tokens*tokenBytes, complete)
 	}
 }
 
@@ -223,7 +223,7 @@
 	default:
 	}
 	fake.release(7)
-	if text, _, whole := readEvents(t, bufio.NewReader(running.Body), 0); !whole || text != fake.text(0) {
+	if text, _, complete := readEvents(t, bufio.NewReader(running.Body), 0); !complete || text != fake.text(0) {
 		t.Fatal(text)
 	}
 	if err := <-drained; err != nil {
@@ -251,24 +251,24 @@
 	cluster := newTestCluster()
 	cluster.limits.MaxConnections = 1
 	node := cluster.start(t)
-	held, err := net.Dial("tcp", node.Address().String())
+	first, err := net.Dial("tcp", node.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer first.Close()
 	// The first connection certainly has its slot once it got an answer.
-	if _, err := io.WriteString(held, "GET /readyz HTTP/1.1\r\nHost: node\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(first, "GET /readyz HTTP/1.1\r\nHost: node\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if answer, err := http.ReadResponse(bufio.NewReader(held), nil); err != nil || answer.StatusCode != http.StatusOK {
+	if answer, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || answer.StatusCode != http.StatusOK {
 		t.Fatal(answer, err)
 	}
-	above, err := net.Dial("tcp", node.Address().String())
+	second, err := net.Dial("tcp", node.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer above.Close()
-	answer, err := http.ReadResponse(bufio.NewReader(above), nil)
+	defer second.Close()
+	answer, err := http.ReadResponse(bufio.NewReader(second), nil)
 	if err != nil || answer.StatusCode != http.StatusServiceUnavailable {
 		t.Fatal(answer, err)
 	}
