--- a/internal/engine/control.go
+++ b/internal/engine/control.go
@@ -54,7 +54,7 @@
 func (c *HTTPClient) Order(ctx context.Context, to Endpoint, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return KindInvalid.Wrap(err, "encode the order")
+		return KindInvalid.Wrap(err, "order")
 	}
 	_, err = c.control(ctx, to, http.MethodPost, "/orders", body, maxControlBytes)
 	return err
--- a/internal/engine/quiet_test.go
+++ b/internal/engine/quiet_test.go
@@ -32,7 +32,7 @@
 		{"makes its next token", `{"state":"running","offset":1}`, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			release, asked, silenced := make(chan struct{}), make(chan struct{}, 1000), make(chan struct{})
+			release, stateRequests, silenced := make(chan struct{}), make(chan struct{}, 1000), make(chan struct{})
 			if !test.afterHead {
 				close(silenced)
 			}
@@ -46,7 +46,7 @@
 						_, _ = fmt.Fprint(writer, `{"state":"queued","offset":0}`)
 						return
 					}
-					asked <- struct{}{}
+					stateRequests <- struct{}{}
 					if test.state == "" {
 						http.NotFound(writer, request)
 						return
@@ -72,7 +72,7 @@
 			if !test.lost {
 				for range 5 {
 					select {
-					case <-asked:
+					case <-stateRequests:
 					case err := <-ended:
 						t.Fatalf("the run was given up: %v", err)
 					}
