--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -28,8 +28,8 @@
 // Reader reads whole events from a stream.
 type Reader struct {
 	source io.Reader
-	// buffer[:filled] holds the bytes read from source; the first given bytes of it were returned by
-	// the last Next.
+	// buffer[:filled] holds the bytes read from source, of which the last Next returned
+	// buffer[:returned].
 	buffer   []byte
 	filled   int
 	returned int
