--- a/internal/session/non_repeatable.go
+++ b/internal/session/non_repeatable.go
@@ -68,7 +68,7 @@
 // claim retries until the state of the claim is known. A claim that already names this
 // request was granted to it by an earlier call whose response was lost.
 func (a *answer) claim(ctx context.Context, key, replica string) (Claim, error) {
-	pause := newRetryBackoff()
+	backoff := newRetryBackoff()
 	for {
 		claim, err := a.runner.Claimer.Claim(ctx, a.request.Tenant.Name, key, a.request.Fingerprint, a.request.ID, replica)
 		if err == nil {
@@ -79,7 +79,7 @@
 		if errors.As(err, &typed) && (typed.Reason == outcome.ReasonConflict || typed.Reason == outcome.ReasonInvalid) {
 			return Claim{}, typed
 		}
-		if ctx.Err() != nil || !pause.wait(ctx) {
+		if ctx.Err() != nil || !backoff.wait(ctx) {
 			// No engine was called and none will be: the claim, if it was recorded, is never used.
 			return Claim{}, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "the key could not be recorded").After(defaultRetryAfter)
 		}
@@ -119,7 +119,7 @@
 // startRun starts the run on the first replica that does not refuse it, and forwards that run
 // only.
 func (a *answer) startRun(ctx context.Context, key string, decision routing.Decision, release func()) error {
-	pause := newRetryBackoff()
+	backoff := newRetryBackoff()
 	for attempts := 1; ; attempts++ {
 		_, err := a.callEngine(ctx, decision.Endpoint, false)
 		if a.mayHaveRun {
@@ -129,7 +129,7 @@
 		release()
 		a.excludeReplica(decision.Endpoint.Replica)
 		if errorx.IsOfType(err, engine.KindInvalid) || attempts >= maxInitialAttempts ||
-			!a.runner.budgets.spend(a.request.Service) || !pause.wait(ctx) {
+			!a.runner.budgets.spend(a.request.Service) || !backoff.wait(ctx) {
 			return err
 		}
 		a.runner.metrics.retry(a.request.Service.Name, retryCause(err))
@@ -158,14 +158,14 @@
 
 // reattachUntilEnd reattaches after err until the run has ended or cannot be read any more.
 func (a *answer) reattachUntilEnd(ctx context.Context, to engine.Endpoint, err error) error {
-	pause := newRetryBackoff()
+	backoff := newRetryBackoff()
 	lastProgress := time.Now()
 	for err != nil && ctx.Err() == nil {
 		if errorx.IsOfType(err, engine.KindNoSuchRun) || errorx.IsOfType(err, engine.KindInvalid) ||
 			errors.Is(err, errRunCancelled) || errors.Is(err, errAnswerTooLong) || time.Since(lastProgress) > reattachTimeout {
 			return err
 		}
-		if !pause.wait(ctx) {
+		if !backoff.wait(ctx) {
 			return err
 		}
 		a.runner.metrics.retry(a.request.Service.Name, retryReattach)
@@ -173,7 +173,7 @@
 		_, err = a.callEngine(ctx, to, true)
 		if a.offset > previousOffset {
 			lastProgress = time.Now()
-			pause.reset()
+			backoff.reset()
 		}
 	}
 	return err
@@ -194,13 +194,13 @@
 func (a *answer) recordResult(ctx context.Context, key string, result Result) Result {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), completeTimeout)
 	defer cancel()
-	pause := newRetryBackoff()
+	backoff := newRetryBackoff()
 	for {
 		recorded, err := a.runner.Claimer.Complete(ctx, a.request.Tenant.Name, key, result)
 		if err == nil {
 			return recorded
 		}
-		if !pause.wait(ctx) {
+		if !backoff.wait(ctx) {
 			a.runner.Logger.Warn().Err(err).Str("request", a.request.ID).Msg("result of a marked request could not be recorded")
 			return result
 		}
--- a/internal/session/repeatable.go
+++ b/internal/session/repeatable.go
@@ -18,7 +18,7 @@
 			return err
 		}
 	}
-	pause := newRetryBackoff()
+	backoff := newRetryBackoff()
 	attempts := 0
 	for {
 		previousOffset := a.offset
@@ -26,14 +26,14 @@
 		if err == nil {
 			return nil
 		}
-		if ended := a.terminalError(ctx, err); ended != nil {
-			return ended
+		if terminal := a.terminalError(ctx, err); terminal != nil {
+			return terminal
 		}
 		if a.offset > previousOffset {
-			pause.reset()
+			backoff.reset()
 		}
 		attempts++
-		if !a.mayRetry(attempts, err) || !pause.wait(ctx) {
+		if !a.mayRetry(attempts, err) || !backoff.wait(ctx) {
 			return a.finalError(ctx, err)
 		}
 	}
@@ -50,8 +50,8 @@
 	if cause == nil {
 		return true, nil
 	}
-	if ended := a.terminalError(ctx, cause); ended != nil {
-		return true, ended
+	if terminal := a.terminalError(ctx, cause); terminal != nil {
+		return true, terminal
 	}
 	if !a.priorKnown {
 		return true, outcome.Wrap(cause, outcome.Indeterminate, outcome.ReasonEngineFailed,
@@ -77,8 +77,8 @@
 	return err
 }
 
-// attempt runs or resumes the request on one replica chosen by routing. If all replicas are
-// excluded, the exclusions are dropped.
+// attempt runs or resumes the request on one replica chosen by routing. If routing finds none, the
+// exclusions are dropped and it is asked once more.
 func (a *answer) attempt(ctx context.Context) error {
 	decision, release, err := a.pick()
 	if err != nil {
