--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -9,20 +9,20 @@
 
 // inAllowedRegions drops replicas outside the regions in request.Homes. If these are limited, a zone of unknown region is in none of them.
 func (p *Picker) inAllowedRegions(request *Request, handle *replica.Handle, _ time.Time) bool {
-	return p.Allowed(request.Homes, handle)
+	return p.InAllowedRegion(request.Homes, handle)
 }
 
-// Allowed reports whether the replica is in one of the regions in homes.
-func (p *Picker) Allowed(homes region.Set, handle *replica.Handle) bool {
+// InAllowedRegion reports whether the replica is in one of the regions in homes.
+func (p *Picker) InAllowedRegion(homes region.Set, handle *replica.Handle) bool {
 	// Most requests are not limited to regions and need no lookup of the zone.
 	return !homes.Limited() || homes.Allows(p.topology.RegionOf(handle.Info().Zone))
 }
 
-// Room reports on the replicas of a service in the regions in homes: served is true if one of them accepts new requests, free if one of
+// Availability reports on the replicas of a service in the regions in homes: served is true if one of them accepts new requests, free if one of
 // them that has not failed recently also has a free slot.
-func (p *Picker) Room(service string, homes region.Set, now time.Time) (served, free bool) {
+func (p *Picker) Availability(service string, homes region.Set, now time.Time) (served, free bool) {
 	for _, handle := range p.directory.View().Of(service) {
-		if !handle.Usable() || !p.Allowed(homes, handle) {
+		if !handle.Usable() || !p.InAllowedRegion(homes, handle) {
 			continue
 		}
 		served = true
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -74,7 +74,7 @@
 			if test.full != "" {
 				directory.View().Find(test.full).NoteLoad(replica.Load{Running: 10, Slots: 10}, now)
 			}
-			served, free := NewPicker(directory, topology, nil).Room("s", test.homes, now)
+			served, free := NewPicker(directory, topology, nil).Availability("s", test.homes, now)
 			if served != test.served || free != test.free {
 				t.Errorf("served %t, free %t", served, free)
 			}
--- a/internal/batch/item_homes.go
+++ b/internal/batch/item_homes.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		homes := table.HomesOf(matched, job.submission.Tenant)
-		if p.service.picker.Allowed(homes, run.handle) {
+		if p.service.picker.InAllowedRegion(homes, run.handle) {
 			continue
 		}
 		run.interrupt()
--- a/internal/batch/item_run.go
+++ b/internal/batch/item_run.go
@@ -57,7 +57,7 @@
 			// It ends without being preempted, and preempting it frees no room at the remaining replicas.
 			continue
 		}
-		if !p.service.picker.Allowed(homes, other.handle) {
+		if !p.service.picker.InAllowedRegion(homes, other.handle) {
 			continue
 		}
 		rated := runAsCandidate(other)
--- a/internal/forward/homes.go
+++ b/internal/forward/homes.go
@@ -35,7 +35,7 @@
 		return true
 	}
 	for _, backend := range e.route.Backends {
-		if served, _ := e.handler.picker.Room(backend.Service, homes, now); served {
+		if served, _ := e.handler.picker.Availability(backend.Service, homes, now); served {
 			return true
 		}
 	}
@@ -50,7 +50,7 @@
 		return nil
 	}
 	return func(now time.Time) bool {
-		served, free := e.handler.picker.Room(e.service, homes, now)
+		served, free := e.handler.picker.Availability(e.service, homes, now)
 		return free || !served
 	}
 }
