--- a/internal/batch/door.go
+++ b/internal/batch/door.go
@@ -43,8 +43,8 @@
 	retryAfterOwner = 300 * time.Millisecond
 )
 
-// Door receives calls about jobs at an edge and forwards them to the owner of the job's partition. It is safe for concurrent use.
-type Door struct {
+// Client receives calls about jobs at an edge and forwards them to the owner of the job's partition. It is safe for concurrent use.
+type Client struct {
 	locator   ledger.Locator
 	homes     ledger.Homes
 	caller    transport.Caller
@@ -53,12 +53,12 @@
 	logger    zerolog.Logger
 }
 
-// NewDoor returns a Door and registers its relay method.
-func NewDoor(
+// NewClient returns a Door and registers its relay method.
+func NewClient(
 	locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer,
 	logger zerolog.Logger,
-) *Door {
-	door := &Door{
+) *Client {
+	door := &Client{
 		locator: locator, homes: homes, caller: caller, viewer: viewer, unreached: unreached.NewPeers(unreachableWindow),
 		logger: logger.With().Str(logging.FieldSlice, "batch").Logger(),
 	}
@@ -86,7 +86,7 @@
 // Submit gets a job accepted whose data may be stored in regions only; the submission's tenant is that of its caller. The error is
 // an *outcome.Error: NotRun means that no item will run because of this call, with ReasonRateLimited if the job exceeds the quota;
 // with Indeterminate the job may or may not run.
-func (d *Door) Submit(ctx context.Context, submission *batchpb.Submission, matched *route.Route, regions region.Set) error {
+func (d *Client) Submit(ctx context.Context, submission *batchpb.Submission, matched *route.Route, regions region.Set) error {
 	if err := Check(submission); err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 }
 
 // Read returns the results of a job from a position on; it waits for the first one for at most wait.
-func (d *Door) Read(ctx context.Context, caller Caller, jobID string, since uint32, wait time.Duration) (*batchpb.ReadResponse, error) {
+func (d *Client) Read(ctx context.Context, caller Caller, jobID string, since uint32, wait time.Duration) (*batchpb.ReadResponse, error) {
 	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.ReadResponse, error) {
 		request := &batchpb.ReadRequest{Partition: partition, JobId: caller.jobName(jobID), Since: since, WaitMicros: uint64(wait.Microseconds())}
 		response := &batchpb.ReadResponse{}
@@ -122,7 +122,7 @@
 }
 
 // Body returns the body of an item that is not listed yet.
-func (d *Door) Body(ctx context.Context, caller Caller, jobID, itemID string) (*batchpb.BodyResponse, error) {
+func (d *Client) Body(ctx context.Context, caller Caller, jobID, itemID string) (*batchpb.BodyResponse, error) {
 	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.BodyResponse, error) {
 		request := &batchpb.BodyRequest{Partition: partition, JobId: caller.jobName(jobID), ItemId: itemID}
 		response := &batchpb.BodyResponse{}
@@ -131,7 +131,7 @@
 }
 
 // End ends a job.
-func (d *Door) End(ctx context.Context, caller Caller, jobID string) (*batchpb.EndResponse, error) {
+func (d *Client) End(ctx context.Context, caller Caller, jobID string) (*batchpb.EndResponse, error) {
 	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.EndResponse, error) {
 		request := &batchpb.EndRequest{Partition: partition, JobId: caller.jobName(jobID)}
 		response := &batchpb.EndResponse{}
@@ -141,7 +141,7 @@
 
 // call sends request to the owner of its partition, and retries while no owner answers; all requests are idempotent. The error is an
 // *outcome.Error that is NotRun only if no try can have had an effect.
-func (d *Door) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, total, try time.Duration) error {
+func (d *Client) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, total, try time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
 	backoff := platform.NewBackoffUpTo(maxRetryWait)
@@ -177,7 +177,7 @@
 }
 
 // try makes a single try, through another edge if the owner recently did not answer this one.
-func (d *Door) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, timeout time.Duration) *outcome.Error {
+func (d *Client) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, timeout time.Duration) *outcome.Error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	owner, failure := d.owner(ledger.PartitionID(request.GetPartition()))
@@ -197,7 +197,7 @@
 }
 
 // owner returns the address of the partition's owner as far as this node knows it.
-func (d *Door) owner(partition ledger.PartitionID) (netip.AddrPort, *outcome.Error) {
+func (d *Client) owner(partition ledger.PartitionID) (netip.AddrPort, *outcome.Error) {
 	address, known := d.locator.Owner(partition)
 	if !known {
 		return netip.AddrPort{}, errNotOwner()
--- a/internal/batch/door_homes.go
+++ b/internal/batch/door_homes.go
@@ -14,7 +14,7 @@
 // partitions returns all partitions that may contain jobs of host: the one for jobs that are not confined, and those in the host's
 // homes, of which a deployment that confines no jobs has none. The configuration may have changed the homes since a job was
 // accepted.
-func (d *Door) partitions(host string) []uint32 {
+func (d *Client) partitions(host string) []uint32 {
 	found := []uint32{uint32(d.locator.PartitionOf(host))}
 	for _, partition := range d.homes.PartitionsWithin(route.HostName(host)) {
 		found = append(found, uint32(partition))
@@ -24,7 +24,7 @@
 
 // placeJob returns the partition for a submission whose data may be stored in regions only. accepted is true if another partition
 // already accepted the job before the homes changed.
-func (d *Door) placeJob(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
+func (d *Client) placeJob(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
 	partition = uint32(d.locator.PartitionOf(submission.Host))
 	if regions.Limited() {
 		within, err := d.homes.PartitionWithin(route.HostName(submission.Host), regions)
@@ -39,7 +39,7 @@
 
 // acceptedElsewhere reports whether another partition has the job. It asks only for a while after the homes have changed, when jobs
 // may be resubmitted that were accepted before.
-func (d *Door) acceptedElsewhere(ctx context.Context, submission *batchpb.Submission, partition uint32) (bool, error) {
+func (d *Client) acceptedElsewhere(ctx context.Context, submission *batchpb.Submission, partition uint32) (bool, error) {
 	if !d.homes.Settling() {
 		return false, nil
 	}
--- a/internal/batch/door_test.go
+++ b/internal/batch/door_test.go
@@ -57,7 +57,7 @@
 // testEdges are two edges and an owner on one network.
 type testEdges struct {
 	network *memory.Network
-	doors   []*Door
+	doors   []*Client
 	homes   *fixedHomes
 	owner   netip.AddrPort
 	stop    func()
@@ -106,7 +106,7 @@
 	for _, self := range members[:2] {
 		edge := connect(self.PeerAddress)
 		view := fixedView{&membership.View{Self: self.ID, Members: members}}
-		created.doors = append(created.doors, NewDoor(fixedLocator{created.owner}, created.homes, edge, edge, view, zerolog.Nop()))
+		created.doors = append(created.doors, NewClient(fixedLocator{created.owner}, created.homes, edge, edge, view, zerolog.Nop()))
 	}
 	for _, endpoint := range transports {
 		endpoint.Start()
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -43,7 +43,7 @@
 	store     *store.Store
 	transport *memory.Transport
 	manager   *ledger.Manager
-	door      *Door
+	door      *Client
 	running   bool
 }
 
@@ -146,7 +146,7 @@
 		Settings: nodeSettings, Timing: timing, Logger: zerolog.Nop(), Local: node.store, Caller: caller, Registry: node.transport,
 		KeyValue: c.keyValue, Viewer: clusterView{c, node.id}, Factory: service.Factory(),
 	})
-	node.door = NewDoor(node.manager, node.manager, caller, node.transport, clusterView{c, node.id}, zerolog.Nop())
+	node.door = NewClient(node.manager, node.manager, caller, node.transport, clusterView{c, node.id}, zerolog.Nop())
 	node.transport.Start()
 	node.manager.Start()
 	var confined []ledger.Confined
@@ -187,7 +187,7 @@
 }
 
 // edge returns the edge of a region and makes it that of the current client.
-func (c *regionsCluster) edge(name string) *Door {
+func (c *regionsCluster) edge(name string) *Client {
 	for _, node := range c.nodes {
 		if node.region == name && node.disk == nil {
 			c.mutex.Lock()
@@ -245,7 +245,7 @@
 }
 
 // submit retries until the job is accepted.
-func (c *regionsCluster) submit(door *Door, job string, regions region.Set) {
+func (c *regionsCluster) submit(door *Client, job string, regions region.Set) {
 	c.t.Helper()
 	c.eventually("accepted "+job, func() error {
 		submission := testSubmission(job, 2)
@@ -257,7 +257,7 @@
 }
 
 // awaitResults waits until the door lists all results of the job.
-func (c *regionsCluster) awaitResults(door *Door, job string) {
+func (c *regionsCluster) awaitResults(door *Client, job string) {
 	c.t.Helper()
 	c.eventually("results of "+job, func() error {
 		response, err := door.Read(c.t.Context(), Caller{Host: testHost}, job, 0, time.Second)
@@ -335,7 +335,7 @@
 }
 
 // cutFromStores cuts an edge off from all nodes with a store.
-func (c *regionsCluster) cutFromStores(door *Door) {
+func (c *regionsCluster) cutFromStores(door *Client) {
 	c.t.Helper()
 	var edge netip.AddrPort
 	stores := map[netip.AddrPort]bool{}
--- a/internal/batch/relay.go
+++ b/internal/batch/relay.go
@@ -38,7 +38,7 @@
 
 // pickRelayEdge returns a random live node without a store, other than this one, that may hold records of the partition; ok is false
 // if there is none.
-func (d *Door) pickRelayEdge(partition ledger.PartitionID) (address netip.AddrPort, ok bool) {
+func (d *Client) pickRelayEdge(partition ledger.PartitionID) (address netip.AddrPort, ok bool) {
 	view := d.viewer.View()
 	var others []netip.AddrPort
 	for _, member := range view.Members {
@@ -53,7 +53,7 @@
 }
 
 // relay makes the call through another edge.
-func (d *Door) relay(ctx context.Context, edge netip.AddrPort, method transport.Method, request partitionRequest, response proto.Message) error {
+func (d *Client) relay(ctx context.Context, edge netip.AddrPort, method transport.Method, request partitionRequest, response proto.Message) error {
 	payload, err := proto.Marshal(request)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 }
 
 // serveRelay makes a call on behalf of another edge. It calls only the owner and relays no further.
-func (d *Door) serveRelay(ctx context.Context, _ netip.AddrPort, request *batchpb.RelayRequest) (*batchpb.RelayResponse, error) {
+func (d *Client) serveRelay(ctx context.Context, _ netip.AddrPort, request *batchpb.RelayRequest) (*batchpb.RelayResponse, error) {
 	messages, known := relayedMessages[transport.Method(request.Method)]
 	if !known {
 		return nil, outcome.New(outcome.NotRun, outcome.ReasonInvalid, "method is not relayed")
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -110,8 +110,8 @@
 		})
 }
 
-// Works reports whether a partition owned here has items that wait or run.
-func (s *Service) Works() bool {
+// HasWork reports whether a partition owned here has items that wait or run.
+func (s *Service) HasWork() bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	for _, ownedPartition := range s.partitions {
--- a/internal/node/role.go
+++ b/internal/node/role.go
@@ -54,7 +54,7 @@
 	// Report is how replicas are asked for their load.
 	Report replica.LoadReport
 	// Batch makes the HTTP calls about batch jobs.
-	Batch func(door *batch.Door) BatchCalls
+	Batch func(door *batch.Client) BatchCalls
 }
 
 // Translator reads and writes the entries of the key-value service.
--- a/internal/node/role_edge.go
+++ b/internal/node/role_edge.go
@@ -26,7 +26,7 @@
 )
 
 func newBatchCalls(adapter Adapter, locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, members *membership.Service, logger zerolog.Logger) BatchCalls {
-	return adapter.Batch(batch.NewDoor(locator, homes, caller, registrar, members, logger))
+	return adapter.Batch(batch.NewClient(locator, homes, caller, registrar, members, logger))
 }
 
 // newGate holds online requests back while all nodes' callers want more than the replicas have.
--- a/internal/node/role_storage.go
+++ b/internal/node/role_storage.go
@@ -50,5 +50,5 @@
 
 // yieldToOnline has batch items give way as soon as other nodes report more online requests.
 func yieldToOnline(shared *loadshare.Service, service *batch.Service) {
-	shared.SetOwner(service.Works, service.OnlineChanged)
+	shared.SetOwner(service.HasWork, service.OnlineChanged)
 }
