--- a/internal/batch/item_homes.go
+++ b/internal/batch/item_homes.go
@@ -25,7 +25,7 @@
 	}
 	for _, item := range submission.Items {
 		matched := table.Match(submission.Host, item.Path)
-		if matched == nil || !table.HomesOf(matched, submission.Tenant).Limited() {
+		if matched == nil || !table.AllowedRegionsOf(matched, submission.Tenant).Limited() {
 			continue
 		}
 		p.logger.Info().Str(logging.FieldJob, submission.JobId).Int64("version", table.Version).Msg("job_outside_homes")
@@ -53,7 +53,7 @@
 		if matched == nil {
 			continue
 		}
-		homes := table.HomesOf(matched, job.submission.Tenant)
+		homes := table.AllowedRegionsOf(matched, job.submission.Tenant)
 		if p.service.picker.InAllowedRegion(homes, run.handle) {
 			continue
 		}
--- a/internal/batch/item_order.go
+++ b/internal/batch/item_order.go
@@ -117,7 +117,7 @@
 			if run != nil {
 				run.routeMissingSince = 0
 			}
-			added.homes = table.HomesOf(added.route, job.submission.Tenant)
+			added.homes = table.AllowedRegionsOf(added.route, job.submission.Tenant)
 			added.due = dueTime(added.route, job.acceptedAt)
 			added.remaining = p.state.paceOf(added.route.Name).remaining(item.Tokens, added.textSize)
 		}
--- a/internal/route/homes.go
+++ b/internal/route/homes.go
@@ -8,33 +8,33 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// Homes returns the regions in which requests of owner on the matched route may be served, cached and stored: those allowed by both the route
+// AllowedRegions returns the regions in which requests of owner on the matched route may be served, cached and stored: those allowed by both the route
 // and the tenant. owner is nil if there is no tenant.
-func Homes(matched *Route, owner *tenant.Tenant) region.Set {
+func AllowedRegions(matched *Route, owner *tenant.Tenant) region.Set {
 	if owner == nil {
 		return matched.Regions
 	}
 	return matched.Regions.Intersect(owner.Regions)
 }
 
-// HomesOf returns the same for the name of a tenant, which is empty if there is none. A tenant that is no longer declared adds no restriction.
-func (t *Table) HomesOf(matched *Route, tenantName string) region.Set {
+// AllowedRegionsOf returns the same for the name of a tenant, which is empty if there is none. A tenant that is no longer declared adds no restriction.
+func (t *Table) AllowedRegionsOf(matched *Route, tenantName string) region.Set {
 	if t.Tenants == nil || tenantName == "" {
 		return matched.Regions
 	}
-	return Homes(matched, t.Tenants.ByName(tenantName))
+	return AllowedRegions(matched, t.Tenants.ByName(tenantName))
 }
 
-// Home is a host of batch jobs whose data is confined to Regions. Host is in the form of HostName.
-type Home struct {
+// ConfinedHost is a host of batch jobs whose data is confined to Regions. Host is in the form of HostName.
+type ConfinedHost struct {
 	Host    string
 	Regions region.Set
 }
 
 // BatchHomes returns the confined homes of all batch routes, with and without each tenant, sorted and without duplicates; nil if the table
 // confines no data.
-func (t *Table) BatchHomes() []Home {
-	var found []Home
+func (t *Table) BatchHomes() []ConfinedHost {
+	var found []ConfinedHost
 	for _, batchRoute := range t.Routes {
 		if batchRoute.Kind != Batch {
 			continue
@@ -47,15 +47,15 @@
 			found = appendHome(found, batchRoute, declared)
 		}
 	}
-	slices.SortFunc(found, func(a, b Home) int {
+	slices.SortFunc(found, func(a, b ConfinedHost) int {
 		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Regions.String(), b.Regions.String()))
 	})
 	return found
 }
 
 // appendHome adds the home of a route and a tenant if it is confined to regions and not in found yet.
-func appendHome(found []Home, matched *Route, owner *tenant.Tenant) []Home {
-	regions := Homes(matched, owner)
+func appendHome(found []ConfinedHost, matched *Route, owner *tenant.Tenant) []ConfinedHost {
+	regions := AllowedRegions(matched, owner)
 	if !regions.Limited() || len(regions.Names()) == 0 {
 		return found
 	}
@@ -65,5 +65,5 @@
 			return found
 		}
 	}
-	return append(found, Home{Host: host, Regions: regions})
+	return append(found, ConfinedHost{Host: host, Regions: regions})
 }
--- a/internal/route/homes_test.go
+++ b/internal/route/homes_test.go
@@ -37,7 +37,7 @@
 			table.Tenants = tenant.NewDirectory([]tenant.Declaration{
 				tenantWith("free"), tenantWith("both", "north", "south"), tenantWith("south", "south"),
 			})
-			homes := table.HomesOf(matched, test.tenant)
+			homes := table.AllowedRegionsOf(matched, test.tenant)
 			if homes.Limited() != test.limited || !slices.Equal(homes.Names(), test.want) {
 				t.Errorf("limited %t to %v", homes.Limited(), homes.Names())
 			}
