--- a/internal/discovery/fleet_harness_test.go
+++ b/internal/discovery/fleet_harness_test.go
@@ -160,8 +160,8 @@
 			first, found := zonerelay.Of(node.viewer.View()).First()
 			return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == node.id}, found
 		},
-		MostShort: roster.MostKeptByEach, Store: node.feed, Caller: node.transport, Registrar: node.transport, Viewer: node.viewer,
-		Join: func(netip.AddrPort) {}, Unanswered: node.feed.Unanswered, Seeds: f.seeds(),
+		MaxShortEntries: roster.MostKeptByEach, Store: node.feed, Caller: node.transport, Registrar: node.transport, Viewer: node.viewer,
+		Join: func(netip.AddrPort) {}, ServiceUnanswered: node.feed.Unanswered, Seeds: f.seeds(),
 		Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
 	})
 	if err != nil {
--- a/internal/node/role_discovery.go
+++ b/internal/node/role_discovery.go
@@ -63,8 +63,8 @@
 		return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == view.Self}, found
 	}
 	return snapshotcache.New(snapshotcache.Options{
-		Lister: lister, MostShort: roster.MostKeptByEach,
-		Store: store, Caller: caller, Registrar: registrar, Viewer: members, Join: members.AddContact, Unanswered: store.Unanswered,
+		Lister: lister, MaxShortEntries: roster.MostKeptByEach,
+		Store: store, Caller: caller, Registrar: registrar, Viewer: members, Join: members.AddContact, ServiceUnanswered: store.Unanswered,
 		Seeds: own.Seeds(), DataFolder: own.DataFolder, RandomSeed: uint64(time.Now().UnixNano()), Registerer: registerer, Logger: logger,
 	})
 }
--- a/internal/snapshotcache/cache.go
+++ b/internal/snapshotcache/cache.go
@@ -31,12 +31,12 @@
 	Viewer    membership.Viewer
 	// Join receives the address of a node through which this node can join the cluster.
 	Join func(address netip.AddrPort)
-	// Unanswered reports whether the service answers neither this node nor a node that watches on its behalf.
-	Unanswered func() bool
+	// ServiceUnanswered reports whether the service answers neither this node nor a node that watches on its behalf.
+	ServiceUnanswered func() bool
 	// Lister returns the node that reads long lists from the service on behalf of the other nodes; found is false if none is known. If Lister is
 	// nil, each node reads them itself. A list is long if it has more than MostShort entries.
-	Lister    func() (lister Lister, found bool)
-	MostShort int
+	Lister          func() (lister Lister, found bool)
+	MaxShortEntries int
 	// Seeds are nodes to fetch copies from; some may no longer exist.
 	Seeds []netip.AddrPort
 	// DataFolder is empty on a node without persistent storage; such a node offers no copies.
--- a/internal/snapshotcache/harness_test.go
+++ b/internal/snapshotcache/harness_test.go
@@ -118,7 +118,7 @@
 			defer started.mutex.Unlock()
 			started.joined = append(started.joined, address)
 		},
-		Unanswered: func() bool {
+		ServiceUnanswered: func() bool {
 			started.mutex.Lock()
 			defer started.mutex.Unlock()
 			return started.unheard
--- a/internal/snapshotcache/offers.go
+++ b/internal/snapshotcache/offers.go
@@ -38,7 +38,7 @@
 
 // offer offers copies once, if the service does not answer and this node has a copy of every prefix that is not listed.
 func (c *Cache) offer() {
-	if c.allListed() && !c.options.Unanswered() {
+	if c.allListed() && !c.options.ServiceUnanswered() {
 		return
 	}
 	c.mutex.Lock()
--- a/internal/snapshotcache/since.go
+++ b/internal/snapshotcache/since.go
@@ -111,7 +111,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	cached := c.contents[prefix]
-	if cached == nil || !cached.listed || c.options.Lister == nil || len(cached.entries) <= c.options.MostShort {
+	if cached == nil || !cached.listed || c.options.Lister == nil || len(cached.entries) <= c.options.MaxShortEntries {
 		return nil, 0
 	}
 	return maps.Clone(cached.entries), cached.revision
