--- a/internal/discovery/copies_test.go
+++ b/internal/discovery/copies_test.go
@@ -15,9 +15,9 @@
 // suppliedCopies is a Copies that holds the receiver of copies for each prefix, which tests call.
 type suppliedCopies map[string]func(platform.Listing)
 
-func (s suppliedCopies) Supply(prefix string, take func(platform.Listing)) { s[prefix] = take }
+func (s suppliedCopies) CachePrefix(prefix string, take func(platform.Listing)) { s[prefix] = take }
 
-func (s suppliedCopies) Settle(prefix string) { delete(s, prefix) }
+func (s suppliedCopies) DropCopies(prefix string) { delete(s, prefix) }
 
 // copyOf returns a copy at revision with one entry.
 func copyOf(revision int64, key, value string) platform.Listing {
--- a/internal/discovery/replica_source.go
+++ b/internal/discovery/replica_source.go
@@ -60,7 +60,7 @@
 func (s *Service) dropList() {
 	s.roster.Forget()
 	if s.copies != nil {
-		s.copies.Settle(s.translator.ReplicaPrefix())
+		s.copies.DropCopies(s.translator.ReplicaPrefix())
 	}
 }
 
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -81,10 +81,10 @@
 
 // Copies supplies older copies of the keys below a prefix.
 type Copies interface {
-	// Supply calls take with copies of the prefix, each newer than the one before, until the prefix is listed or settled.
-	Supply(prefix string, take func(copied platform.Listing))
-	// Settle ends the supply for a prefix whose content is learned in another way.
-	Settle(prefix string)
+	// CachePrefix calls take with copies of the prefix, each newer than the one before, until the prefix is listed or settled.
+	CachePrefix(prefix string, take func(copied platform.Listing))
+	// DropCopies ends the supply for a prefix whose content is learned in another way.
+	DropCopies(prefix string)
 }
 
 // Options configures a Service.
@@ -139,8 +139,8 @@
 		service.roster = roster.New()
 	}
 	if options.Copies != nil {
-		options.Copies.Supply(options.Translator.OperatorPrefix(), service.applyOperatorsCopy)
-		options.Copies.Supply(options.Translator.ReplicaPrefix(), service.applyReplicasCopy)
+		options.Copies.CachePrefix(options.Translator.OperatorPrefix(), service.applyOperatorsCopy)
+		options.Copies.CachePrefix(options.Translator.ReplicaPrefix(), service.applyReplicasCopy)
 	}
 	return service
 }
--- a/internal/snapshotcache/cache.go
+++ b/internal/snapshotcache/cache.go
@@ -81,7 +81,7 @@
 	confirmed chan struct{}
 }
 
-// New returns a Cache and registers its methods. Prefixes are added by Supply before Start.
+// New returns a Cache and registers its methods. Prefixes are added by CachePrefix before Start.
 func New(options Options) (*Cache, error) {
 	metrics, err := newMetrics(options.Registerer)
 	if err != nil {
@@ -99,9 +99,9 @@
 	return cache, nil
 }
 
-// Supply caches prefix and passes copies of its content to take, each newer than the previous one, until the service lists the prefix.
+// CachePrefix caches prefix and passes copies of its content to take, each newer than the previous one, until the service lists the prefix.
 // take is called by one goroutine at a time, and not after List has returned.
-func (c *Cache) Supply(prefix string, take func(copied platform.Listing)) {
+func (c *Cache) CachePrefix(prefix string, take func(copied platform.Listing)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.contents[prefix] = &content{take: take}
@@ -144,8 +144,8 @@
 	return listing, nil
 }
 
-// Settle ends the use of copies of prefix and drops its cached content. It is called on a node that gets the content in another way.
-func (c *Cache) Settle(prefix string) {
+// DropCopies ends the use of copies of prefix and drops its cached content. It is called on a node that gets the content in another way.
+func (c *Cache) DropCopies(prefix string) {
 	c.takeMutex.Lock()
 	defer c.takeMutex.Unlock()
 	c.mutex.Lock()
--- a/internal/snapshotcache/harness_test.go
+++ b/internal/snapshotcache/harness_test.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	started.cache.Supply(prefix, started.takeCopy)
+	started.cache.CachePrefix(prefix, started.takeCopy)
 	access.Start()
 	ctx, cancel := context.WithCancel(context.Background())
 	started.cancel = cancel
