--- a/internal/edge/harness_test.go
+++ b/internal/edge/harness_test.go
@@ -133,7 +133,7 @@
 // recordingSubmitter accepts submissions and records their bodies.
 type recordingSubmitter struct{ submitted chan []byte }
 
-func (r recordingSubmitter) Submit(writer http.ResponseWriter, _ *http.Request, _ forward.Authenticated, body []byte) {
+func (r recordingSubmitter) Submit(writer http.ResponseWriter, _ *http.Request, _ forward.AuthenticatedRequest, body []byte) {
 	r.submitted <- body
 	writer.WriteHeader(http.StatusAccepted)
 }
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -132,7 +132,7 @@
 // Ready reports whether the process has the configuration that it needs to serve and is not
 // stopping.
 func (s *Server) Ready() bool {
-	return !s.stopping.Load() && s.handler.Known()
+	return !s.stopping.Load() && s.handler.Ready()
 }
 
 func (s *Server) serveReady(writer http.ResponseWriter, _ *http.Request) {
@@ -149,7 +149,7 @@
 func (s *Server) Stop(ctx context.Context) {
 	started := time.Now()
 	s.stopping.Store(true)
-	s.handler.Leave()
+	s.handler.CloseConnections()
 	graceContext, cancel := context.WithDeadline(ctx, started.Add(s.gracePeriod-stopMargin))
 	defer cancel()
 	select {
--- a/internal/forward/authenticate.go
+++ b/internal/forward/authenticate.go
@@ -25,7 +25,7 @@
 			h.refuseKey(writer, request, "", table.Version)
 			return
 		}
-		auth := Authenticated{Table: table, Route: matched, Tenant: holder}
+		auth := AuthenticatedRequest{Table: table, Route: matched, Tenant: holder}
 		call(writer, request, batch.Caller{Host: request.Host, Tenant: auth.TenantName()})
 	}
 }
--- a/internal/forward/authenticate_test.go
+++ b/internal/forward/authenticate_test.go
@@ -93,7 +93,7 @@
 		holder *tenant.Tenant
 		want   int
 	}{{nil, 1}, {&tenant.Tenant{}, 1}, {&tenant.Tenant{Priority: &own}, 3}} {
-		waiting := &exchange{route: &route.Route{Priority: 1}, auth: Authenticated{Tenant: test.holder}}
+		waiting := &exchange{route: &route.Route{Priority: 1}, auth: AuthenticatedRequest{Tenant: test.holder}}
 		if got := waiting.priority(); got != test.want {
 			t.Errorf("priority %d, want %d", got, test.want)
 		}
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -57,7 +57,7 @@
 	handler  *Handler
 	writer   http.ResponseWriter
 	request  *http.Request
-	auth     Authenticated
+	auth     AuthenticatedRequest
 	route    *route.Route
 	body     []byte
 	id       string
--- a/internal/forward/gate.go
+++ b/internal/forward/gate.go
@@ -95,8 +95,8 @@
 	return demands
 }
 
-// Changed checks the waiting requests after a change of the other nodes' demand.
-func (g *Gate) Changed() {
+// DemandChanged checks the waiting requests after a change of the other nodes' demand.
+func (g *Gate) DemandChanged() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Now()
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -33,8 +33,8 @@
 	defaultMaxBodyBytes = 8 << 20
 )
 
-// Authenticated is an authenticated request with the configuration, route and tenant under which it is served.
-type Authenticated struct {
+// AuthenticatedRequest is an authenticated request with the configuration, route and tenant under which it is served.
+type AuthenticatedRequest struct {
 	// Table is the configuration under which it is served.
 	Table *route.Table
 	Route *route.Route
@@ -43,7 +43,7 @@
 }
 
 // TenantName returns the tenant's name, or "" if there is none.
-func (a Authenticated) TenantName() string {
+func (a AuthenticatedRequest) TenantName() string {
 	if a.Tenant == nil {
 		return ""
 	}
@@ -52,7 +52,7 @@
 
 // BatchSubmitter handles submissions on batch routes.
 type BatchSubmitter interface {
-	Submit(writer http.ResponseWriter, request *http.Request, auth Authenticated, body []byte)
+	Submit(writer http.ResponseWriter, request *http.Request, auth AuthenticatedRequest, body []byte)
 }
 
 // Quota enforces the tenants' request limits across all nodes. It is safe for concurrent use.
@@ -117,8 +117,8 @@
 	}
 }
 
-// Leave makes every later answer close its connection, so that callers reconnect to another process.
-func (h *Handler) Leave() { h.draining.Store(true) }
+// CloseConnections makes every later answer close its connection, so that callers reconnect to another process.
+func (h *Handler) CloseConnections() { h.draining.Store(true) }
 
 // ServeHTTP serves one request of a caller.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
@@ -148,7 +148,7 @@
 		h.refuse(writer, request, "no_batch", retryAfterStarting)
 		return
 	}
-	auth := Authenticated{Table: table, Route: matched, Tenant: holder}
+	auth := AuthenticatedRequest{Table: table, Route: matched, Tenant: holder}
 	deadline := callerDeadline(request, h.headers.Deadline, matched, arrived)
 	body, whole := h.receiveBody(writer, request, auth, deadline)
 	switch {
@@ -161,7 +161,7 @@
 }
 
 // receiveBody reads the whole body until deadline. It answers a request whose body cannot be read; whole is false then.
-func (h *Handler) receiveBody(writer http.ResponseWriter, request *http.Request, auth Authenticated, deadline time.Time) (body []byte, whole bool) {
+func (h *Handler) receiveBody(writer http.ResponseWriter, request *http.Request, auth AuthenticatedRequest, deadline time.Time) (body []byte, whole bool) {
 	// The deadline keeps a sender that stalls from holding the connection for ever. An error of SetReadDeadline is ignored: the
 	// connection has ended then, and the read reports it.
 	controller := http.NewResponseController(writer)
@@ -178,7 +178,7 @@
 	return body, true
 }
 
-func (h *Handler) serveOnline(writer http.ResponseWriter, request *http.Request, auth Authenticated, body []byte, arrived, deadline time.Time) {
+func (h *Handler) serveOnline(writer http.ResponseWriter, request *http.Request, auth AuthenticatedRequest, body []byte, arrived, deadline time.Time) {
 	ctx, cancel := context.WithTimeout(request.Context(), clock.Until(deadline))
 	defer cancel()
 	current := &exchange{
--- a/internal/forward/homes.go
+++ b/internal/forward/homes.go
@@ -11,7 +11,7 @@
 const reasonOutsideHomes = "no_replica_in_homes"
 
 // Homes returns the request's home regions: those in which it may be served and stored.
-func (a Authenticated) Homes() region.Set { return route.AllowedRegions(a.Route, a.Tenant) }
+func (a AuthenticatedRequest) Homes() region.Set { return route.AllowedRegions(a.Route, a.Tenant) }
 
 // homes returns the regions in which the next attempt may be made: the request's homes at its arrival, without those that a newer
 // configuration no longer allows.
--- a/internal/forward/startup.go
+++ b/internal/forward/startup.go
@@ -15,7 +15,7 @@
 
 // waitForTable returns the routing table once it and the replicas are known; nil if there is no table after maxStartupWait.
 func (h *Handler) waitForTable(ctx context.Context) *route.Table {
-	if h.Known() {
+	if h.Ready() {
 		return h.routes.Table()
 	}
 	changed := make(chan struct{}, 1)
@@ -29,7 +29,7 @@
 	defer h.directory.Subscribe(func(*replica.View) { notify() })()
 	timer := time.NewTimer(maxStartupWait)
 	defer timer.Stop()
-	for !h.Known() {
+	for !h.Ready() {
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -41,5 +41,5 @@
 	return h.routes.Table()
 }
 
-// Known reports whether the configuration and the replicas have been loaded.
-func (h *Handler) Known() bool { return h.routes.Table() != nil && h.directory.Loaded() }
+// Ready reports whether the configuration and the replicas have been loaded.
+func (h *Handler) Ready() bool { return h.routes.Table() != nil && h.directory.Loaded() }
--- a/internal/node/role_edge.go
+++ b/internal/node/role_edge.go
@@ -32,7 +32,7 @@
 // newGate holds online requests back while all nodes' callers want more than the replicas have.
 func newGate(directory *replica.Directory, shared *loadshare.Service) *forward.Gate {
 	gate := forward.NewGate(directory, shared)
-	shared.SetDemands(gate.Demands, gate.Changed)
+	shared.SetDemands(gate.Demands, gate.DemandChanged)
 	return gate
 }
 
