--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -66,8 +66,8 @@
 	Grace time.Duration
 	// FileDescriptors is the number that the process may have open; 0 means no limit.
 	FileDescriptors int
-	// Calls, if set, adds routes that take precedence over Handler.
-	Calls func(router *mux.Router)
+	// AddRoutes, if set, adds routes that take precedence over Handler.
+	AddRoutes func(router *mux.Router)
 }
 
 // NewServer returns a Server. It does not listen before Start.
@@ -83,8 +83,8 @@
 		server.logger.Info().Dur("waited", waited).Msg("caller_connection_dropped")
 	})
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	if options.Calls != nil {
-		options.Calls(router)
+	if options.AddRoutes != nil {
+		options.AddRoutes(router)
 	}
 	router.NotFoundHandler = options.Handler
 	router.MethodNotAllowedHandler = options.Handler
--- a/internal/node/role_edge.go
+++ b/internal/node/role_edge.go
@@ -47,7 +47,7 @@
 	server := edge.NewServer(edge.Options{
 		Handler: handler, Logger: logger, Network: via, Grace: own.Bounds.Grace, FileDescriptors: own.Limits.FileDescriptors,
 		Addresses: edge.Addresses{Callers: own.CallerAddress, Readiness: own.ReadinessAddress, ReadyPath: adapter.ReadyPath},
-		Calls:     func(router *mux.Router) { calls.Register(router, handler.AuthenticateJobCall) },
+		AddRoutes: func(router *mux.Router) { calls.Register(router, handler.AuthenticateJobCall) },
 	})
 	lifecycle.Append(fx.Hook{OnStart: server.Start, OnStop: func(ctx context.Context) error {
 		server.Stop(ctx)
