--- a/cmd/sloelift-lab/part_command.go
+++ b/cmd/sloelift-lab/part_command.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	options := labengine.DefaultOptions(c.Replica, profile.StepBase)
-	options.Models = []modelengine.Loaded{{Model: profile.Model, Version: "1", State: "ready"}}
+	options.Models = []modelengine.LoadedModel{{Model: profile.Model, Version: "1", State: "ready"}}
 	options.LoadLag = c.LoadLag
 	emulated := labengine.New(options)
 	if err := emulated.Start(c.Listen.String()); err != nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -87,25 +87,25 @@
 
 // LoadReport is an engine's load, which lags behind. MeasuredAt is the time of the engine's clock.
 type LoadReport struct {
-	Sequence      uint64    `json:"sequence"`
-	MeasuredAt    time.Time `json:"measured_at"`
-	Running       int       `json:"running"`
-	RunningBatch  int       `json:"running_batch"`
-	Waiting       int       `json:"waiting"`
-	WaitingBatch  int       `json:"waiting_batch"`
-	MaxRunning    int       `json:"max_running"`
-	CacheBlocks   int       `json:"cache_blocks"`
-	CacheUsed     int       `json:"cache_used"`
-	StepMicros    int64     `json:"step_micros"`
-	Leaving       bool      `json:"leaving"`
-	Models        []Loaded  `json:"models"`
-	Role          string    `json:"role"`
-	FenceToken    uint64    `json:"fence_token"`
-	QueuedPrefill int       `json:"queued_prefill_tokens"`
+	Sequence      uint64        `json:"sequence"`
+	MeasuredAt    time.Time     `json:"measured_at"`
+	Running       int           `json:"running"`
+	RunningBatch  int           `json:"running_batch"`
+	Waiting       int           `json:"waiting"`
+	WaitingBatch  int           `json:"waiting_batch"`
+	MaxRunning    int           `json:"max_running"`
+	CacheBlocks   int           `json:"cache_blocks"`
+	CacheUsed     int           `json:"cache_used"`
+	StepMicros    int64         `json:"step_micros"`
+	Leaving       bool          `json:"leaving"`
+	Models        []LoadedModel `json:"models"`
+	Role          string        `json:"role"`
+	FenceToken    uint64        `json:"fence_token"`
+	QueuedPrefill int           `json:"queued_prefill_tokens"`
 }
 
-// Loaded is one model version, with its adapters, that an engine serves or loads.
-type Loaded struct {
+// LoadedModel is one model version, with its adapters, that an engine serves or loads.
+type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
--- a/internal/fleet/load_messages.go
+++ b/internal/fleet/load_messages.go
@@ -177,22 +177,22 @@
 	return report
 }
 
-func decodeModels(detail *fleetpb.ReplicaDetail) []engine.Loaded {
-	models := make([]engine.Loaded, 0, len(detail.GetModels()))
+func decodeModels(detail *fleetpb.ReplicaDetail) []engine.LoadedModel {
+	models := make([]engine.LoadedModel, 0, len(detail.GetModels()))
 	for _, loaded := range detail.GetModels() {
 		state := loadedLoading
 		if loaded.GetReady() {
 			state = loadedReady
 		}
-		models = append(models, engine.Loaded{
+		models = append(models, engine.LoadedModel{
 			Model: loaded.GetModel(), Version: loaded.GetVersion(), Adapters: loaded.GetAdapters(), State: state,
 		})
 	}
 	return models
 }
 
-func sameModels(a, b []engine.Loaded) bool {
-	return slices.EqualFunc(a, b, func(x, y engine.Loaded) bool {
+func sameModels(a, b []engine.LoadedModel) bool {
+	return slices.EqualFunc(a, b, func(x, y engine.LoadedModel) bool {
 		return x.Model == y.Model && x.Version == y.Version && x.State == y.State && slices.Equal(x.Adapters, y.Adapters)
 	})
 }
--- a/internal/fleet/scale_bench_test.go
+++ b/internal/fleet/scale_bench_test.go
@@ -59,7 +59,7 @@
 						bytes += handleActions(s.step(now, loadPolled{replica: id, report: engine.LoadReport{
 							Sequence: sequence, MeasuredAt: now, Running: int(sequence % 16), MaxRunning: 16,
 							StepMicros: 4000, CacheBlocks: 4096, CacheUsed: 4000,
-							Models: []engine.Loaded{{Model: "chat-model", Version: "2026-11", State: "ready"}},
+							Models: []engine.LoadedModel{{Model: "chat-model", Version: "2026-11", State: "ready"}},
 						}}))
 					}
 				}
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -26,7 +26,7 @@
 	sent   *fleetpb.ReplicaLoad
 	sentAt time.Time
 	// summarizedModels and summarizedRole are the details last sent to other zones, at summarizedAt.
-	summarizedModels     []engine.Loaded
+	summarizedModels     []engine.LoadedModel
 	summarizedRole       string
 	summarizedAt         time.Time
 	changedForZone       bool
--- a/internal/fleet/state_test.go
+++ b/internal/fleet/state_test.go
@@ -218,7 +218,7 @@
 	report := engine.LoadReport{
 		Sequence: 4, MeasuredAt: time.UnixMicro(77), Running: 1, RunningBatch: 2, Waiting: 3, WaitingBatch: 4, MaxRunning: 5,
 		CacheBlocks: 6, CacheUsed: 7, StepMicros: 8, QueuedPrefill: 9, FenceToken: 10, Role: "mixed",
-		Models: []engine.Loaded{
+		Models: []engine.LoadedModel{
 			{Model: "m", Version: "1", Adapters: []string{"a"}, State: "ready"},
 			{Model: "n", Version: "2", State: "loading"},
 		},
@@ -257,7 +257,7 @@
 		t.Fatal("no load was sent")
 		return nil
 	}
-	models := []engine.Loaded{{Model: "m", Version: "1", State: "ready"}}
+	models := []engine.LoadedModel{{Model: "m", Version: "1", State: "ready"}}
 	first := exchange(engine.LoadReport{Sequence: 7, Running: 3, MaxRunning: 16, StepMicros: 4000, Models: models})
 	second := exchange(engine.LoadReport{Sequence: 8, Running: 5, MaxRunning: 16, StepMicros: 4000, Models: models})
 	restarted := exchange(engine.LoadReport{Sequence: 1, Running: 1, MaxRunning: 16, StepMicros: 4000, Models: models})
--- a/internal/operator/uses.go
+++ b/internal/operator/uses.go
@@ -70,7 +70,7 @@
 
 // hasLoaded reports whether the replica has model loaded, according to its last load report.
 func hasLoaded(replica fleet.Replica, model string) bool {
-	return slices.ContainsFunc(replica.Load.Models, func(loaded engine.Loaded) bool { return loaded.Model == model })
+	return slices.ContainsFunc(replica.Load.Models, func(loaded engine.LoadedModel) bool { return loaded.Model == model })
 }
 
 // jobPageSize is the number of jobs requested by one call of job.Service.List, and the maximum page size of GET /v1/jobs.
--- a/internal/placement/desired.go
+++ b/internal/placement/desired.go
@@ -70,7 +70,7 @@
 	return found
 }
 
-func (g *gap) compareAdapters(model desiredModel, loaded *engine.Loaded) {
+func (g *gap) compareAdapters(model desiredModel, loaded *engine.LoadedModel) {
 	for _, adapter := range model.adapters {
 		if g.missingAdapter == nil && !slices.Contains(loaded.Adapters, adapter) {
 			g.missingAdapter = &engine.Order{Kind: engine.OrderLoadAdapter, Model: model.name, Version: model.version, Adapter: adapter}
@@ -91,7 +91,7 @@
 	return slices.ContainsFunc(d.models, func(model desiredModel) bool { return model.name == name && model.version == version })
 }
 
-func findLoaded(report *engine.LoadReport, name, version string) *engine.Loaded {
+func findLoaded(report *engine.LoadReport, name, version string) *engine.LoadedModel {
 	for index := range report.Models {
 		if loaded := &report.Models[index]; loaded.Model == name && loaded.Version == version {
 			return loaded
@@ -102,7 +102,7 @@
 
 // holdsAny reports whether any ready version of a model is loaded.
 func holdsAny(report *engine.LoadReport, name string) bool {
-	return slices.ContainsFunc(report.Models, func(loaded engine.Loaded) bool {
+	return slices.ContainsFunc(report.Models, func(loaded engine.LoadedModel) bool {
 		return loaded.Model == name && loaded.State == stateReady
 	})
 }
--- a/internal/placement/rollout_test.go
+++ b/internal/placement/rollout_test.go
@@ -56,7 +56,7 @@
 	}
 	for index := range rolloutEngines {
 		added := &rolloutEngine{id: fmt.Sprint("r", index), loading: make(map[string]time.Time)}
-		added.report.Models = []engine.Loaded{{Model: "m", Version: "1", State: stateReady}}
+		added.report.Models = []engine.LoadedModel{{Model: "m", Version: "1", State: stateReady}}
 		w.engines = append(w.engines, added)
 	}
 	w.desired = desiredState{revision: 2, models: []desiredModel{{name: "m", version: "2"}}}
@@ -125,14 +125,14 @@
 	case engine.OrderSetRole:
 		target.report.Role = order.Role
 	case engine.OrderLoadModel:
-		target.report.Models = append([]engine.Loaded{}, target.report.Models...)
-		target.report.Models = append(target.report.Models, engine.Loaded{Model: order.Model, Version: order.Version, State: stateLoading})
+		target.report.Models = append([]engine.LoadedModel{}, target.report.Models...)
+		target.report.Models = append(target.report.Models, engine.LoadedModel{Model: order.Model, Version: order.Version, State: stateLoading})
 		target.loading[order.Version] = w.now.Add(rolloutLoad)
 	case engine.OrderUnloadModel:
 		if target.report.Running > 0 {
 			w.t.Fatalf("%s told to unload with %d requests running", target.id, target.report.Running)
 		}
-		var kept []engine.Loaded
+		var kept []engine.LoadedModel
 		for _, loaded := range target.report.Models {
 			if loaded.Version != order.Version {
 				kept = append(kept, loaded)
@@ -150,7 +150,7 @@
 		for version, at := range simulated.loading {
 			if !w.now.Before(at) {
 				delete(simulated.loading, version)
-				simulated.report.Models = append([]engine.Loaded{}, simulated.report.Models...)
+				simulated.report.Models = append([]engine.LoadedModel{}, simulated.report.Models...)
 				for model := range simulated.report.Models {
 					if simulated.report.Models[model].Version == version {
 						simulated.report.Models[model].State = stateReady
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -36,7 +36,7 @@
 func newSmallFleet() *smallFleet {
 	f := &smallFleet{reports: make(map[string]*engine.LoadReport), fetches: 100}
 	for index := range 4 {
-		f.reports[fmt.Sprint("r", index)] = &engine.LoadReport{Models: []engine.Loaded{{Model: "m", Version: "1", State: stateReady}}}
+		f.reports[fmt.Sprint("r", index)] = &engine.LoadReport{Models: []engine.LoadedModel{{Model: "m", Version: "1", State: stateReady}}}
 	}
 	f.declare(1, "1")
 	return f
@@ -89,9 +89,9 @@
 	case engine.OrderSetRole:
 		report.Role = order.Role
 	case engine.OrderLoadModel:
-		report.Models = append([]engine.Loaded{{Model: order.Model, Version: order.Version, State: stateReady}}, report.Models...)
+		report.Models = append([]engine.LoadedModel{{Model: order.Model, Version: order.Version, State: stateReady}}, report.Models...)
 	case engine.OrderLoadAdapter:
-		report.Models = []engine.Loaded{{Model: order.Model, Version: order.Version, State: stateReady, Adapters: []string{order.Adapter}}}
+		report.Models = []engine.LoadedModel{{Model: order.Model, Version: order.Version, State: stateReady, Adapters: []string{order.Adapter}}}
 	case engine.OrderUnloadModel:
 		report.Models = nil
 	}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -107,7 +107,7 @@
 		ID: fields[0], Service: "chat", Region: "r", Zone: "z1", HasLoad: true, HeardAt: time.Now(),
 		Endpoint: engine.Endpoint{Replica: fields[0], Address: netip.MustParseAddrPort("127.0.0.1:1")},
 		Load: engine.LoadReport{
-			MaxRunning: 16, StepMicros: 4000, MeasuredAt: time.Now(), Models: []engine.Loaded{{Model: "m", State: "ready"}},
+			MaxRunning: 16, StepMicros: 4000, MeasuredAt: time.Now(), Models: []engine.LoadedModel{{Model: "m", State: "ready"}},
 		},
 	}
 	for _, field := range fields[1:] {
@@ -135,7 +135,7 @@
 			replica.Region = value
 		case "model":
 			model, state, _ := strings.Cut(value, ":")
-			replica.Load.Models = []engine.Loaded{{Model: model, State: state, Adapters: []string{"a"}}}
+			replica.Load.Models = []engine.LoadedModel{{Model: model, State: state, Adapters: []string{"a"}}}
 		default:
 			t.Fatalf("unknown field %s", field)
 		}
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -57,7 +57,7 @@
 	for index := range profile.Replicas {
 		id := fmt.Sprintf("%s-%d", profile.Service, index+1)
 		engineOptions := labengine.DefaultOptions(id, profile.StepBase)
-		engineOptions.Models = []modelengine.Loaded{{Model: profile.Model, Version: modelVersion, State: "ready"}}
+		engineOptions.Models = []modelengine.LoadedModel{{Model: profile.Model, Version: modelVersion, State: "ready"}}
 		engineOptions.IsBatch = load.IsBatch
 		engineOptions.Log, engineOptions.Seed = d.Log, d.options.Seed+uint64(index)
 		if d.options.ChangeEngine != nil {
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -33,7 +33,7 @@
 	cache     *prefixCache
 	runs      map[string]*run
 	arrivals  uint64
-	models    []modelengine.Loaded
+	models    []modelengine.LoadedModel
 	role      string
 	fence     uint64
 	leaving   bool
@@ -98,7 +98,7 @@
 	e.cache = newPrefixCache(e.options.CacheBlocks, events)
 	e.cache.events.publish(eventCleared, nil, time.Now())
 	e.runs = map[string]*run{}
-	e.models = append([]modelengine.Loaded(nil), e.options.Models...)
+	e.models = append([]modelengine.LoadedModel(nil), e.options.Models...)
 	e.fence, e.leaving, e.role = 0, false, ""
 	e.history = loadHistory{}
 }
--- a/lab/engine/engine_test.go
+++ b/lab/engine/engine_test.go
@@ -209,7 +209,7 @@
 
 func TestOrdersAreFenced(t *testing.T) {
 	e := startEngine(t, func(options *Options) {
-		options.Models = []modelengine.Loaded{{Model: "m", Version: "1", State: modelReady}}
+		options.Models = []modelengine.LoadedModel{{Model: "m", Version: "1", State: modelReady}}
 	})
 	order := func(fence int, kind, rest string) int {
 		status, _, _ := call(t, e, "POST", "/orders", fmt.Sprintf(`{"fence":%d,"kind":%q,%s}`, fence, kind, rest))
--- a/lab/engine/load_report.go
+++ b/lab/engine/load_report.go
@@ -64,7 +64,7 @@
 		CacheUsed:   len(e.cache.blocks),
 		StepMicros:  e.lastStep.Microseconds(),
 		Leaving:     e.leaving,
-		Models:      append([]modelengine.Loaded(nil), e.models...),
+		Models:      append([]modelengine.LoadedModel(nil), e.models...),
 		Role:        e.role,
 		FenceToken:  e.fence,
 	}
--- a/lab/engine/options.go
+++ b/lab/engine/options.go
@@ -15,7 +15,7 @@
 type Options struct {
 	Replica string
 	// Models are the models that are ready at the start; empty accepts any model name.
-	Models []modelengine.Loaded
+	Models []modelengine.LoadedModel
 	// StepBase is the duration of a step with nothing in it; a step takes
 	// StepBase + decoding sequences * StepPerSequence + prefill tokens * StepPerPrefillToken.
 	StepBase            time.Duration
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -62,11 +62,11 @@
 func (e *Engine) apply(order modelengine.Order) {
 	switch order.Kind {
 	case modelengine.OrderUnloadModel:
-		e.models = slices.DeleteFunc(e.models, func(loaded modelengine.Loaded) bool {
+		e.models = slices.DeleteFunc(e.models, func(loaded modelengine.LoadedModel) bool {
 			return loaded.Model == order.Model && (order.Version == "" || loaded.Version == order.Version)
 		})
 	case modelengine.OrderUnloadAdapter:
-		e.eachModel(order.Model, func(loaded *modelengine.Loaded) {
+		e.eachModel(order.Model, func(loaded *modelengine.LoadedModel) {
 			loaded.Adapters = slices.DeleteFunc(slices.Clone(loaded.Adapters), func(name string) bool { return name == order.Adapter })
 		})
 	case modelengine.OrderSetRole:
@@ -74,7 +74,7 @@
 	}
 }
 
-func (e *Engine) eachModel(name string, visit func(*modelengine.Loaded)) {
+func (e *Engine) eachModel(name string, visit func(*modelengine.LoadedModel)) {
 	for index := range e.models {
 		if e.models[index].Model == name {
 			visit(&e.models[index])
@@ -100,7 +100,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Kind == modelengine.OrderLoadModel {
-		e.models = append(e.models, modelengine.Loaded{Model: order.Model, Version: order.Version, State: modelLoading})
+		e.models = append(e.models, modelengine.LoadedModel{Model: order.Model, Version: order.Version, State: modelLoading})
 	}
 	ended := e.ended
 	time.AfterFunc(e.options.ModelLoadTime, func() { e.completeLoad(order, ended) })
@@ -110,7 +110,7 @@
 func (e *Engine) has(order modelengine.Order) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return slices.ContainsFunc(e.models, func(loaded modelengine.Loaded) bool {
+	return slices.ContainsFunc(e.models, func(loaded modelengine.LoadedModel) bool {
 		if loaded.Model != order.Model {
 			return false
 		}
@@ -130,7 +130,7 @@
 		return
 	default:
 	}
-	e.eachModel(order.Model, func(loaded *modelengine.Loaded) {
+	e.eachModel(order.Model, func(loaded *modelengine.LoadedModel) {
 		if order.Kind == modelengine.OrderLoadAdapter {
 			loaded.Adapters = append(slices.Clone(loaded.Adapters), order.Adapter)
 		} else if loaded.Version == order.Version {
--- a/lab/hollow/standin.go
+++ b/lab/hollow/standin.go
@@ -34,7 +34,7 @@
 		Running:    int(step % 64), RunningBatch: int(step / 7 % 32),
 		Waiting: int(step / 3 % 4), WaitingBatch: int(step / 5 % 8), MaxRunning: 96,
 		CacheBlocks: 65536, CacheUsed: int(step % 65536), StepMicros: 3500,
-		Models: []engine.Loaded{{Model: "model-0", Version: "v1", State: "ready"}},
+		Models: []engine.LoadedModel{{Model: "model-0", Version: "v1", State: "ready"}},
 		Role:   "mixed", QueuedPrefill: int(step % 4096),
 	}
 	e.count(report)
