--- a/internal/changefeed/feed.go
+++ b/internal/changefeed/feed.go
@@ -66,11 +66,11 @@
 	viewer membership.Viewer
 	logger zerolog.Logger
 	// relays caches the zones' relays; relayed tracks what this node, as a relay, has sent to its zone.
-	relays  membership.PerView[zonerelay.Relays]
+	relays  membership.ViewCache[zonerelay.Relays]
 	relayed *relayState
-	growth  membership.Growth
+	growth  membership.JoinTracker
 	// watcher caches whether this node is a watcher.
-	watcher membership.PerView[bool]
+	watcher membership.ViewCache[bool]
 
 	started time.Time
 	cancel  context.CancelFunc
--- a/internal/changefeed/watchers.go
+++ b/internal/changefeed/watchers.go
@@ -29,7 +29,7 @@
 
 // isWatcher is Watches, computed once for each view.
 func (f *Feed) isWatcher(view *membership.View) bool {
-	return f.watcher.Of(view, Watches)
+	return f.watcher.Get(view, Watches)
 }
 
 // Watches reports whether this node is a watcher by its own view. The watchers are the first live members by ID, spread over as many zones
--- a/internal/loadshare/service.go
+++ b/internal/loadshare/service.go
@@ -69,7 +69,7 @@
 	caller     transport.Caller
 	board      *Board
 	fleet      *fleet
-	topologies membership.PerView[topology]
+	topologies membership.ViewCache[topology]
 	queries    queries
 	logger     zerolog.Logger
 
@@ -167,7 +167,7 @@
 
 // currentTopology returns the topology for the current membership view.
 func (s *Service) currentTopology() topology {
-	return s.topologies.Of(s.viewer.View(), func(view *membership.View) topology { return topologyOf(view, s.options.Zone) })
+	return s.topologies.Get(s.viewer.View(), func(view *membership.View) topology { return topologyOf(view, s.options.Zone) })
 }
 
 // Start starts reporting.
--- a/internal/membership/growth.go
+++ b/internal/membership/growth.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Growth tracks when the number of known members last grew. A node that starts together with many
+// JoinTracker tracks when the number of known members last grew. A node that starts together with many
 // others learns of further members for some seconds, and must not act on a view of only a few of
 // them. The zero value has seen no view. It is safe for concurrent use.
-type Growth struct {
+type JoinTracker struct {
 	mutex      sync.Mutex
 	members    int
 	lastGrowth time.Time
@@ -16,7 +16,7 @@
 
 // SettledFor records the current view and returns the time since the number of members last reached
 // a new maximum.
-func (g *Growth) SettledFor(view *View, now time.Time) time.Duration {
+func (g *JoinTracker) SettledFor(view *View, now time.Time) time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if len(view.Members) > g.members {
@@ -27,7 +27,7 @@
 
 // Joining reports whether a node that has run for uptime may not know all other members yet: always
 // before minWait, and until maxWait while members were added within the last minWait.
-func (g *Growth) Joining(view *View, now time.Time, uptime, minWait, maxWait time.Duration) bool {
+func (g *JoinTracker) Joining(view *View, now time.Time, uptime, minWait, maxWait time.Duration) bool {
 	settled := g.SettledFor(view, now)
 	return uptime < minWait || uptime < maxWait && settled < minWait
 }
--- a/internal/membership/growth_test.go
+++ b/internal/membership/growth_test.go
@@ -7,7 +7,7 @@
 
 func TestGrowthSettles(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var growth Growth
+	var growth JoinTracker
 	for _, step := range []struct {
 		after   time.Duration
 		members int
@@ -31,7 +31,7 @@
 func TestJoiningEndsOnceTheMembersAreKnown(t *testing.T) {
 	const least, longest = 600 * time.Millisecond, 3 * time.Second
 	started := time.Unix(1000, 0)
-	var growth Growth
+	var growth JoinTracker
 	for _, step := range []struct {
 		since   time.Duration
 		members int
--- a/internal/membership/per_view.go
+++ b/internal/membership/per_view.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// PerView caches a value computed from the latest view, so that it is computed once for each view.
+// ViewCache caches a value computed from the latest view, so that it is computed once for each view.
 // The zero value has seen no view. It is safe for concurrent use.
-type PerView[Value any] struct {
+type ViewCache[Value any] struct {
 	mutex sync.Mutex
 	view  *View
 	value Value
 }
 
-// Of returns the value that work computes from view.
-func (p *PerView[Value]) Of(view *View, work func(*View) Value) Value {
+// Get returns the value that work computes from view.
+func (p *ViewCache[Value]) Get(view *View, work func(*View) Value) Value {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.view != view {
--- a/internal/node/role_discovery.go
+++ b/internal/node/role_discovery.go
@@ -56,10 +56,10 @@
 
 // newCopies keeps what discovery follows, for starts while the key-value service does not answer.
 func newCopies(own settings.Settings, store *changefeed.Feed, caller transport.Caller, registrar transport.Registrar, members *membership.Service, registerer prometheus.Registerer, logger zerolog.Logger) (*snapshotcache.Cache, error) {
-	var relays membership.PerView[zonerelay.Relays]
+	var relays membership.ViewCache[zonerelay.Relays]
 	lister := func() (snapshotcache.Lister, bool) {
 		view := members.View()
-		first, found := relays.Of(view, zonerelay.Of).First()
+		first, found := relays.Get(view, zonerelay.Of).First()
 		return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == view.Self}, found
 	}
 	return snapshotcache.New(snapshotcache.Options{
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -77,8 +77,8 @@
 // IsRelay, and for LongByRelay while Run is not running.
 type Follower struct {
 	options FollowerOptions
-	relays  membership.PerView[zonerelay.Relays]
-	growth  membership.Growth
+	relays  membership.ViewCache[zonerelay.Relays]
+	growth  membership.JoinTracker
 	started time.Time
 
 	// run and version identify the last answer; version is 0 if the whole part is to be requested.
@@ -143,7 +143,7 @@
 func (f *Follower) selfChosen() (chosen, hasStore bool) {
 	view := f.options.Viewer.View()
 	self, found := view.Find(view.Self)
-	return found && f.relays.Of(view, zonerelay.Of).SelfIsRelay(), self.Store
+	return found && f.relays.Get(view, zonerelay.Of).SelfIsRelay(), self.Store
 }
 
 // Run follows the relays until ctx ends or another End applies.
