--- a/internal/changefeed/zones.go
+++ b/internal/changefeed/zones.go
@@ -28,7 +28,7 @@
 		f.send(view, method, message, func(membership.Member) bool { return true })
 		return
 	}
-	relays := f.relays.Get(view, zonerelay.Of)
+	relays := f.relays.Get(view, zonerelay.Select)
 	f.send(view, method, withPassOn(message), func(member membership.Member) bool { return relays.IsRelay(member.ID) })
 	if relays.SelfIsRelay() {
 		f.sendToZone(method, message)
--- a/internal/changefeed/zones_test.go
+++ b/internal/changefeed/zones_test.go
@@ -56,10 +56,10 @@
 				c.wantDelivered(t, "k1", 1)
 				most, all := sent.totals()
 				// A relay also receives what the other relay of its zone sends.
-				if most > watcherCount+zonerelay.PerZone-1 {
+				if most > watcherCount+zonerelay.RelaysPerZone-1 {
 					t.Errorf("%d messages of one change to one node", most)
 				}
-				if all > (zonerelay.PerZone+1)*nodes {
+				if all > (zonerelay.RelaysPerZone+1)*nodes {
 					t.Errorf("%d messages of one change to %d nodes", all, nodes)
 				}
 				c.stop()
@@ -71,12 +71,12 @@
 // TestZoneWithoutRelaysWatches checks that the nodes of a zone learn of a change within watcherTimeout and a hold time, though one or all
 // relays of the zone have stopped receiving messages without being noticed by membership.
 func TestZoneWithoutRelaysWatches(t *testing.T) {
-	for lost := range zonerelay.PerZone + 1 {
+	for lost := range zonerelay.RelaysPerZone + 1 {
 		t.Run(fmt.Sprint(lost), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := startFeeds(directFanout + 50)
 				time.Sleep(2 * time.Second)
-				relays := zonerelay.Of(c.views[0].View())
+				relays := zonerelay.Select(c.views[0].View())
 				unreachable := map[netip.AddrPort]bool{}
 				for _, relay := range relays.InZone("z1")[:lost] {
 					unreachable[relay.PeerAddress] = true
@@ -152,7 +152,7 @@
 	view := &membership.View{Self: "a", Members: []membership.Member{
 		{ID: "a", Zone: "z", State: membership.Leaving}, {ID: "b", Zone: "z"},
 	}}
-	if relays := zonerelay.Of(view); relays.IsRelay("a") || !relays.IsRelay("b") {
+	if relays := zonerelay.Select(view); relays.IsRelay("a") || !relays.IsRelay("b") {
 		t.Error("a leaving member is a relay, or the remaining one is not")
 	}
 }
--- a/internal/discovery/fleet_harness_test.go
+++ b/internal/discovery/fleet_harness_test.go
@@ -157,7 +157,7 @@
 func (f *testFleet) copiesOf(node *fleetNode) *snapshotcache.Cache {
 	copies, err := snapshotcache.New(snapshotcache.Options{
 		Lister: func() (snapshotcache.Lister, bool) {
-			first, found := zonerelay.Of(node.viewer.View()).First()
+			first, found := zonerelay.Select(node.viewer.View()).First()
 			return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == node.id}, found
 		},
 		MaxShortEntries: roster.MostKeptByEach, Store: node.feed, Caller: node.transport, Registrar: node.transport, Viewer: node.viewer,
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -43,7 +43,7 @@
 				registerReplicas(store, 0, fleetReplicas, registeredPerSecond)
 				time.Sleep(knownWithin)
 				fleet.checkParts("after the registrations")
-				relays := zonerelay.PerZone * len(fleetZones)
+				relays := zonerelay.RelaysPerZone * len(fleetZones)
 				wholeList := fleetReplicas/entriesPerPage + 1
 				// Each node lists both prefixes once. The relays read the whole list and watch, about twice per second while it changes.
 				registrationSeconds := fleetReplicas/registeredPerSecond + int(knownWithin/time.Second)
@@ -154,7 +154,7 @@
 
 // loseRelays stops the given number of relays of each zone.
 func (f *testFleet) loseRelays(lost [3]int) {
-	relays := zonerelay.Of(f.nodes[0].viewer.View())
+	relays := zonerelay.Select(f.nodes[0].viewer.View())
 	for index, zone := range fleetZones {
 		for _, relay := range relays.InZone(zone)[:lost[index]] {
 			nodeIndex := slices.IndexFunc(f.nodes, func(node *fleetNode) bool { return node.id == relay.ID })
--- a/internal/discovery/forgotten_history_test.go
+++ b/internal/discovery/forgotten_history_test.go
@@ -49,7 +49,7 @@
 			drainAndCompact(store)
 			time.Sleep(drainKnownWithin)
 			fleet.checkDrainedBelow(2 * compactions * drainsPerCompaction)
-			relays := zonerelay.PerZone * len(fleetZones)
+			relays := zonerelay.RelaysPerZone * len(fleetZones)
 			wholeList := fleetReplicas/entriesPerPage + 1
 			seconds := int((compactions*compactionInterval + drainKnownWithin) / time.Second)
 			// Each relay and the two watchers of the operators' prefix make at most about two calls per second, and more for each compaction.
@@ -67,7 +67,7 @@
 func TestForgottenHistoryWithoutTheLister(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, store := startFleetWithCopies(t, 60)
-		first, _ := zonerelay.Of(fleet.nodes[0].viewer.View()).First()
+		first, _ := zonerelay.Select(fleet.nodes[0].viewer.View()).First()
 		for _, node := range fleet.nodes {
 			if node.id == first.ID {
 				fleet.stopNode(node)
--- a/internal/node/role_discovery.go
+++ b/internal/node/role_discovery.go
@@ -59,7 +59,7 @@
 	var relays membership.ViewCache[zonerelay.Relays]
 	lister := func() (snapshotcache.Lister, bool) {
 		view := members.View()
-		first, found := relays.Get(view, zonerelay.Of).First()
+		first, found := relays.Get(view, zonerelay.Select).First()
 		return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == view.Self}, found
 	}
 	return snapshotcache.New(snapshotcache.Options{
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -143,7 +143,7 @@
 func (f *Follower) selfChosen() (chosen, hasStore bool) {
 	view := f.options.Viewer.View()
 	self, found := view.Find(view.Self)
-	return found && f.relays.Get(view, zonerelay.Of).SelfIsRelay(), self.Store
+	return found && f.relays.Get(view, zonerelay.Select).SelfIsRelay(), self.Store
 }
 
 // Run follows the relays until ctx ends or another End applies.
--- a/internal/roster/targets.go
+++ b/internal/roster/targets.go
@@ -20,7 +20,7 @@
 // zones, each in an order that differs between nodes, and some nodes that are not relays.
 func (f *Follower) targets() []netip.AddrPort {
 	view := f.options.Viewer.View()
-	relays := f.relays.Get(view, zonerelay.Of)
+	relays := f.relays.Get(view, zonerelay.Select)
 	targets := f.rendezvousOrder(relays.InZone(f.options.Zone))
 	var others []membership.Member
 	for _, zone := range relays.Zones() {
--- a/internal/zonerelay/relays.go
+++ b/internal/zonerelay/relays.go
@@ -9,8 +9,8 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// PerZone is the number of relays of a zone; one may be lost.
-const PerZone = 2
+// RelaysPerZone is the number of relays of a zone; one may be lost.
+const RelaysPerZone = 2
 
 // Relays holds the relays of all zones according to one view of the members.
 type Relays struct {
@@ -18,11 +18,11 @@
 	byZone map[string][]membership.Member
 }
 
-// Of selects the relays of each zone among its live members: those with a data folder first,
+// Select selects the relays of each zone among its live members: those with a data folder first,
 // because they have more network bandwidth, and among these the first by the hash of their IDs.
 // Adding or removing a member changes no other selection in its zone than the place it takes or
 // leaves.
-func Of(view *membership.View) Relays {
+func Select(view *membership.View) Relays {
 	byZone := map[string][]membership.Member{}
 	for _, member := range view.Members {
 		if member.State == membership.Alive {
@@ -36,11 +36,11 @@
 // fewer than PerZone are selected.
 func insert(chosen []membership.Member, member membership.Member) []membership.Member {
 	index, _ := slices.BinarySearchFunc(chosen, member, compare)
-	if index >= PerZone {
+	if index >= RelaysPerZone {
 		return chosen
 	}
 	chosen = slices.Insert(chosen, index, member)
-	return chosen[:min(len(chosen), PerZone)]
+	return chosen[:min(len(chosen), RelaysPerZone)]
 }
 
 func compare(a, b membership.Member) int {
