--- a/internal/batch/door.go
+++ b/internal/batch/door.go
@@ -184,14 +184,14 @@
 	if failure != nil {
 		return failure
 	}
-	if d.unreached.Recent(owner, clock.Now()) {
+	if d.unreached.IsUnreached(owner, clock.Now()) {
 		if edge, found := d.pickRelayEdge(ledger.PartitionID(request.GetPartition())); found {
 			return failureOrNil(d.relay(ctx, edge, method, request, response))
 		}
 	}
 	err := d.caller.Call(ctx, owner, method, request, response)
 	if errorx.IsOfType(err, transport.KindNotSent) || errorx.IsOfType(err, transport.KindNoAnswer) {
-		d.unreached.Note(owner, clock.Now())
+		d.unreached.MarkUnreached(owner, clock.Now())
 	}
 	return failureOrNil(err)
 }
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -241,7 +241,7 @@
 		remaining = 1
 	}
 	for _, keeper := range ranked {
-		if !nextEndRejects && s.unreached.Recent(keeper.PeerAddress, clock.Now()) {
+		if !nextEndRejects && s.unreached.IsUnreached(keeper.PeerAddress, clock.Now()) {
 			continue
 		}
 		if remaining--; remaining < 0 {
@@ -258,7 +258,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		s.unreached.Note(keeper.PeerAddress, clock.Now())
+		s.unreached.MarkUnreached(keeper.PeerAddress, clock.Now())
 	}
 	return nil, membership.Member{}, errNoKeeper
 }
@@ -279,7 +279,7 @@
 	request := s.releaseRequest(key, 0, now)
 	remaining := maxKeepersTried
 	for _, other := range ranked {
-		if other.ID == self || s.unreached.Recent(other.PeerAddress, now) {
+		if other.ID == self || s.unreached.IsUnreached(other.PeerAddress, now) {
 			continue
 		}
 		if remaining--; remaining < 0 || ctx.Err() != nil {
@@ -291,7 +291,7 @@
 		if err == nil {
 			return true
 		}
-		s.unreached.Note(other.PeerAddress, clock.Now())
+		s.unreached.MarkUnreached(other.PeerAddress, clock.Now())
 	}
 	return len(ranked) == 1
 }
--- a/internal/quota/grantor.go
+++ b/internal/quota/grantor.go
@@ -124,15 +124,15 @@
 	}
 	now := clock.Now()
 	s.contact.record(now)
-	s.zones.Of(peer.Zone).NoteAnswer(now)
+	s.zones.Get(peer.Zone).NoteAnswer(now)
 	return nil
 }
 
 // noteCallFailure records that an edge did not answer. timedOut is set where the connection was not refused either, as it is where the edge's
 // process has ended.
 func (s *Service) noteCallFailure(peer membership.Member, timedOut bool, now time.Time) {
-	s.unreached.Note(peer.PeerAddress, now)
-	if timedOut && s.zones.Of(peer.Zone).NoteSilence(string(peer.ID), now) {
+	s.unreached.MarkUnreached(peer.PeerAddress, now)
+	if timedOut && s.zones.Get(peer.Zone).NoteSilence(string(peer.ID), now) {
 		s.logger.Info().Str("zone_cut_off", peer.Zone).Str(logging.FieldPeer, string(peer.ID)).Msg("zone_not_reached")
 	}
 }
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -151,11 +151,11 @@
 	if peer.ID == s.viewer.View().Self {
 		return false
 	}
-	zone := s.zones.Of(peer.Zone)
+	zone := s.zones.Get(peer.Zone)
 	if zone.ProbeDue(now) {
 		s.startBackground(func() { s.probeZone(peer.Zone) })
 	}
-	return zone.CutOff() || s.unreached.Recent(peer.PeerAddress, now)
+	return zone.CutOff() || s.unreached.IsUnreached(peer.PeerAddress, now)
 }
 
 // probeZone probes whether another edge of a zone answers again. It leaves out this node: by its own answer a partitioned edge would count as
--- a/internal/quota/zone_cut_test.go
+++ b/internal/quota/zone_cut_test.go
@@ -73,7 +73,7 @@
 		if delayed := cluster.requestForTenants(origin, tenants, maxWait); delayed > 0 {
 			t.Errorf("%d requests delayed after the partition", delayed)
 		}
-		if origin.service.zones.Of("zone-1").CutOff() || origin.service.zones.Of("zone-2").CutOff() {
+		if origin.service.zones.Get("zone-1").CutOff() || origin.service.zones.Get("zone-2").CutOff() {
 			t.Error("a zone that is reachable again still counts as cut off")
 		}
 		cluster.stop()
@@ -90,10 +90,10 @@
 		cluster.isolate(isolated)
 		time.Sleep(2 * contactValidity)
 		for _, silent := range zoneEdges[1:] {
-			isolated.service.zones.Of(isolated.zone).NoteSilence(string(silent.id), time.Now())
+			isolated.service.zones.Get(isolated.zone).NoteSilence(string(silent.id), time.Now())
 		}
 		isolated.service.probeZone(isolated.zone)
-		if !isolated.service.zones.Of(isolated.zone).CutOff() || isolated.service.contact.recent(time.Now()) {
+		if !isolated.service.zones.Get(isolated.zone).CutOff() || isolated.service.contact.recent(time.Now()) {
 			t.Error("an isolated edge counts its own zone as reachable")
 		}
 		cluster.stop()
--- a/internal/replica/directory.go
+++ b/internal/replica/directory.go
@@ -208,7 +208,7 @@
 	if handle == nil || info.Born > handle.Info().Born {
 		handle = NewHandle(info)
 		handle.useChanged = d.SignalUse
-		handle.zone = d.zones.Of(info.Zone)
+		handle.zone = d.zones.Get(info.Zone)
 		handle.probesDue = d.probesDue
 		d.noteEntry(handle, nil, written)
 	} else {
--- a/internal/replica/handle.go
+++ b/internal/replica/handle.go
@@ -79,7 +79,7 @@
 
 // NewHandle returns a Handle with nothing but the replica's entry.
 func NewHandle(info Info) *Handle {
-	handle := &Handle{key: incarnationKey(info), zone: unreached.NewZones().Of(info.Zone)}
+	handle := &Handle{key: incarnationKey(info), zone: unreached.NewZones().Get(info.Zone)}
 	handle.info.Store(&info)
 	return handle
 }
--- a/internal/unreached/unreached.go
+++ b/internal/unreached/unreached.go
@@ -21,8 +21,8 @@
 	return &Peers{retention: retention, until: map[netip.AddrPort]time.Time{}}
 }
 
-// Note records that the node at address gave no answer.
-func (p *Peers) Note(address netip.AddrPort, now time.Time) {
+// MarkUnreached records that the node at address gave no answer.
+func (p *Peers) MarkUnreached(address netip.AddrPort, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.until[address] = now.Add(p.retention)
@@ -35,8 +35,8 @@
 	delete(p.until, address)
 }
 
-// Recent reports whether the node at address gave no answer within the retention.
-func (p *Peers) Recent(address netip.AddrPort, now time.Time) bool {
+// IsUnreached reports whether the node at address gave no answer within the retention.
+func (p *Peers) IsUnreached(address netip.AddrPort, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	until, noted := p.until[address]
--- a/internal/unreached/zones.go
+++ b/internal/unreached/zones.go
@@ -32,8 +32,8 @@
 // NewZones returns Zones in which every zone counts as reachable.
 func NewZones() *Zones { return &Zones{byName: map[string]*Zone{}} }
 
-// Of returns the zone with the given name, the same one on each call.
-func (z *Zones) Of(name string) *Zone {
+// Get returns the zone with the given name, the same one on each call.
+func (z *Zones) Get(name string) *Zone {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	zone := z.byName[name]
--- a/internal/unreached/zones_test.go
+++ b/internal/unreached/zones_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			zones := NewZones()
-			zone := zones.Of("z")
+			zone := zones.Get("z")
 			for _, step := range test.events {
 				now := zone.start.Add(step.at)
 				if step.answer {
@@ -44,7 +44,7 @@
 				}
 				zone.NoteSilence(step.member, now)
 			}
-			if zones.Of("z").CutOff() != test.want {
+			if zones.Get("z").CutOff() != test.want {
 				t.Errorf("CutOff returned %t", !test.want)
 			}
 		})
@@ -52,7 +52,7 @@
 }
 
 func TestProbesAreSpaced(t *testing.T) {
-	zone := NewZones().Of("z")
+	zone := NewZones().Get("z")
 	now := zone.start.Add(time.Second)
 	if zone.ProbeDue(now) {
 		t.Error("a probe is due for a zone that is not cut off")
