--- a/internal/discovery/copied_list_test.go
+++ b/internal/discovery/copied_list_test.go
@@ -48,7 +48,7 @@
 				service.Start()
 				synctest.Wait()
 				copied := platform.Listing{Revision: 7}
-				for number := range 2 * roster.MostKeptByEach {
+				for number := range 2 * roster.MaxFullList {
 					copied.Entries = append(copied.Entries, platform.Entry{
 						Key: replicaKey(number), Value: []byte(replicaValue(number)), ModRevision: 7,
 					})
--- a/internal/discovery/fleet_harness_test.go
+++ b/internal/discovery/fleet_harness_test.go
@@ -131,7 +131,7 @@
 		Store: node.feed, Translator: fleetTranslator{}, Routes: route.NewHolder(), Directory: node.directory, Viewer: node.viewer,
 		Reporter: &fixedViewer{}, Roster: all, Keeper: keeper, Node: node.id, Zone: zone, Logger: zerolog.Nop(),
 	}
-	node.feed.WatchAlone("replicas/", roster.MostKeptByEach, all.Long)
+	node.feed.WatchAlone("replicas/", roster.MaxFullList, all.Long)
 	roster.NewRelay(all, func() bool { return !node.feed.Answered() }, node.transport)
 	followerOptions := roster.FollowerOptions{
 		Node: node.id, Zone: zone, Caller: node.transport, Viewer: node.viewer, Keeper: keeper, Logger: zerolog.Nop(),
@@ -160,7 +160,7 @@
 			first, found := zonerelay.Select(node.viewer.View()).First()
 			return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == node.id}, found
 		},
-		MaxShortEntries: roster.MostKeptByEach, Store: node.feed, Caller: node.transport, Registrar: node.transport, Viewer: node.viewer,
+		MaxShortEntries: roster.MaxFullList, Store: node.feed, Caller: node.transport, Registrar: node.transport, Viewer: node.viewer,
 		Join: func(netip.AddrPort) {}, ServiceUnanswered: node.feed.Unanswered, Seeds: f.seeds(),
 		Registerer: prometheus.NewRegistry(), Logger: zerolog.Nop(),
 	})
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -28,7 +28,7 @@
 
 // minPartSize returns the minimum number of usable replicas in a node's part of a long list.
 func minPartSize() int {
-	return roster.LeastWidth + (len(fleetZones)-1)*roster.LeastWidth/4
+	return roster.MinWidth + (len(fleetZones)-1)*roster.MinWidth/4
 }
 
 // TestManyNodesStartBeforeABoundedStore checks that all nodes know their parts within a time that does not grow with the number of nodes,
@@ -58,7 +58,7 @@
 				fleet.checkParts("after all nodes started")
 				watching := int(knownWithin/time.Second) + 1
 				withDataFolder := nodes / 5
-				firstPages := roster.MostKeptByEach/entriesPerPage + 1
+				firstPages := roster.MaxFullList/entriesPerPage + 1
 				maxCalls = nodes + withDataFolder*firstPages + relays*(wholeList+watching) + 2*watching
 				if calls := store.callsMade() - before; calls > maxCalls {
 					t.Errorf("%d calls to the store after all nodes started, want at most %d", calls, maxCalls)
@@ -223,14 +223,14 @@
 		store := newBoundedStore(fleetBytesPerSecond, fleetReadsPerSecond)
 		fleet := newTestFleet(t, store, 30)
 		fleet.start()
-		registerReplicas(store, 0, roster.MostKeptByEach, registeredPerSecond)
+		registerReplicas(store, 0, roster.MaxFullList, registeredPerSecond)
 		time.Sleep(knownWithin)
 		for _, node := range fleet.nodes {
-			if usable := node.usable(); usable != roster.MostKeptByEach {
+			if usable := node.usable(); usable != roster.MaxFullList {
 				t.Errorf("%s has %d usable replicas of a short list, want all", node.id, usable)
 			}
 		}
-		registerReplicas(store, roster.MostKeptByEach, 2*roster.MostKeptByEach, registeredPerSecond)
+		registerReplicas(store, roster.MaxFullList, 2*roster.MaxFullList, registeredPerSecond)
 		time.Sleep(knownWithin)
 		for _, node := range fleet.nodes {
 			if usable := node.usable(); usable != minPartSize() {
@@ -238,7 +238,7 @@
 			}
 		}
 		const left = 60
-		for number := left; number < 2*roster.MostKeptByEach; number++ {
+		for number := left; number < 2*roster.MaxFullList; number++ {
 			store.put(replicaKey(number), "")
 		}
 		time.Sleep(knownWithin)
--- a/internal/discovery/replica_source.go
+++ b/internal/discovery/replica_source.go
@@ -42,7 +42,7 @@
 		case roster.EndShort:
 			s.roster.SetLong(false)
 			directFollow = minDirectFollow
-		case roster.EndAlone:
+		case roster.EndNoRelay:
 			s.followDirectly(ctx, directFollow)
 			directFollow = min(maxDirectFollow, 2*directFollow)
 		case roster.EndRelay, roster.EndStopped:
@@ -76,7 +76,7 @@
 		running.Go(func() { s.stopUnlessListKept(ctx, stop) })
 	}
 	if s.relays != nil && !follower.Long {
-		follower.MostEntries = roster.MostKeptByEach
+		follower.MostEntries = roster.MaxFullList
 		running.Go(func() { s.queryRelays(ctx, stop) })
 	}
 	platform.Follow(ctx, s.store, s.translator.ReplicaPrefix(), follower)
--- a/internal/node/role_discovery.go
+++ b/internal/node/role_discovery.go
@@ -63,7 +63,7 @@
 		return snapshotcache.Lister{Address: first.PeerAddress, Self: first.ID == view.Self}, found
 	}
 	return snapshotcache.New(snapshotcache.Options{
-		Lister: lister, MaxShortEntries: roster.MostKeptByEach,
+		Lister: lister, MaxShortEntries: roster.MaxFullList,
 		Store: store, Caller: caller, Registrar: registrar, Viewer: members, Join: members.AddContact, ServiceUnanswered: store.Unanswered,
 		Seeds: own.Seeds(), DataFolder: own.DataFolder, RandomSeed: uint64(time.Now().UnixNano()), Registerer: registerer, Logger: logger,
 	})
@@ -79,7 +79,7 @@
 // newPartOfReplicas has this node also answer others that follow their part, while it keeps the whole list.
 func newPartOfReplicas(own settings.Settings, feed *changefeed.Feed, adapter Adapter, directory *replica.Directory, members *membership.Service, caller transport.Caller, registrar transport.Registrar, logger zerolog.Logger) partOfReplicas {
 	all, keeper := roster.New(), roster.NewKeeper(directory)
-	feed.WatchAlone(adapter.Translator.ReplicaPrefix(), roster.MostKeptByEach, all.Long)
+	feed.WatchAlone(adapter.Translator.ReplicaPrefix(), roster.MaxFullList, all.Long)
 	roster.NewRelay(all, func() bool { return !feed.Answered() }, registrar)
 	options := roster.FollowerOptions{
 		Node: membership.NodeID(own.Node), Zone: own.Zone, Caller: caller, Viewer: members, Keeper: keeper,
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -56,8 +56,8 @@
 	EndShort
 	// EndRelay: this node has become a relay.
 	EndRelay
-	// EndAlone: no relay answers.
-	EndAlone
+	// EndNoRelay: no relay answers.
+	EndNoRelay
 )
 
 // FollowerOptions configures a Follower.
@@ -156,7 +156,7 @@
 		}
 		if f.relaysTimedOut(now) {
 			f.options.Logger.Warn().Int("attempts", f.attempt).Msg("no_relay_answers")
-			return EndAlone
+			return EndNoRelay
 		}
 		targets := f.targets()
 		if len(targets) == 0 {
--- a/internal/roster/keeper_test.go
+++ b/internal/roster/keeper_test.go
@@ -58,17 +58,17 @@
 		after time.Duration
 		want  int
 	}{
-		{use{}, 0, LeastWidth},
-		{use{slots: 100, taken: 40, more: true}, time.Second, LeastWidth},
-		{use{slots: 100, taken: 60, more: true}, time.Second, 2 * LeastWidth},
-		{use{slots: 200, taken: 120, more: true}, time.Second, 4 * LeastWidth},
-		{use{slots: 400, taken: 300, more: false}, time.Second, 4 * LeastWidth},
-		{use{slots: 400, taken: 10, more: true}, time.Second, 4 * LeastWidth},
-		{use{slots: 400, taken: 100, more: true}, narrowAfter, 4 * LeastWidth},
-		{use{slots: 400, taken: 10, more: true}, time.Second, 4 * LeastWidth},
-		{use{slots: 400, taken: 10, more: true}, narrowAfter, 2 * LeastWidth},
-		{use{slots: 200, taken: 0, more: true}, narrowAfter, LeastWidth},
-		{use{slots: 100, taken: 0, more: true}, narrowAfter, LeastWidth},
+		{use{}, 0, MinWidth},
+		{use{slots: 100, taken: 40, more: true}, time.Second, MinWidth},
+		{use{slots: 100, taken: 60, more: true}, time.Second, 2 * MinWidth},
+		{use{slots: 200, taken: 120, more: true}, time.Second, 4 * MinWidth},
+		{use{slots: 400, taken: 300, more: false}, time.Second, 4 * MinWidth},
+		{use{slots: 400, taken: 10, more: true}, time.Second, 4 * MinWidth},
+		{use{slots: 400, taken: 100, more: true}, narrowAfter, 4 * MinWidth},
+		{use{slots: 400, taken: 10, more: true}, time.Second, 4 * MinWidth},
+		{use{slots: 400, taken: 10, more: true}, narrowAfter, 2 * MinWidth},
+		{use{slots: 200, taken: 0, more: true}, narrowAfter, MinWidth},
+		{use{slots: 100, taken: 0, more: true}, narrowAfter, MinWidth},
 	} {
 		now = now.Add(step.after)
 		if got := width.next(step.use, now); got != step.want {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MostKeptByEach is the number of replicas up to which each node keeps all of them.
-	MostKeptByEach = 256
+	// MaxFullList is the number of replicas up to which each node keeps all of them.
+	MaxFullList = 256
 	// shortAgainAt is the number of replicas up to which a long list becomes short again. It is
 	// lower than MostKeptByEach, so that nodes do not switch back and forth.
 	shortAgainAt = 192
@@ -132,7 +132,7 @@
 // updateLong updates whether the list is long, and wakes those that wait for a change. The mutex is
 // held.
 func (r *Roster) updateLong() {
-	r.long = len(r.byID) > MostKeptByEach || r.long && len(r.byID) > shortAgainAt
+	r.long = len(r.byID) > MaxFullList || r.long && len(r.byID) > shortAgainAt
 	r.signal()
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -35,12 +35,12 @@
 }
 
 func partOfNode(number int) Part {
-	return Part{Node: fmt.Sprintf("node-%04d", number), Zone: testZones[number%len(testZones)], Width: LeastWidth}
+	return Part{Node: fmt.Sprintf("node-%04d", number), Zone: testZones[number%len(testZones)], Width: MinWidth}
 }
 
 // The size of a node's part is the same for a list of 20,000 replicas as for one of 1,000.
 func TestPartDoesNotGrowWithTheList(t *testing.T) {
-	wanted := LeastWidth + (len(testZones)-1)*LeastWidth/otherZoneShare
+	wanted := MinWidth + (len(testZones)-1)*MinWidth/otherZoneShare
 	for _, count := range []int{1000, 10000, 20000} {
 		roster := rosterOf(count)
 		part, elsewhere := roster.Part(partOfNode(0))
--- a/internal/roster/selection.go
+++ b/internal/roster/selection.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// LeastWidth is the number of replicas of each service that a node keeps of its own zone. It is
+	// MinWidth is the number of replicas of each service that a node keeps of its own zone. It is
 	// a multiple of the slots that a node's callers need at once, with a reserve for replicas that
 	// fail or drain.
-	LeastWidth = 32
+	MinWidth = 32
 	// otherZoneShare is the divisor of the width for each other zone. These replicas serve if the
 	// node's own zone is lost, and requests that are confined to regions.
 	otherZoneShare = 4
--- a/internal/roster/width.go
+++ b/internal/roster/width.go
@@ -48,7 +48,7 @@
 	lowSince time.Time
 }
 
-func newWidth() width { return width{current: LeastWidth} }
+func newWidth() width { return width{current: MinWidth} }
 
 // next updates and returns the width for the current use.
 func (w *width) next(usage use, now time.Time) int {
@@ -63,7 +63,7 @@
 	case w.lowSince.IsZero():
 		w.lowSince = now
 	case now.Sub(w.lowSince) >= narrowAfter:
-		w.current = max(LeastWidth, w.current/2)
+		w.current = max(MinWidth, w.current/2)
 		w.lowSince = now
 	}
 	return w.current
