--- a/internal/batch/item_crash.go
+++ b/internal/batch/item_crash.go
@@ -80,7 +80,7 @@
 	var others []*replica.Handle
 	for _, backend := range item.route.Backends {
 		all := p.service.directory.View().Of(backend.Service)
-		occupied = append(occupied, quarantine.Failing(all, clock.Now())...)
+		occupied = append(occupied, quarantine.RecentlyFailed(all, clock.Now())...)
 		others = append(others, quarantine.NotPreferred(message, all)...)
 	}
 	excluded := slices.Concat(occupied, others)
@@ -211,7 +211,7 @@
 	case verdict != itemInterrupted:
 		return quarantine.Other
 	case ctx.Err() != nil, errors.Is(a.err, errSilent), errors.Is(a.err, errLeaseExpired):
-		return quarantine.Left
+		return quarantine.Aborted
 	case a.lastEvent != resumedAfter:
 		return quarantine.Interrupted
 	default:
@@ -225,7 +225,7 @@
 	p.mutex.RLock()
 	message := p.runs[attempt.key].message
 	p.mutex.RUnlock()
-	if !p.service.options.Quarantine.Counts(message) {
+	if !p.service.options.Quarantine.HasEvidence(message) {
 		return
 	}
 	end := quarantine.RecordedEnd{Replica: attempt.handle.Key(), Reached: countEvents(attempt.text), ReachedKnown: true}
--- a/internal/batch/item_crash_test.go
+++ b/internal/batch/item_crash_test.go
@@ -50,11 +50,13 @@
 	}
 }
 
-func (c *countingRegister) Counts(key quarantine.Key) bool { return c.Check(key) != quarantine.Allowed }
+func (c *countingRegister) HasEvidence(key quarantine.Key) bool {
+	return c.Check(key) != quarantine.Allowed
+}
 
-func (c *countingRegister) Decides(quarantine.Key) bool { return false }
+func (c *countingRegister) NextEndRejects(quarantine.Key) bool { return false }
 
-func (c *countingRegister) Calm(string) bool { return true }
+func (c *countingRegister) Stable(string) bool { return true }
 
 func (c *countingRegister) Recall(key quarantine.Key, ended []quarantine.RecordedEnd, _ int) {
 	for _, end := range ended {
--- a/internal/batch/item_deferred.go
+++ b/internal/batch/item_deferred.go
@@ -47,7 +47,7 @@
 // while few other deciding runs are in flight here, since each of them may end its replica.
 func (p *partition) deferDecidingRun(key itemKey, message quarantine.Key, matched *route.Route, acceptedAt int64) bool {
 	register := p.service.options.Quarantine
-	if !register.Decides(message) {
+	if !register.NextEndRejects(message) {
 		return false
 	}
 	calm := p.backendsCalm(matched) || p.deferralOver(matched, acceptedAt)
@@ -69,7 +69,7 @@
 // backendsCalm reports whether replicas of all services of a route are calm.
 func (p *partition) backendsCalm(matched *route.Route) bool {
 	for _, backend := range matched.Backends {
-		if !p.service.options.Quarantine.Calm(backend.Service) {
+		if !p.service.options.Quarantine.Stable(backend.Service) {
 			return false
 		}
 	}
--- a/internal/batch/item_stalled.go
+++ b/internal/batch/item_stalled.go
@@ -116,7 +116,7 @@
 	case quarantine.Rejected:
 		return stalledHeldBack
 	case quarantine.Apart:
-		if register.Decides(message) {
+		if register.NextEndRejects(message) {
 			return stalledDeferred
 		}
 		return stalledSuspected
--- a/internal/forward/quarantined.go
+++ b/internal/forward/quarantined.go
@@ -53,7 +53,7 @@
 		return nil
 	}
 	all := e.handler.directory.View().Of(e.service)
-	occupied := slices.Concat(e.tried, e.permit.Occupied(), quarantine.Failing(all, clock.Now()))
+	occupied := slices.Concat(e.tried, e.permit.Occupied(), quarantine.RecentlyFailed(all, clock.Now()))
 	others := quarantine.NotPreferred(e.messageKey, all)
 	if handle := e.pickWithColdLimit(ctx, append(slices.Clone(occupied), others...), quarantine.ApartOccupancy); handle != nil {
 		return handle
@@ -103,11 +103,11 @@
 	case outcome == delivered && resumedAfter == "" && e.lastStatus < http.StatusMultipleChoices:
 		return quarantine.Whole
 	case outcome == callerGone, ctx.Err() != nil && outcome != delivered && outcome != notRun && outcome != notSent:
-		return quarantine.Left
+		return quarantine.Aborted
 	case outcome != maybeRun && outcome != truncated, e.lastError == nil:
 		return quarantine.Other
 	case e.endedBySilence():
-		return quarantine.Left
+		return quarantine.Aborted
 	case e.canResume() && e.lastEventID != resumedAfter:
 		return quarantine.Interrupted
 	default:
--- a/internal/forward/quarantined_test.go
+++ b/internal/forward/quarantined_test.go
@@ -204,7 +204,7 @@
 		{"lost before the answer", replicatest.Lose(), nil, quarantine.Lost},
 		{"lost within the answer", replicatest.Stream("s", false, false, "id: 1\ndata: x\n\n"), nil, quarantine.Interrupted},
 		{"not run", replicatest.Refuse(), nil, quarantine.Other},
-		{"silent", replicatest.Hang(), nil, quarantine.Left},
+		{"silent", replicatest.Hang(), nil, quarantine.Aborted},
 		{"failed", replicatest.Answer(500, replicatest.Signed, "sorry"), nil, quarantine.Other},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -251,7 +251,7 @@
 		if recorded.Code != http.StatusOK {
 			t.Errorf("status %d", recorded.Code)
 		}
-		if want := []quarantine.Ending{quarantine.Left, quarantine.Whole}; !slices.Equal(register.endings, want) {
+		if want := []quarantine.Ending{quarantine.Aborted, quarantine.Whole}; !slices.Equal(register.endings, want) {
 			t.Errorf("endings %v, want %v", register.endings, want)
 		}
 		if edge.directory.View().Find("a").Avoided(time.Now()) {
--- a/internal/quarantine/aborted_test.go
+++ b/internal/quarantine/aborted_test.go
@@ -17,7 +17,7 @@
 			beside := c.nodes[2].Admit(t.Context(), other).Begin(c.handle(c.nodes[2], 1), nil)
 			c.runCrashing(c.nodes[0], 0, key)
 			<-cut
-			run.End(t.Context(), Left)
+			run.End(t.Context(), Aborted)
 			time.Sleep(50 * time.Millisecond)
 			c.crash(handle, key)
 			if bystander {
@@ -36,13 +36,13 @@
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
 		member, key := c.nodes[0], keyOf("a")
 		handle := c.handle(member, 0)
-		member.Admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
+		member.Admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Aborted)
 		time.Sleep(2 * abortedRunGrace)
 		c.machines.end(handle.Info().Address)
 		member.Admit(t.Context(), keyOf("b")).Begin(handle, nil).End(t.Context(), Lost)
 		wantVerdict(t, member, key, Allowed)
 		for range 3 * maxAbortedRuns {
-			member.Admit(t.Context(), key).Begin(c.handle(member, 1), nil).End(t.Context(), Left)
+			member.Admit(t.Context(), key).Begin(c.handle(member, 1), nil).End(t.Context(), Aborted)
 		}
 		member.mutex.Lock()
 		defer member.mutex.Unlock()
@@ -96,7 +96,7 @@
 					admit = member.AdmitItem
 				}
 				handle := c.handle(member, 0)
-				admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Left)
+				admit(t.Context(), key).Begin(handle, nil).End(t.Context(), Aborted)
 				time.Sleep(200 * time.Millisecond)
 				member.crashReplicaDuring(c, keyOf("b"), 0)
 				member.mutex.Lock()
--- a/internal/quarantine/fake_test.go
+++ b/internal/quarantine/fake_test.go
@@ -291,7 +291,7 @@
 		return c.handle(member, number)
 	}
 	all := member.directory.View().Of("s")
-	avoided := slices.Concat(permit.Occupied(), NotPreferred(key, all), Failing(all, time.Now()))
+	avoided := slices.Concat(permit.Occupied(), NotPreferred(key, all), RecentlyFailed(all, time.Now()))
 	for _, handle := range all {
 		if !slices.Contains(avoided, handle) {
 			return handle
@@ -318,7 +318,7 @@
 		}
 		run.End(c.t.Context(), Lost)
 	case <-cut:
-		run.End(c.t.Context(), Left)
+		run.End(c.t.Context(), Aborted)
 	}
 	return true
 }
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -40,9 +40,9 @@
 	// those events, so that the message still completes. It counts against an item, but does not make it Apart on its
 	// own.
 	Interrupted
-	// Left runs were aborted by this node: the caller disconnected, or this node cut the run off or found it silent.
+	// Aborted runs were aborted by this node: the caller disconnected, or this node cut the run off or found it silent.
 	// The replica may continue to work on it for a while.
-	Left
+	Aborted
 	// Other runs are no evidence about the message: the replica did not run it, or answered with a failure.
 	Other
 )
@@ -98,11 +98,11 @@
 	// AdmitItem is Admit for an item. Ends of replicas during runs of items reject the message only if one of these
 	// runs was made under a keeper's grant, or from maxEndedWithProgress ends on.
 	AdmitItem(ctx context.Context, key Key) Permit
-	// Counts reports whether any end of a replica counts against the message, even if it is still Allowed.
-	Counts(key Key) bool
-	// Decides reports whether the message is Apart and one more ended replica may reject it.
-	Decides(key Key) bool
-	// Calm reports whether replicas of the service have ended so rarely of late that a run there is unlikely to meet an
+	// HasEvidence reports whether any end of a replica counts against the message, even if it is still Allowed.
+	HasEvidence(key Key) bool
+	// NextEndRejects reports whether the message is Apart and one more ended replica may reject it.
+	NextEndRejects(key Key) bool
+	// Stable reports whether replicas of the service have ended so rarely of late that a run there is unlikely to meet an
 	// end by chance.
-	Calm(service string) bool
+	Stable(service string) bool
 }
--- a/internal/quarantine/run.go
+++ b/internal/quarantine/run.go
@@ -127,7 +127,7 @@
 	if r.progressed {
 		r.service.clearAfterProgress(r.key, r.reached)
 	}
-	if ending == Left {
+	if ending == Aborted {
 		r.service.trackAborted(r)
 	}
 	return false
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -24,9 +24,9 @@
 // ErrSuspected is the cause of cutting off a run whose message ended a replica elsewhere.
 var ErrSuspected = errors.New("message is suspected of crashing replicas")
 
-// Failing returns those of the given replicas that failed a short while ago. A replica that has ended has no load, and
+// RecentlyFailed returns those of the given replicas that failed a short while ago. A replica that has ended has no load, and
 // must not be mistaken for one with few other runs.
-func Failing(all []*replica.Handle, now time.Time) []*replica.Handle {
+func RecentlyFailed(all []*replica.Handle, now time.Time) []*replica.Handle {
 	var found []*replica.Handle
 	for _, handle := range all {
 		if handle.Avoided(now) {
--- a/internal/quarantine/stable.go
+++ b/internal/quarantine/stable.go
@@ -38,24 +38,24 @@
 	}
 }
 
-// Calm implements ItemRegister. For stableWindow after its start a node reports false: it may not know yet which
+// Stable implements ItemRegister. For stableWindow after its start a node reports false: it may not know yet which
 // replicas ended before.
-func (s *Service) Calm(service string) bool {
+func (s *Service) Stable(service string) bool {
 	now, replicas := clock.Now(), len(s.directory.View().Of(service))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return now.Sub(s.startedAt) >= stableWindow && s.evidence.isStable(service, replicas, now)
 }
 
-// Counts implements ItemRegister.
-func (s *Service) Counts(key Key) bool {
+// HasEvidence implements ItemRegister.
+func (s *Service) HasEvidence(key Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.evidence.verdict(key) != Allowed || s.evidence.endCount(key) > 0
 }
 
-// Decides implements ItemRegister.
-func (s *Service) Decides(key Key) bool {
+// NextEndRejects implements ItemRegister.
+func (s *Service) NextEndRejects(key Key) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.evidence.verdict(key) == Apart && s.evidence.nextEndRejects(key)
