--- a/internal/batch/dispatch_view.go
+++ b/internal/batch/dispatch_view.go
@@ -65,7 +65,7 @@
 	for service, count := range running {
 		startLimit, keepLimit, _ := p.service.itemLimits(service, now)
 		p.logger.Info().Str("service", service).Int("waiting", waiting).Int("running", count).
-			Int("begin", startLimit).Int("keep", keepLimit).Int("online", p.service.fleet.Others(service, now).Online()).
+			Int("begin", startLimit).Int("keep", keepLimit).Int("online", p.service.fleet.OthersLoad(service, now).Online()).
 			Int("late", late).Float64("capacity", capacity).Int64("kept_bytes", kept).Int64("yielded", p.preemptions.Load()).
 			Msg("batch_state")
 	}
--- a/internal/batch/online_load.go
+++ b/internal/batch/online_load.go
@@ -28,8 +28,8 @@
 
 // FleetLoad reports how many requests the other nodes have at replicas. It is safe for concurrent use.
 type FleetLoad interface {
-	// Others returns the requests of the other nodes for service.
-	Others(service string, now time.Time) loadshare.Demand
+	// OthersLoad returns the requests of the other nodes for service.
+	OthersLoad(service string, now time.Time) loadshare.Demand
 	// ReportingSince returns since when nodes with online requests have been reporting without interruption.
 	ReportingSince() time.Time
 }
@@ -77,7 +77,7 @@
 	// Requests that still run in evacuated zones are counted below, but take none of the remaining room.
 	slots := view.WorkingSlots(service, now) + view.EvacuatedInUse(service, now)
 	running = runningAt(view, service)
-	others := s.fleet.Others(service, now)
+	others := s.fleet.OthersLoad(service, now)
 	present, otherItems := others.Online(), others.Batch
 	recent := s.peaks.observe(service, present, now)
 	startLimit = int((float64(slots)*(1-startFreeShare) - float64(recent)*startOnlineGrowth) * s.ramp(now))
@@ -88,7 +88,7 @@
 // occupancy returns the share of the slots of service that is used by the requests and items of all nodes.
 func (s *Service) occupancy(service string, now time.Time) float64 {
 	view := s.directory.View()
-	others := s.fleet.Others(service, now)
+	others := s.fleet.OthersLoad(service, now)
 	return float64(others.Online()+others.Batch+runningAt(view, service)) / float64(max(1, view.WorkingSlots(service, now)))
 }
 
--- a/internal/batch/online_load_test.go
+++ b/internal/batch/online_load_test.go
@@ -18,7 +18,7 @@
 	since  time.Time
 }
 
-func (f *fakeFleet) Others(string, time.Time) loadshare.Demand {
+func (f *fakeFleet) OthersLoad(string, time.Time) loadshare.Demand {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	others := f.online
--- a/internal/loadshare/service.go
+++ b/internal/loadshare/service.go
@@ -149,9 +149,9 @@
 	return others, age <= answerStaleAfter
 }
 
-// Others returns the other nodes' demand for service; the zero Demand where the last answer is older than reportStaleAfter. For a while after
+// OthersLoad returns the other nodes' demand for service; the zero Demand where the last answer is older than reportStaleAfter. For a while after
 // a change of route its Batch is 0, since the previous exchange may still count this node's own items.
-func (s *Service) Others(service string, now time.Time) Demand {
+func (s *Service) OthersLoad(service string, now time.Time) Demand {
 	others, age := s.fleet.otherDemand(service, now)
 	if age > reportStaleAfter {
 		return Demand{}
--- a/internal/loadshare/service_test.go
+++ b/internal/loadshare/service_test.go
@@ -147,7 +147,7 @@
 		shared.demand[secondEdge].Store(5)
 		shared.acquire(secondEdge, "a", 5)
 		time.Sleep(2*reportInterval + ownerQueryInterval + reportDelay + 3*time.Millisecond)
-		if got := shared.services[firstStore].Others("s", time.Now()).InUse; got != 5 {
+		if got := shared.services[firstStore].OthersLoad("s", time.Now()).InUse; got != 5 {
 			t.Errorf("the owner knows of %d online requests, want 5", got)
 		}
 		shared.stop()
@@ -185,7 +185,7 @@
 		// The gate does this when a request leaves it.
 		shared.directories[secondEdge].SignalUse()
 		time.Sleep(2*reportInterval + ownerQueryInterval + reportDelay + 3*time.Millisecond)
-		if got := shared.services[firstStore].Others("s", time.Now()).InUse; got != 0 {
+		if got := shared.services[firstStore].OthersLoad("s", time.Now()).InUse; got != 0 {
 			t.Errorf("the owner knows of %d online requests after their end", got)
 		}
 		shared.stop()
@@ -281,7 +281,7 @@
 			foreign := 0
 			for range 20 {
 				time.Sleep(50 * time.Millisecond)
-				foreign = max(foreign, owner.Others("s", time.Now()).Batch)
+				foreign = max(foreign, owner.OthersLoad("s", time.Now()).Batch)
 			}
 			if foreign != 0 {
 				t.Errorf("second %d: the owner counts %d of its items as another's", second, foreign)
