--- a/internal/batch/door.go
+++ b/internal/batch/door.go
@@ -46,7 +46,7 @@
 // Client receives calls about jobs at an edge and forwards them to the owner of the job's partition. It is safe for concurrent use.
 type Client struct {
 	locator   ledger.Locator
-	homes     ledger.Homes
+	homes     ledger.ConfinedLocator
 	caller    transport.Caller
 	viewer    membership.Viewer
 	unreached *unreached.Peers
@@ -55,7 +55,7 @@
 
 // NewClient returns a Door and registers its relay method.
 func NewClient(
-	locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer,
+	locator ledger.Locator, homes ledger.ConfinedLocator, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer,
 	logger zerolog.Logger,
 ) *Client {
 	door := &Client{
--- a/internal/batch/door_homes.go
+++ b/internal/batch/door_homes.go
@@ -16,7 +16,7 @@
 // accepted.
 func (d *Client) partitions(host string) []uint32 {
 	found := []uint32{uint32(d.locator.PartitionOf(host))}
-	for _, partition := range d.homes.PartitionsWithin(route.HostName(host)) {
+	for _, partition := range d.homes.ConfinedPartitions(route.HostName(host)) {
 		found = append(found, uint32(partition))
 	}
 	return found
@@ -27,7 +27,7 @@
 func (d *Client) placeJob(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
 	partition = uint32(d.locator.PartitionOf(submission.Host))
 	if regions.Limited() {
-		within, err := d.homes.PartitionWithin(route.HostName(submission.Host), regions)
+		within, err := d.homes.ConfinedPartition(route.HostName(submission.Host), regions)
 		if err != nil {
 			return 0, false, err
 		}
@@ -40,7 +40,7 @@
 // acceptedElsewhere reports whether another partition has the job. It asks only for a while after the homes have changed, when jobs
 // may be resubmitted that were accepted before.
 func (d *Client) acceptedElsewhere(ctx context.Context, submission *batchpb.Submission, partition uint32) (bool, error) {
-	if !d.homes.Settling() {
+	if !d.homes.ConfinementChanged() {
 		return false, nil
 	}
 	var others []uint32
--- a/internal/batch/door_test.go
+++ b/internal/batch/door_test.go
@@ -37,14 +37,14 @@
 	outside map[string]bool
 }
 
-func (h *fixedHomes) PartitionWithin(string, region.Set) (ledger.PartitionID, error) {
+func (h *fixedHomes) ConfinedPartition(string, region.Set) (ledger.PartitionID, error) {
 	if h.refusal != nil {
 		return 0, h.refusal
 	}
 	return h.within[0], nil
 }
-func (h *fixedHomes) PartitionsWithin(string) []ledger.PartitionID { return h.within }
-func (h *fixedHomes) Settling() bool                               { return h.settling }
+func (h *fixedHomes) ConfinedPartitions(string) []ledger.PartitionID { return h.within }
+func (h *fixedHomes) ConfinementChanged() bool                       { return h.settling }
 func (h *fixedHomes) MayHold(partition ledger.PartitionID, zone string) bool {
 	return !slices.Contains(h.within, partition) || !h.outside[zone]
 }
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -141,7 +141,7 @@
 		options, c.routes, directory, &fakeFleet{}, picker, replica.NewClient(c.replicas, replicatest.Headers), node.transport, zerolog.Nop(),
 	)
 	timing := ledger.DefaultTiming()
-	timing.Replace, timing.Formation, timing.Silence, timing.Request = 2*time.Second, time.Second, 800*time.Millisecond, time.Second
+	timing.Replace, timing.Formation, timing.OwnerSilence, timing.Request = 2*time.Second, time.Second, 800*time.Millisecond, time.Second
 	node.manager = ledger.NewManager(ledger.Dependencies{
 		Settings: nodeSettings, Timing: timing, Logger: zerolog.Nop(), Local: node.store, Caller: caller, Registry: node.transport,
 		KeyValue: c.keyValue, Viewer: clusterView{c, node.id}, Factory: service.Factory(),
--- a/internal/ledger/confined.go
+++ b/internal/ledger/confined.go
@@ -39,17 +39,17 @@
 	Regions region.Set
 }
 
-// Homes finds the partitions of confined records. It is safe for concurrent use.
-type Homes interface {
-	// PartitionWithin returns the partition for new records of key that are confined to regions. The error is an
+// ConfinedLocator finds the partitions of confined records. It is safe for concurrent use.
+type ConfinedLocator interface {
+	// ConfinedPartition returns the partition for new records of key that are confined to regions. The error is an
 	// *outcome.Error: NotRun with ReasonNoHome if the regions have no partition at present that survives the required
 	// losses.
-	PartitionWithin(key string, regions region.Set) (PartitionID, error)
-	// PartitionsWithin returns all confined partitions that may have records of key; none if the ledger has no
+	ConfinedPartition(key string, regions region.Set) (PartitionID, error)
+	// ConfinedPartitions returns all confined partitions that may have records of key; none if the ledger has no
 	// confined partitions.
-	PartitionsWithin(key string) []PartitionID
-	// Settling reports whether, to this node's knowledge, the confinement of keys changed within the last minute.
-	Settling() bool
+	ConfinedPartitions(key string) []PartitionID
+	// ConfinementChanged reports whether, to this node's knowledge, the confinement of keys changed within the last minute.
+	ConfinementChanged() bool
 	// MayHold reports whether a node in zone may have records of the partition.
 	MayHold(partition PartitionID, zone string) bool
 }
@@ -163,13 +163,13 @@
 	return m.placementOf(partition).allows(zone)
 }
 
-// Settling implements Homes. The start of the process counts as a change, since the configuration before it is unknown.
-func (m *Manager) Settling() bool {
+// ConfinementChanged implements Homes. The start of the process counts as a change, since the configuration before it is unknown.
+func (m *Manager) ConfinementChanged() bool {
 	return clock.Since(m.started) < confinementSettleTime || clock.Since(m.confined.changedAt()) < confinementSettleTime
 }
 
-// PartitionsWithin implements Homes.
-func (m *Manager) PartitionsWithin(key string) []PartitionID {
+// ConfinedPartitions implements Homes.
+func (m *Manager) ConfinedPartitions(key string) []PartitionID {
 	fixed, known := m.directory.fixed()
 	if !known {
 		return nil
@@ -184,8 +184,8 @@
 	return slices.Compact(found)
 }
 
-// PartitionWithin implements Homes.
-func (m *Manager) PartitionWithin(key string, regions region.Set) (PartitionID, error) {
+// ConfinedPartition implements Homes.
+func (m *Manager) ConfinedPartition(key string, regions region.Set) (PartitionID, error) {
 	partition, reason := m.findWithin(key, regions)
 	if reason == "" {
 		return partition, nil
--- a/internal/ledger/confined_test.go
+++ b/internal/ledger/confined_test.go
@@ -26,7 +26,7 @@
 	c := newCluster(t, seed)
 	c.ledger.Replicas, c.ledger.WriteQuorum, c.ledger.OwnersOnStores = 3, 2, true
 	c.ledger.MembersDecide = true
-	c.timing.Silence, c.timing.Request, c.timing.Settle = testSilence, time.Second, time.Minute
+	c.timing.OwnerSilence, c.timing.Request, c.timing.MinTenure = testSilence, time.Second, time.Minute
 	c.timing.Replace, c.timing.Formation = 2*time.Second, time.Second
 	c.regionOf, c.confined = map[membership.NodeID]string{}, confined
 	var names []string
@@ -57,7 +57,7 @@
 	var partition PartitionID
 	c.eventually(fmt.Sprintf("a partition within %s", regions), func() bool {
 		for _, node := range c.nodes {
-			found, err := node.manager.PartitionWithin(confinedKey, regions)
+			found, err := node.manager.ConfinedPartition(confinedKey, regions)
 			if err != nil {
 				return false
 			}
@@ -194,7 +194,7 @@
 		c.put(0, "elsewhere")
 		time.Sleep(10 * time.Second)
 		for _, node := range c.nodes {
-			_, err := node.manager.PartitionWithin(confinedKey, north)
+			_, err := node.manager.ConfinedPartition(confinedKey, north)
 			refused := outcome.As(err)
 			if err == nil || refused.Outcome != outcome.NotRun || refused.Reason != outcome.ReasonNoHome || refused.RetryAfter == 0 {
 				t.Fatalf("%s: %v", node.id, err)
@@ -261,7 +261,7 @@
 		c.check(partition, acknowledged)
 		for _, node := range c.nodes {
 			c.eventually(string(node.id)+" knows the partition", func() bool {
-				return slices.Contains(node.manager.PartitionsWithin(confinedKey), partition)
+				return slices.Contains(node.manager.ConfinedPartitions(confinedKey), partition)
 			})
 		}
 		c.checkConfinement(partition, north)
@@ -290,7 +290,7 @@
 			}
 		})
 		for _, node := range c.nodes {
-			if found := node.manager.PartitionsWithin(confinedKey); len(found) > 0 {
+			if found := node.manager.ConfinedPartitions(confinedKey); len(found) > 0 {
 				t.Errorf("%s knows the partitions %v", node.id, found)
 			}
 		}
--- a/internal/ledger/fx.go
+++ b/internal/ledger/fx.go
@@ -25,7 +25,7 @@
 		NewDisk,
 		newManagerForNode,
 		func(manager *Manager) Locator { return manager },
-		func(manager *Manager) Homes { return manager },
+		func(manager *Manager) ConfinedLocator { return manager },
 	),
 	fx.Invoke(func(*Manager) {}),
 )
--- a/internal/ledger/gather.go
+++ b/internal/ledger/gather.go
@@ -12,7 +12,7 @@
 // An attempt would then last until its requests time out, and the next one would take the partition from the node that
 // owns it by then.
 func (m *Manager) awaitingMembers(partition PartitionID, view *membership.View, now time.Time) bool {
-	if now.Sub(m.started) >= m.timing.Gather {
+	if now.Sub(m.started) >= m.timing.MemberWait {
 		return false
 	}
 	ensemble, known := m.directory.ensemble(partition)
--- a/internal/ledger/gather_test.go
+++ b/internal/ledger/gather_test.go
@@ -24,7 +24,7 @@
 func TestRestartOfAllWaitsForTheMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 11)
-		c.timing.Gather = 600 * time.Millisecond
+		c.timing.MemberWait = 600 * time.Millisecond
 		c.timing.Check = 100 * time.Millisecond
 		defer c.stopAll()
 		acknowledged := [][]string{{c.put(0, "a")}, {c.put(1, "a")}}
@@ -68,7 +68,7 @@
 func TestGatheringEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 12)
-		c.timing.Gather = 600 * time.Millisecond
+		c.timing.MemberWait = 600 * time.Millisecond
 		defer c.stopAll()
 		acknowledged := []string{c.put(0, "a")}
 		for _, node := range c.nodes {
@@ -83,8 +83,8 @@
 		}
 		began := time.Now()
 		acknowledged = append(acknowledged, c.put(0, "b"))
-		if took := time.Since(began); took < c.timing.Gather || took > 3*c.timing.Gather {
-			t.Errorf("served %s after the start, want soon after %s", took, c.timing.Gather)
+		if took := time.Since(began); took < c.timing.MemberWait || took > 3*c.timing.MemberWait {
+			t.Errorf("served %s after the start, want soon after %s", took, c.timing.MemberWait)
 		}
 		c.check(0, acknowledged)
 	})
--- a/internal/ledger/ownership.go
+++ b/internal/ledger/ownership.go
@@ -20,8 +20,8 @@
 	Prepare time.Duration
 	// Retry is the delay before a store that failed is retried.
 	Retry time.Duration
-	// Notice is the interval at which the commit position is sent to idle stores.
-	Notice time.Duration
+	// Tick is the interval at which the commit position is sent to idle stores.
+	Tick time.Duration
 	// Check is the interval at which a node checks whether it should own more partitions.
 	Check time.Duration
 	// Backoff and MaxBackoff bound the delay before the next attempt to own a partition.
@@ -32,14 +32,14 @@
 	Quiesce time.Duration
 	// SuspectRelease replaces Release for a current owner that is suspected to be dead.
 	SuspectRelease time.Duration
-	// Silence is how long a store must receive nothing from a partition's owner before its node tries to own the
+	// OwnerSilence is how long a store must receive nothing from a partition's owner before its node tries to own the
 	// partition, regardless of the membership; zero disables this.
-	Silence time.Duration
-	// Settle is how long a healthy owner keeps a partition for which another node is preferred.
-	Settle time.Duration
-	// Gather is the longest time after its start that a node waits to see the members of a partition before it tries
+	OwnerSilence time.Duration
+	// MinTenure is how long a healthy owner keeps a partition for which another node is preferred.
+	MinTenure time.Duration
+	// MemberWait is the longest time after its start that a node waits to see the members of a partition before it tries
 	// to own it; zero disables the wait.
-	Gather time.Duration
+	MemberWait time.Duration
 	// Formation is how long the first start waits for the wanted number of stores.
 	Formation time.Duration
 	// Replace is how long a store may be gone before it is replaced.
@@ -55,7 +55,7 @@
 func DefaultTiming() Timing {
 	return Timing{
 		Request: 2 * time.Second, Prepare: 5 * time.Second, Retry: 200 * time.Millisecond,
-		Notice: 500 * time.Millisecond, Check: 250 * time.Millisecond,
+		Tick: 500 * time.Millisecond, Check: 250 * time.Millisecond,
 		Backoff: 250 * time.Millisecond, MaxBackoff: 5 * time.Second,
 		Release: 3 * time.Second, SuspectRelease: 500 * time.Millisecond, Quiesce: time.Second,
 		Formation: 3 * time.Second, Replace: 30 * time.Second, ChangeRetry: 250 * time.Millisecond,
@@ -146,7 +146,7 @@
 // run prepares the ballot and serves under it until it is lost. It returns after all goroutines that it started have
 // ended.
 func (o *ownership) run() protocol.Lost {
-	ticker := time.NewTicker(o.timing.Notice)
+	ticker := time.NewTicker(o.timing.Tick)
 	defer ticker.Stop()
 	o.preparing = time.NewTimer(o.timing.Prepare)
 	defer o.preparing.Stop()
@@ -193,7 +193,7 @@
 		o.starvedFor = 0
 		return false
 	}
-	o.starvedFor += o.timing.Notice
+	o.starvedFor += o.timing.Tick
 	return o.starvedFor >= o.timing.Prepare
 }
 
--- a/internal/ledger/retirement.go
+++ b/internal/ledger/retirement.go
@@ -41,9 +41,9 @@
 	return kept
 }
 
-// Emptied reports whether no ensemble needs the store of node: it is a member of none, and no ensemble has a joining
+// IsDrained reports whether no ensemble needs the store of node: it is a member of none, and no ensemble has a joining
 // member. It first reads the current ensembles from the key-value service.
-func (m *Manager) Emptied(ctx context.Context, node membership.NodeID) (bool, error) {
+func (m *Manager) IsDrained(ctx context.Context, node membership.NodeID) (bool, error) {
 	if err := m.directory.load(ctx); err != nil {
 		return false, err
 	}
--- a/internal/ledger/serve_owner.go
+++ b/internal/ledger/serve_owner.go
@@ -31,7 +31,7 @@
 	}
 	preferred, _ := preferredOwner(m.viewer.View(), partition, m.ownersOf(partition))
 	now := clock.Now()
-	settling := now.Sub(ownership.began) < m.timing.Settle
+	settling := now.Sub(ownership.began) < m.timing.MinTenure
 	if (string(preferred.ID) != request.Successor || settling) && !m.leaving.Load() && ownership.healthy(now) {
 		return &ledgerpb.ReleaseResponse{}, nil
 	}
--- a/internal/ledger/silence_test.go
+++ b/internal/ledger/silence_test.go
@@ -17,7 +17,7 @@
 	c := newCluster(t, seed)
 	c.ledger.Replicas, c.ledger.WriteQuorum, c.ledger.OwnersOnStores = 3, 2, true
 	c.ledger.MembersDecide = true
-	c.timing.Silence, c.timing.Request, c.timing.Settle = testSilence, time.Second, time.Minute
+	c.timing.OwnerSilence, c.timing.Request, c.timing.MinTenure = testSilence, time.Second, time.Minute
 	for range 4 {
 		c.add(true)
 	}
@@ -87,7 +87,7 @@
 			node.manager.SetRetiring(map[membership.NodeID]bool{retiring.id: true})
 		}
 		c.eventually("the node is empty", func() bool {
-			emptied, err := c.nodes[0].manager.Emptied(t.Context(), retiring.id)
+			emptied, err := c.nodes[0].manager.IsDrained(t.Context(), retiring.id)
 			return err == nil && emptied
 		})
 		if owner := c.owner(0); owner == retiring {
@@ -111,7 +111,7 @@
 			node.manager.SetRetiring(map[membership.NodeID]bool{c.nodes[0].id: true})
 		}
 		time.Sleep(10 * time.Second)
-		if emptied, err := c.nodes[1].manager.Emptied(t.Context(), c.nodes[0].id); err != nil || emptied {
+		if emptied, err := c.nodes[1].manager.IsDrained(t.Context(), c.nodes[0].id); err != nil || emptied {
 			t.Errorf("emptied %t, %v, though there is no other store", emptied, err)
 		}
 		c.check(0, acknowledged)
--- a/internal/ledger/takeover.go
+++ b/internal/ledger/takeover.go
@@ -9,7 +9,7 @@
 // plus this node's takeover turn, and this node should therefore try to own the partition. The known ensemble may be
 // out of date, so a store qualifies if it has ever received a message from an owner.
 func (m *Manager) ownerSilent(partition PartitionID, control *partitionControl, now time.Time) bool {
-	if m.timing.Silence == 0 || m.local == nil || control.ownership != nil || !m.MayHold(partition, m.zone) {
+	if m.timing.OwnerSilence == 0 || m.local == nil || control.ownership != nil || !m.MayHold(partition, m.zone) {
 		return false
 	}
 	last := m.local.LastHeard(partition)
@@ -21,7 +21,7 @@
 			last = later
 		}
 	}
-	return now.Sub(last) >= m.timing.Silence+time.Duration(m.takeoverTurn(partition))*m.timing.Check
+	return now.Sub(last) >= m.timing.OwnerSilence+time.Duration(m.takeoverTurn(partition))*m.timing.Check
 }
 
 // isMember reports whether the local store is a full member of the partition's newest known ensemble.
--- a/internal/node/role_edge.go
+++ b/internal/node/role_edge.go
@@ -25,7 +25,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-func newBatchCalls(adapter Adapter, locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, members *membership.Service, logger zerolog.Logger) BatchCalls {
+func newBatchCalls(adapter Adapter, locator ledger.Locator, homes ledger.ConfinedLocator, caller transport.Caller, registrar transport.Registrar, members *membership.Service, logger zerolog.Logger) BatchCalls {
 	return adapter.Batch(batch.NewClient(locator, homes, caller, registrar, members, logger))
 }
 
--- a/internal/node/role_timing.go
+++ b/internal/node/role_timing.go
@@ -15,13 +15,13 @@
 	timing.Formation = time.Second
 	timing.MaxBackoff = time.Second
 	timing.Request = time.Second
-	timing.Silence = 800 * time.Millisecond
+	timing.OwnerSilence = 800 * time.Millisecond
 	timing.ChangeRetry = 120 * time.Millisecond
 	timing.Check = 100 * time.Millisecond
-	timing.Notice = 250 * time.Millisecond
+	timing.Tick = 250 * time.Millisecond
 	timing.SuspectRelease = 300 * time.Millisecond
-	timing.Settle = time.Minute
-	timing.Gather = 600 * time.Millisecond
+	timing.MinTenure = time.Minute
+	timing.MemberWait = 600 * time.Millisecond
 	return timing
 }()
 
--- a/internal/retirement/service.go
+++ b/internal/retirement/service.go
@@ -41,8 +41,8 @@
 type Emptier interface {
 	// SetRetiring replaces the set of nodes to drain.
 	SetRetiring(nodes map[membership.NodeID]bool)
-	// Emptied reports whether node has been drained; an error means that this could not be determined.
-	Emptied(ctx context.Context, node membership.NodeID) (bool, error)
+	// IsDrained reports whether node has been drained; an error means that this could not be determined.
+	IsDrained(ctx context.Context, node membership.NodeID) (bool, error)
 }
 
 // Service carries out the operators' retirement requests, which it receives as a discovery.OperatorFollower.
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	state := Running
-	emptied, err := s.emptier.Emptied(ctx, node)
+	emptied, err := s.emptier.IsDrained(ctx, node)
 	if err != nil {
 		return written
 	}
--- a/internal/retirement/service_test.go
+++ b/internal/retirement/service_test.go
@@ -35,7 +35,9 @@
 	e.calls++
 }
 
-func (*recordingEmptier) Emptied(context.Context, membership.NodeID) (bool, error) { return true, nil }
+func (*recordingEmptier) IsDrained(context.Context, membership.NodeID) (bool, error) {
+	return true, nil
+}
 
 // recordingStore records the keys written.
 type recordingStore struct {
