--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -89,7 +89,7 @@
 	p.mix.observe(request)
 	request.topology = p.topology
 	request.longPromptReplicas = p.selectLongPromptReplicas(request)
-	replicas := p.directory.View().Of(request.Service)
+	replicas := p.directory.View().ForService(request.Service)
 	eligible := filter(request, replicas, p.required, now)
 	for index := range p.preferred {
 		if preferred := filter(request, eligible, p.preferred[index:index+1], now); len(preferred) > 0 {
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -67,5 +67,5 @@
 	if !handle.ColdBounded() {
 		return 0
 	}
-	return -min(maxPacePenalty, pacePenalty*handle.Ahead(now))
+	return -min(maxPacePenalty, pacePenalty*handle.PaceExcess(now))
 }
--- a/internal/balance/distance_test.go
+++ b/internal/balance/distance_test.go
@@ -91,7 +91,7 @@
 	directory.Replace(infos)
 	_, topology := threeDistances()
 	request := &Request{Service: "s", Zone: "n1", topology: topology}
-	drawn := newSample(request, directory.View().Of("s"))
+	drawn := newSample(request, directory.View().ForService("s"))
 	for distance, want := range map[region.Distance]float64{region.SameZone: 1.5, region.SameRegion: 0.5, region.OtherRegion: 3.0 / 32} {
 		if got := drawn[distance]; got != want {
 			t.Errorf("sampling probability at distance %d is %f, want %f", distance, got, want)
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -21,7 +21,7 @@
 // Availability reports on the replicas of a service in the regions in homes: served is true if one of them accepts new requests, free if one of
 // them that has not failed recently also has a free slot.
 func (p *Picker) Availability(service string, homes region.Set, now time.Time) (served, free bool) {
-	for _, handle := range p.directory.View().Of(service) {
+	for _, handle := range p.directory.View().ForService(service) {
 		if !handle.Usable() || !p.InAllowedRegion(homes, handle) {
 			continue
 		}
--- a/internal/balance/prefill.go
+++ b/internal/balance/prefill.go
@@ -74,7 +74,7 @@
 		return nil
 	}
 	byZone := map[string][]*replica.Handle{}
-	for _, handle := range p.directory.View().Of(request.Service) {
+	for _, handle := range p.directory.View().ForService(request.Service) {
 		if handle.Usable() {
 			zone := handle.Info().Zone
 			byZone[zone] = append(byZone[zone], handle)
--- a/internal/batch/dispatch_view.go
+++ b/internal/batch/dispatch_view.go
@@ -74,7 +74,7 @@
 // pollLoads asks the replicas of all batch routes for their load.
 func (p *partition) pollLoads() {
 	for _, service := range batchServices(p.service.routes.Table()) {
-		for _, handle := range p.service.directory.View().Of(service) {
+		for _, handle := range p.service.directory.View().ForService(service) {
 			p.service.pollLoad(p.ctx, handle)
 		}
 	}
--- a/internal/batch/item_crash.go
+++ b/internal/batch/item_crash.go
@@ -79,7 +79,7 @@
 	p.mutex.Unlock()
 	var others []*replica.Handle
 	for _, backend := range item.route.Backends {
-		all := p.service.directory.View().Of(backend.Service)
+		all := p.service.directory.View().ForService(backend.Service)
 		occupied = append(occupied, quarantine.RecentlyFailed(all, clock.Now())...)
 		others = append(others, quarantine.NotPreferred(message, all)...)
 	}
--- a/internal/batch/item_deferred_test.go
+++ b/internal/batch/item_deferred_test.go
@@ -40,7 +40,7 @@
 func (c *crashSeries) crashOthers(t *testing.T, owner *testOwner, interval time.Duration) {
 	register := owner.service.options.Quarantine
 	for number := 0; time.Now().Before(c.until); number++ {
-		for _, handle := range owner.service.directory.View().Of("s") {
+		for _, handle := range owner.service.directory.View().ForService("s") {
 			if address := handle.Info().Address; c.alive(address) && handle.InUse() == 0 {
 				run := register.Admit(t.Context(), quarantine.Message{Target: fmt.Sprint("/request/", number)}.Key()).Begin(handle, nil)
 				c.end(address)
--- a/internal/batch/item_route_test.go
+++ b/internal/batch/item_route_test.go
@@ -41,7 +41,7 @@
 		owner.mustSubmit(t, testSubmission("j", 1))
 		time.Sleep(2 * time.Second)
 		owner.pauseItem(itemKey{job: "j"}, 0)
-		for _, handle := range owner.service.directory.View().Of("s") {
+		for _, handle := range owner.service.directory.View().ForService("s") {
 			for range handle.Info().Slots {
 				defer handle.Acquire()()
 			}
--- a/internal/batch/online_load.go
+++ b/internal/batch/online_load.go
@@ -94,7 +94,7 @@
 
 // runningAt returns how many items of this node run at the replicas of service.
 func runningAt(view *replica.View, service string) (running int) {
-	for _, handle := range view.Of(service) {
+	for _, handle := range view.ForService(service) {
 		running += handle.InUse()
 	}
 	return running
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -158,7 +158,7 @@
 		defer cancel()
 		// A replica that does not answer is asked again when a choice needs its load; until then what is known of its load loses
 		// weight.
-		_ = s.client.Ask(bounded, handle, s.options.Report)
+		_ = s.client.PollLoad(bounded, handle, s.options.Report)
 		s.mutex.Lock()
 		delete(s.polling, handle)
 		s.mutex.Unlock()
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -171,7 +171,7 @@
 	for request := 0; ctx.Err() == nil; request++ {
 		time.Sleep(requestInterval/2 + time.Duration(n.fleet.randomBelow(int(requestInterval))))
 		n.resume()
-		handles := directory.View().Of("s")
+		handles := directory.View().ForService("s")
 		if len(handles) == 0 {
 			continue
 		}
--- a/internal/discovery/replicas.go
+++ b/internal/discovery/replicas.go
@@ -111,7 +111,7 @@
 
 // publishAll makes all replicas the content of the directory.
 func (s *Service) publishAll(replicas []replica.Info) {
-	s.directory.SetElsewhere(nil)
+	s.directory.SetUnlistedSlots(nil)
 	s.directory.Replace(replicas)
 	s.partPublished = false
 }
--- a/internal/discovery/service_test.go
+++ b/internal/discovery/service_test.go
@@ -258,7 +258,7 @@
 				})
 				service.Start()
 				synctest.Wait()
-				if routes.Table() == nil || !directory.Loaded() || len(directory.View().Of("s")) != 2 {
+				if routes.Table() == nil || !directory.Loaded() || len(directory.View().ForService("s")) != 2 {
 					t.Fatal("the initial configuration and replicas are not in force")
 				}
 				test.act(store, viewer)
--- a/internal/evacuation/register_test.go
+++ b/internal/evacuation/register_test.go
@@ -48,7 +48,7 @@
 // usableZones returns the zones whose replicas may get requests, separated by spaces.
 func (r *testRegister) usableZones() string {
 	var zones []string
-	for _, handle := range r.directory.View().Of("s") {
+	for _, handle := range r.directory.View().ForService("s") {
 		if handle.Usable() {
 			zones = append(zones, handle.Info().Zone)
 		}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -100,7 +100,7 @@
 		if timedOut {
 			e.silenceDetected = true
 			handle.DropKept()
-			handle.Silent()
+			handle.NoteSilence()
 		}
 	}
 	e.logEvent(handle).Err(e.lastError).Msg("call_failed")
--- a/internal/forward/cold_wait.go
+++ b/internal/forward/cold_wait.go
@@ -33,7 +33,7 @@
 	now := clock.Now()
 	view := e.handler.directory.View()
 	for _, backend := range e.route.Backends {
-		for _, handle := range view.Of(backend.Service) {
+		for _, handle := range view.ForService(backend.Service) {
 			if handle.Usable() && handle.Cold(now) {
 				return true
 			}
--- a/internal/forward/evacuation.go
+++ b/internal/forward/evacuation.go
@@ -25,7 +25,7 @@
 			evacuated = true
 			continue
 		}
-		if len(view.Of(backend.Service)) > 0 {
+		if len(view.ForService(backend.Service)) > 0 {
 			return false
 		}
 	}
--- a/internal/forward/quarantined.go
+++ b/internal/forward/quarantined.go
@@ -52,7 +52,7 @@
 	if e.permit == nil || e.permit.Verdict() != quarantine.Apart {
 		return nil
 	}
-	all := e.handler.directory.View().Of(e.service)
+	all := e.handler.directory.View().ForService(e.service)
 	occupied := slices.Concat(e.tried, e.permit.Occupied(), quarantine.RecentlyFailed(all, clock.Now()))
 	others := quarantine.NotPreferred(e.messageKey, all)
 	if handle := e.pickWithColdLimit(ctx, append(slices.Clone(occupied), others...), quarantine.ApartOccupancy); handle != nil {
--- a/internal/loadshare/questions.go
+++ b/internal/loadshare/questions.go
@@ -185,7 +185,7 @@
 // answer is restricted to them, so that its size does not grow with the number of replicas.
 func (s *Service) knownReplicaKeys() []uint64 {
 	view := s.directory.View()
-	if !view.KnowsPart() {
+	if !view.IsPartial() {
 		return nil
 	}
 	keys := make([]uint64, 0, view.Len())
--- a/internal/quarantine/fake_test.go
+++ b/internal/quarantine/fake_test.go
@@ -290,7 +290,7 @@
 	if permit.Verdict() != Apart {
 		return c.handle(member, number)
 	}
-	all := member.directory.View().Of("s")
+	all := member.directory.View().ForService("s")
 	avoided := slices.Concat(permit.Occupied(), NotPreferred(key, all), RecentlyFailed(all, time.Now()))
 	for _, handle := range all {
 		if !slices.Contains(avoided, handle) {
--- a/internal/quarantine/stable.go
+++ b/internal/quarantine/stable.go
@@ -41,7 +41,7 @@
 // Stable implements ItemRegister. For stableWindow after its start a node reports false: it may not know yet which
 // replicas ended before.
 func (s *Service) Stable(service string) bool {
-	now, replicas := clock.Now(), len(s.directory.View().Of(service))
+	now, replicas := clock.Now(), len(s.directory.View().ForService(service))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return now.Sub(s.startedAt) >= stableWindow && s.evidence.isStable(service, replicas, now)
--- a/internal/replica/client.go
+++ b/internal/replica/client.go
@@ -194,7 +194,7 @@
 		if ctx.Err() == nil {
 			// A refused connection counts too, since a partitioned zone may reset incoming connections. Two replicas of a zone that have
 			// just ended therefore make the zone count as unreachable until the next probe.
-			handle.Silent()
+			handle.NoteSilence()
 		}
 		return nil, fmt.Errorf("%w: connect to %s: %w", ErrNotSent, handle.Info().Address, err)
 	}
--- a/internal/replica/directory.go
+++ b/internal/replica/directory.go
@@ -41,8 +41,8 @@
 	unlistedSlots map[string]int
 }
 
-// Of returns the replicas of service, sorted by ID.
-func (v *View) Of(service string) []*Handle { return v.byService[service] }
+// ForService returns the replicas of service, sorted by ID.
+func (v *View) ForService(service string) []*Handle { return v.byService[service] }
 
 // Slots returns the total slots of the replicas of service that take new requests, including those outside this node's subset.
 func (v *View) Slots(service string) int {
@@ -73,8 +73,8 @@
 	return working + v.unlistedSlots[service]*working/declared
 }
 
-// KnowsPart reports whether the directory is only a subset: some replicas outside it take requests.
-func (v *View) KnowsPart() bool {
+// IsPartial reports whether the directory is only a subset: some replicas outside it take requests.
+func (v *View) IsPartial() bool {
 	for _, slots := range v.unlistedSlots {
 		if slots > 0 {
 			return true
@@ -132,8 +132,8 @@
 // processed.
 func (d *Directory) UseChanged() <-chan struct{} { return d.useChanged }
 
-// SetElsewhere sets the number of slots, by service, of replicas that are not in the directory.
-func (d *Directory) SetElsewhere(slots map[string]int) {
+// SetUnlistedSlots sets the number of slots, by service, of replicas that are not in the directory.
+func (d *Directory) SetUnlistedSlots(slots map[string]int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	next := *d.View()
--- a/internal/replica/load_report.go
+++ b/internal/replica/load_report.go
@@ -42,8 +42,8 @@
 // maxReportBytes bounds a load report.
 const maxReportBytes = 256 << 10
 
-// Ask requests a replica's load and records it in handle. A report of another incarnation is an error and is not recorded.
-func (c *Client) Ask(ctx context.Context, handle *Handle, report LoadReport) error {
+// PollLoad requests a replica's load and records it in handle. A report of another incarnation is an error and is not recorded.
+func (c *Client) PollLoad(ctx context.Context, handle *Handle, report LoadReport) error {
 	answer, err := c.Do(ctx, handle, Call{
 		Method: http.MethodGet,
 		Target: report.Path,
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -58,5 +58,5 @@
 // NoteSent counts a request that this process sends to the replica.
 func (h *Handle) NoteSent(now time.Time) { h.pace.note(now) }
 
-// Ahead returns by how many requests this process exceeds, in the current second, paceBurstFactor times its usual rate to the replica.
-func (h *Handle) Ahead(now time.Time) float64 { return h.pace.excess(now) }
+// PaceExcess returns by how many requests this process exceeds, in the current second, paceBurstFactor times its usual rate to the replica.
+func (h *Handle) PaceExcess(now time.Time) float64 { return h.pace.excess(now) }
--- a/internal/replica/part_test.go
+++ b/internal/replica/part_test.go
@@ -14,12 +14,12 @@
 		{ID: "b", Service: "s", Slots: 8},
 		{ID: "c", Service: "s", Slots: 8, Draining: true},
 	})
-	if directory.View().KnowsPart() {
+	if directory.View().IsPartial() {
 		t.Error("a directory of all replicas counts as a subset")
 	}
-	directory.SetElsewhere(map[string]int{"s": 800, "t": 0})
+	directory.SetUnlistedSlots(map[string]int{"s": 800, "t": 0})
 	now := time.Now()
-	if view := directory.View(); !view.KnowsPart() || view.Slots("s") != 816 || view.WorkingSlots("s", now) != 816 {
+	if view := directory.View(); !view.IsPartial() || view.Slots("s") != 816 || view.WorkingSlots("s", now) != 816 {
 		t.Errorf("%d slots, %d of them working, or not counted as a subset; want 816 of both",
 			view.Slots("s"), view.WorkingSlots("s", now))
 	}
@@ -33,8 +33,8 @@
 	if view := directory.View(); view.Slots("s") != 808 {
 		t.Errorf("%d slots after the subset changed, want 808", view.Slots("s"))
 	}
-	directory.SetElsewhere(nil)
-	if view := directory.View(); view.Slots("s") != 8 || view.KnowsPart() {
+	directory.SetUnlistedSlots(nil)
+	if view := directory.View(); view.Slots("s") != 8 || view.IsPartial() {
 		t.Errorf("%d slots without unlisted ones, want 8, or counted as a subset", view.Slots("s"))
 	}
 }
--- a/internal/replica/reachability.go
+++ b/internal/replica/reachability.go
@@ -8,9 +8,9 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// Silent records that connecting to the replica failed or that it has not responded for a while. A zone counts as unreachable once this
+// NoteSilence records that connecting to the replica failed or that it has not responded for a while. A zone counts as unreachable once this
 // holds for several of its replicas.
-func (h *Handle) Silent() { h.zone.NoteSilence(h.Info().ID, clock.Now()) }
+func (h *Handle) NoteSilence() { h.zone.NoteSilence(h.Info().ID, clock.Now()) }
 
 // ZoneCutOff reports whether the replica's zone counts as unreachable from this process.
 func (h *Handle) ZoneCutOff() bool { return h.zone.CutOff() }
--- a/internal/replica/report_test.go
+++ b/internal/replica/report_test.go
@@ -36,7 +36,7 @@
 			network := &replicatest.Network{Scripts: map[netip.AddrPort]replicatest.Script{address: replicatest.Answer(200, "", body)}}
 			defer network.CloseAll()
 			handle := replica.NewHandle(replica.Info{ID: "a", Service: "s", Address: address, Slots: 8, Born: test.entry})
-			err := replica.NewClient(network, replicatest.Headers).Ask(t.Context(), handle,
+			err := replica.NewClient(network, replicatest.Headers).PollLoad(t.Context(), handle,
 				replica.LoadReport{Path: "/load", Parse: parseBorn})
 			if (err == nil) != test.isNoted {
 				t.Errorf("Ask returned error %v, want report recorded %t", err, test.isNoted)
--- a/internal/replica/restarted_test.go
+++ b/internal/replica/restarted_test.go
@@ -47,7 +47,7 @@
 				if test.isNew && (after.Key() == before.Key() || after.FailureRate() > 0 || after.InUse() > 0) {
 					t.Error("the new incarnation has state of the earlier one")
 				}
-				if directory.View().Len() != 1 || len(directory.View().Of("s")) != 1 {
+				if directory.View().Len() != 1 || len(directory.View().ForService("s")) != 1 {
 					t.Errorf("%d replicas are listed, want 1", directory.View().Len())
 				}
 			})
--- a/internal/roster/keeper.go
+++ b/internal/roster/keeper.go
@@ -67,7 +67,7 @@
 		delete(k.passedOver, id)
 	}
 	if len(changed)+len(gone)+len(passedOver)+len(k.passedOver) == 0 {
-		k.directory.SetElsewhere(elsewhere)
+		k.directory.SetUnlistedSlots(elsewhere)
 		return
 	}
 	k.publish(elsewhere, false)
@@ -91,7 +91,7 @@
 		info.Draining = true
 		content = append(content, info)
 	}
-	k.directory.SetElsewhere(elsewhere)
+	k.directory.SetUnlistedSlots(elsewhere)
 	if copied {
 		k.directory.ReplaceByCopy(content)
 		return
--- a/internal/roster/width.go
+++ b/internal/roster/width.go
@@ -28,7 +28,7 @@
 
 // measureUsage returns this node's use of the replicas in its part.
 func measureUsage(view *replica.View, now time.Time) use {
-	found := use{more: view.KnowsPart()}
+	found := use{more: view.IsPartial()}
 	for handle := range view.All() {
 		slots := handle.Info().Slots
 		found.slots += slots
