--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -16,18 +16,20 @@
 
 const (
 	protocolVersion = 1
-	helloTimeout    = 5 * time.Second
-	// writeTimeout bounds one flush; a peer that takes nothing for so long is cut off.
+	// helloTimeout bounds the write of a hello and, on accepted connections, the wait for the peer's.
+	helloTimeout = 5 * time.Second
+	// writeTimeout bounds one flush; a peer that accepts no bytes for this long is disconnected.
 	writeTimeout = 10 * time.Second
-	// drainTimeout bounds the last flush of a transport that stops.
+	// drainTimeout bounds the final flush when the transport stops.
 	drainTimeout = time.Second
-	bufferBytes  = 4 << 10
+	// bufferBytes is the size of a connection's read and write buffer.
+	bufferBytes = 4 << 10
 )
 
-// errIdle ends a connection that nobody used for a while.
+// errIdle is the cause of closing a connection that was unused for idleTimeout.
 var errIdle = errors.New("connection idle")
 
-// encodeHello returns the first frame of each side.
+// encodeHello returns the encoded hello, which each side sends as its first frame.
 func encodeHello(node string, listen netip.AddrPort) ([]byte, error) {
 	payload, err := proto.Marshal(&transportpb.Hello{
 		ProtocolVersion: protocolVersion,
@@ -40,7 +42,8 @@
 	return EncodeFrame(&transportpb.Frame{Kind: transportpb.Frame_KIND_HELLO, Payload: payload})
 }
 
-// readHello reads the first frame and returns the peer's listen address.
+// readHello reads the peer's first frame and returns its listen address. A frame that is not a
+// valid hello is an error of KindMalformed.
 func readHello(reader io.Reader, counters *Counters) (netip.AddrPort, error) {
 	frame, size, err := ReadFrame(reader)
 	if err != nil {
@@ -70,8 +73,8 @@
 	buffer     *bufio.Writer
 	counters   *Counters
 	queue      *sendQueue
-	// quiet is notified of what is sent; nil where nobody watches for silence.
-	quiet *quietWatch
+	// silence is notified of each frame sent; nil on accepted connections.
+	silence *silenceDetector
 }
 
 func newWriter(connection net.Conn, counters *Counters, queue *sendQueue) *writer {
@@ -95,10 +98,10 @@
 	return w.buffer.Flush()
 }
 
-// run writes frames until ctx ends, the connection breaks, or idle says that the
-// connection is no longer used. Where whole, the transport's own context, has ended
-// too, it flushes what is queued; else that waits for the next connection.
-func (w *writer) run(ctx, whole context.Context, idle func() bool) error {
+// run writes frames until ctx ends, the connection breaks, or idle reports that the
+// connection is unused. If transportContext has ended too, run flushes the queued
+// frames; otherwise they stay queued for the next connection.
+func (w *writer) run(ctx, transportContext context.Context, idle func() bool) error {
 	ticker := time.NewTicker(idleCheckPeriod)
 	defer ticker.Stop()
 	for {
@@ -112,15 +115,15 @@
 				return errIdle
 			}
 		case <-ctx.Done():
-			if whole.Err() != nil {
-				return w.drain(whole)
+			if transportContext.Err() != nil {
+				return w.drain(transportContext)
 			}
 			return ctx.Err()
 		}
 	}
 }
 
-// writeBatch writes frame and all that is queued behind it, then flushes.
+// writeBatch writes frame and all frames queued behind it, then flushes.
 func (w *writer) writeBatch(frame *Outgoing, timeout time.Duration) error {
 	if err := w.connection.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -138,16 +141,16 @@
 }
 
 func (w *writer) writeFrame(frame *Outgoing) error {
-	w.queue.taken(frame)
-	if !frame.Depart() {
+	w.queue.releaseBytes(frame)
+	if !frame.MarkSent() {
 		return nil
 	}
 	if _, err := w.buffer.Write(frame.Encoded); err != nil {
 		return err
 	}
 	w.counters.Sent(frame.Method, len(frame.Encoded))
-	if w.quiet != nil {
-		w.quiet.sent()
+	if w.silence != nil {
+		w.silence.noteSent()
 	}
 	return nil
 }
@@ -163,7 +166,8 @@
 	return ctx.Err()
 }
 
-// readLoop passes frames to exchange until the connection ends. ctx ends with it.
+// readLoop passes frames to exchange until the connection ends, and calls used for each.
+// ctx must end with the connection.
 func readLoop(ctx context.Context, reader io.Reader, exchange *Exchange, link Link, used func()) error {
 	for {
 		frame, size, err := ReadFrame(reader)
--- a/internal/transport/counters.go
+++ b/internal/transport/counters.go
@@ -2,18 +2,18 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Methods under which frames that carry no method are counted.
+// Methods under which frames without a method are counted.
 const (
 	methodHello  Method = "transport.hello"
 	methodCancel Method = "transport.cancel"
 )
 
-// Counters counts frames and bytes by method and direction. Bytes are those of the
-// frame with its length prefix, without what TCP and IP add.
+// Counters counts frames and bytes by method and direction. Bytes include a frame's
+// length prefix and exclude TCP and IP headers.
 type Counters struct {
 	bytes  *prometheus.CounterVec
 	frames *prometheus.CounterVec
-	// silentConnections counts the connections on which a peer gave no sign.
+	// silentConnections counts connections closed because the peer did not answer a ping.
 	silentConnections prometheus.Counter
 }
 
@@ -23,13 +23,13 @@
 	DirectionReceived = "received"
 )
 
-// Names of the counters, for those who read them back.
+// Names of the counters, for code that reads them back.
 const (
 	MetricBytes  = "sloelift_transport_bytes_total"
 	MetricFrames = "sloelift_transport_frames_total"
 )
 
-// NewCounters registers the counters.
+// NewCounters creates the counters and registers them.
 func NewCounters(registerer prometheus.Registerer) (*Counters, error) {
 	labels := []string{"method", "direction"}
 	counters := &Counters{
@@ -40,7 +40,8 @@
 			Name: MetricFrames, Help: "Frames between nodes, by method and direction.",
 		}, labels),
 		silentConnections: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "sloelift_transport_silent_connections_total", Help: "Connections between nodes that were closed since nothing came over them.",
+			Name: "sloelift_transport_silent_connections_total",
+			Help: "Connections between nodes that were closed since nothing came over them.",
 		}),
 	}
 	for _, collector := range []prometheus.Collector{counters.bytes, counters.frames, counters.silentConnections} {
@@ -51,10 +52,10 @@
 	return counters, nil
 }
 
-// Sent counts one frame that went out.
+// Sent counts one sent frame of size bytes.
 func (c *Counters) Sent(method Method, size int) { c.add(method, DirectionSent, size) }
 
-// Received counts one frame that came in.
+// Received counts one received frame of size bytes.
 func (c *Counters) Received(method Method, size int) { c.add(method, DirectionReceived, size) }
 
 func (c *Counters) add(method Method, direction string, size int) {
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -14,31 +14,31 @@
 
 // Error kinds of the transport.
 var (
-	// KindNotSent: the peer never had the message.
+	// KindNotSent: the peer has not received the message.
 	KindNotSent = namespace.NewType("not_sent", errorx.Temporary())
-	// KindNoAnswer: the message was sent and its answer is missing.
+	// KindNoAnswer: the message was sent but no answer was received; the peer may have handled it.
 	KindNoAnswer = namespace.NewType("no_answer", errorx.Temporary())
-	// KindTooLarge: the message is over the frame limit and was not sent.
+	// KindTooLarge: the message exceeds the frame limit and was not sent.
 	KindTooLarge = namespace.NewType("too_large")
-	// KindMalformed: bytes from a peer are not a valid frame; the connection ends.
+	// KindMalformed: the peer sent bytes that are not a valid frame; the connection is closed.
 	KindMalformed = namespace.NewType("malformed")
 )
 
-// RemoteError is an error that the peer's handler returned. Reason is an
-// outcome.Reason or empty; Outcome is an outcome.Outcome or empty.
+// RemoteError is an error returned by the peer's handler. Outcome is an
+// outcome.Outcome or empty; Reason is an outcome.Reason or empty.
 type RemoteError struct {
 	Outcome string
 	Reason  string
 	Message string
-	// RetryAfter is when the caller may come back; zero where no time can be named.
+	// RetryAfter is the delay before the caller may retry; zero if unknown.
 	RetryAfter time.Duration
 }
 
 // Error returns the remote message.
 func (e *RemoteError) Error() string { return "remote: " + e.Reason + ": " + e.Message }
 
-// Unwrap returns the *outcome.Error that the handler returned, or nil where the
-// remote error carried no outcome.
+// Unwrap returns the *outcome.Error that the handler returned, or nil if the
+// remote error has no outcome.
 func (e *RemoteError) Unwrap() error {
 	if e.Outcome == "" {
 		return nil
@@ -51,7 +51,7 @@
 	}
 }
 
-// encodeError turns a handler's error into its wire form.
+// encodeError converts a handler's error to its wire form.
 func encodeError(err error) *transportpb.Error {
 	var typed *outcome.Error
 	if !errors.As(err, &typed) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// OutcomeOf returns what an error of Call says about the execution of the call.
+// OutcomeOf converts an error of Call to an outcome: whether the call may have run on the peer.
 func OutcomeOf(err error) *outcome.Error {
 	switch {
 	case errorx.IsOfType(err, KindNotSent):
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -13,61 +13,62 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// maxRunningHandlers bounds the handlers that run at once for one link. Past it a
-// request is refused at once and a one-way message is dropped.
+// maxRunningHandlers bounds the handlers running concurrently for one link. Above it,
+// requests are refused at once and one-way messages are dropped.
 const maxRunningHandlers = 1024
 
-// Link is one way to a peer: a connection, or the in-memory network's edge.
+// Link is a path to one peer: a TCP connection, or a link of the in-memory network.
 type Link interface {
 	// Peer is the peer's listen address.
 	Peer() netip.AddrPort
-	// Enqueue queues a frame for the peer. It returns KindNotSent where the queue
-	// stays full until ctx ends; with a ctx that has ended it never waits.
+	// Enqueue queues a frame for the peer. It returns KindNotSent if the queue
+	// stays full until ctx ends; if ctx has already ended it never waits.
 	Enqueue(ctx context.Context, frame *Outgoing) error
 }
 
-// Outgoing is one encoded frame on its way out.
+// Outgoing is an encoded frame to be sent.
 type Outgoing struct {
 	Method  Method
 	Encoded []byte
-	// call is nil for what is no request.
+	// call is the call that waits for an answer; nil unless the frame is a request.
 	call *pendingCall
 }
 
-// Depart marks the frame as leaving. Where it returns false the caller has given
-// the request up and the frame must not be sent.
-func (o *Outgoing) Depart() bool {
+// MarkSent marks the frame as sent. If it returns false, the caller has abandoned
+// the request and the frame must not be sent.
+func (o *Outgoing) MarkSent() bool {
 	return o.call == nil || o.call.state.CompareAndSwap(callQueued, callSent)
 }
 
-// Fail tells the caller that the frame, which never departed, will not be sent.
+// Fail completes the frame's call with KindNotSent, unless the frame was already marked
+// as sent or its call abandoned.
 func (o *Outgoing) Fail(cause error) {
 	if o.call != nil && o.call.state.CompareAndSwap(callQueued, callAbandoned) {
 		o.call.answer <- callResult{err: KindNotSent.Wrap(cause, "call %s to %s", o.Method, o.call.link.Peer())}
 	}
 }
 
-type registration struct {
+type methodRegistration struct {
 	newRequest func() proto.Message
 	handler    Handler
 }
 
-// Exchange matches responses to requests and runs handlers. The TCP transport and
-// its in-memory twin share it. Handlers are registered before the first frame.
+// Exchange matches responses to requests and runs handlers. The TCP and in-memory
+// transports share it. All handlers must be registered before the first frame is received.
 type Exchange struct {
 	counters *Counters
-	handlers map[Method]registration
+	handlers map[Method]methodRegistration
 	lastID   atomic.Uint64
 
-	// mutex guards pending and running.
-	mutex   sync.Mutex
-	pending map[uint64]*pendingCall
-	running map[runningKey]context.CancelFunc
-	perLink map[Link]int
-	// handlersDone counts running handlers, so that Wait can end after them. It is added to
-	// under mutex and only while stopped is false, so never while Wait waits.
-	handlersDone sync.WaitGroup
-	stopped      bool
+	// mutex guards pending, running, runningPerLink and stopped.
+	mutex          sync.Mutex
+	pending        map[uint64]*pendingCall
+	running        map[runningKey]context.CancelFunc
+	runningPerLink map[Link]int
+	// runningHandlers lets Wait wait for handlers. It is incremented only under mutex and while
+	// stopped is false, so never while Wait is waiting.
+	runningHandlers sync.WaitGroup
+	stopped         bool
 }
 
 type runningKey struct {
@@ -75,7 +76,7 @@
 	requestID uint64
 }
 
-// States of a pendingCall, in order.
+// States of a pendingCall: callQueued changes to either of the others, which are final.
 const (
 	callQueued int32 = iota
 	callSent
@@ -86,7 +87,7 @@
 	link   Link
 	method Method
 	state  atomic.Int32
-	// answer has room for the one result, so that its sender never blocks.
+	// answer has capacity for the single result, so that its sender never blocks.
 	answer chan callResult
 }
 
@@ -103,23 +104,23 @@
 // NewExchange returns an Exchange without handlers.
 func NewExchange(counters *Counters) *Exchange {
 	return &Exchange{
-		counters: counters,
-		handlers: map[Method]registration{methodSign: signRegistration},
-		pending:  make(map[uint64]*pendingCall),
-		running:  make(map[runningKey]context.CancelFunc),
-		perLink:  make(map[Link]int),
+		counters:       counters,
+		handlers:       map[Method]methodRegistration{methodPing: pingRegistration},
+		pending:        make(map[uint64]*pendingCall),
+		running:        make(map[runningKey]context.CancelFunc),
+		runningPerLink: make(map[Link]int),
 	}
 }
 
-// Handle registers a handler; a second registration of a method panics.
+// Handle registers a handler; it panics if the method already has one.
 func (e *Exchange) Handle(method Method, newRequest func() proto.Message, handler Handler) {
 	if _, present := e.handlers[method]; present {
 		panic("transport: method registered twice: " + string(method))
 	}
-	e.handlers[method] = registration{newRequest: newRequest, handler: handler}
+	e.handlers[method] = methodRegistration{newRequest: newRequest, handler: handler}
 }
 
-// Call sends a request over link and waits for its answer.
+// Call sends a request over link, waits for the answer and decodes it into response.
 func (e *Exchange) Call(ctx context.Context, link Link, method Method, request, response proto.Message) error {
 	if err := ctx.Err(); err != nil {
 		return KindNotSent.Wrap(err, "call %s", method)
@@ -141,7 +142,7 @@
 	}
 	call := &pendingCall{link: link, method: method, answer: make(chan callResult, 1)}
 	e.addPending(requestID, call)
-	defer e.takePending(requestID)
+	defer e.removePending(requestID)
 	if err := link.Enqueue(ctx, &Outgoing{Method: method, Encoded: encoded, call: call}); err != nil {
 		return err
 	}
@@ -153,15 +154,15 @@
 	}
 }
 
-// abandon gives a call up: it was never sent, or its handler is told to stop.
+// abandon ends a call whose ctx has ended. A call that was sent is cancelled at the peer.
 func (e *Exchange) abandon(ctx context.Context, requestID uint64, call *pendingCall) error {
 	if call.state.CompareAndSwap(callQueued, callAbandoned) {
 		return KindNotSent.Wrap(ctx.Err(), "call %s to %s", call.method, call.link.Peer())
 	}
 	cancel := &transportpb.Frame{Kind: transportpb.Frame_KIND_CANCEL, RequestId: requestID}
 	if encoded, err := EncodeFrame(cancel); err == nil {
-		// Best effort: the request's own deadline ends the handler otherwise.
-		_ = call.link.Enqueue(expired, &Outgoing{Method: methodCancel, Encoded: encoded})
+		// Best effort: if the cancel frame is lost, the request's own deadline ends the handler.
+		_ = call.link.Enqueue(expiredContext, &Outgoing{Method: methodCancel, Encoded: encoded})
 	}
 	return KindNoAnswer.Wrap(ctx.Err(), "call %s to %s", call.method, call.link.Peer())
 }
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// Send queues a one-way message on link without waiting.
+// Send queues a one-way message on link without waiting; it returns KindNotSent if the queue is full.
 func (e *Exchange) Send(link Link, method Method, message proto.Message) error {
 	payload, err := proto.Marshal(message)
 	if err != nil {
@@ -193,10 +194,10 @@
 	if err != nil {
 		return err
 	}
-	return link.Enqueue(expired, &Outgoing{Method: method, Encoded: encoded})
+	return link.Enqueue(expiredContext, &Outgoing{Method: method, Encoded: encoded})
 }
 
-// Receive takes one frame of size bytes that came over link. ctx ends with the link.
+// Receive handles one frame of size bytes received over link. ctx must end with the link.
 // It does not wait for handlers. A payload that does not decode is KindMalformed.
 func (e *Exchange) Receive(ctx context.Context, link Link, frame *transportpb.Frame, size int) error {
 	switch frame.GetKind() {
@@ -214,7 +215,7 @@
 }
 
 func (e *Exchange) receiveResponse(link Link, frame *transportpb.Frame, size int) {
-	call := e.takePending(frame.GetRequestId())
+	call := e.removePending(frame.GetRequestId())
 	if call == nil || call.link != link {
 		e.counters.Received("transport.late_response", size)
 		return
@@ -225,18 +226,18 @@
 
 func (e *Exchange) receiveRequest(ctx context.Context, link Link, frame *transportpb.Frame, size int) error {
 	method := Method(frame.GetMethod())
-	registered, known := e.handlers[method]
+	entry, known := e.handlers[method]
 	if !known {
 		e.counters.Received("transport.unknown_method", size)
 		e.respond(ctx, link, frame, nil, outcome.New(outcome.NotRun, outcome.ReasonNotFound, "unknown method "+frame.GetMethod()))
 		return nil
 	}
 	e.counters.Received(method, size)
-	request := registered.newRequest()
+	request := entry.newRequest()
 	if err := proto.Unmarshal(frame.GetPayload(), request); err != nil {
 		return KindMalformed.New("payload of %s is not valid: %s", method, err.Error())
 	}
-	handlerContext, cancel := contextOf(ctx, frame)
+	handlerContext, cancel := withFrameTimeout(ctx, frame)
 	key := runningKey{link: link, requestID: frame.GetRequestId()}
 	if refusal := e.startRunning(key, cancel); refusal != nil {
 		cancel()
@@ -244,16 +245,16 @@
 		return nil
 	}
 	go func() {
-		defer e.handlersDone.Done()
+		defer e.runningHandlers.Done()
 		defer cancel()
 		defer e.endRunning(key)
-		answer, err := registered.handler(handlerContext, link.Peer(), request)
+		answer, err := entry.handler(handlerContext, link.Peer(), request)
 		e.respond(handlerContext, link, frame, answer, err)
 	}()
 	return nil
 }
 
-// respond sends a handler's answer; a one-way message has none.
+// respond sends the response to a request; one-way messages get none.
 func (e *Exchange) respond(ctx context.Context, link Link, request *transportpb.Frame, response proto.Message, err error) {
 	if request.GetKind() != transportpb.Frame_KIND_REQUEST {
 		return
@@ -274,12 +275,12 @@
 			return
 		}
 	}
-	// The caller's deadline bounds the wait for room in the queue; past it nobody listens.
+	// The caller's deadline bounds the wait for queue space; after it nobody waits for the response.
 	_ = link.Enqueue(ctx, &Outgoing{Method: method, Encoded: encoded})
 }
 
-// LinkClosed ends all that waits on or runs for link: calls that were sent get
-// KindNoAnswer, handlers are cancelled.
+// LinkClosed ends all work for a closed link: calls already sent fail with
+// KindNoAnswer, and running handlers are cancelled.
 func (e *Exchange) LinkClosed(link Link, cause error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -296,16 +297,16 @@
 	}
 }
 
-// Wait refuses all further requests and returns when no handler runs any more.
+// Wait refuses all further requests and returns when no handler is running.
 func (e *Exchange) Wait() {
 	e.mutex.Lock()
 	e.stopped = true
 	e.mutex.Unlock()
-	e.handlersDone.Wait()
+	e.runningHandlers.Wait()
 }
 
-// waitsOn says whether a call over link has no answer yet.
-func (e *Exchange) waitsOn(link Link) bool {
+// hasPendingCall reports whether a call over link is waiting for its answer.
+func (e *Exchange) hasPendingCall(link Link) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, call := range e.pending {
@@ -322,7 +323,7 @@
 	e.pending[requestID] = call
 }
 
-func (e *Exchange) takePending(requestID uint64) *pendingCall {
+func (e *Exchange) removePending(requestID uint64) *pendingCall {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	call := e.pending[requestID]
@@ -330,21 +331,21 @@
 	return call
 }
 
-// startRunning counts a handler that is about to run, or tells why it must not.
+// startRunning registers a handler that is about to run, or returns why it must not run.
 func (e *Exchange) startRunning(key runningKey, cancel context.CancelFunc) *outcome.Error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.stopped {
 		return errStopped
 	}
-	if e.perLink[key.link] >= maxRunningHandlers {
+	if e.runningPerLink[key.link] >= maxRunningHandlers {
 		return errTooManyRequests
 	}
-	e.perLink[key.link]++
+	e.runningPerLink[key.link]++
 	if key.requestID != 0 {
 		e.running[key] = cancel
 	}
-	e.handlersDone.Add(1)
+	e.runningHandlers.Add(1)
 	return nil
 }
 
@@ -352,8 +353,8 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.running, key)
-	if e.perLink[key.link]--; e.perLink[key.link] == 0 {
-		delete(e.perLink, key.link)
+	if e.runningPerLink[key.link]--; e.runningPerLink[key.link] == 0 {
+		delete(e.runningPerLink, key.link)
 	}
 }
 
@@ -365,13 +366,14 @@
 	}
 }
 
-// expired is a context that has ended: what takes it never waits.
-var expired = func() context.Context {
+// expiredContext is a cancelled context; Enqueue called with it never waits.
+var expiredContext = func() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }()
 
+// timeoutMicros returns the time until ctx's deadline in microseconds, at least 1; 0 without a deadline.
 func timeoutMicros(ctx context.Context) uint64 {
 	deadline, present := ctx.Deadline()
 	if !present {
@@ -380,7 +382,8 @@
 	return uint64(max(time.Until(deadline).Microseconds(), 1))
 }
 
-func contextOf(ctx context.Context, frame *transportpb.Frame) (context.Context, context.CancelFunc) {
+// withFrameTimeout bounds ctx by the request's timeout, if it has one.
+func withFrameTimeout(ctx context.Context, frame *transportpb.Frame) (context.Context, context.CancelFunc) {
 	if frame.GetTimeoutMicros() == 0 {
 		return context.WithCancel(ctx)
 	}
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// recordingLink keeps the frames that are queued for the peer.
+// recordingLink records the frames queued for the peer.
 type recordingLink struct{ frames []*Outgoing }
 
 func (*recordingLink) Peer() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:1") }
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// A request that arrives while the node stops must not start a handler behind the back of
-// Wait; it is told that it did not run.
+// Guards against a request that arrives while the node stops and starts a handler after Wait
+// has returned; it must be answered as not run.
 func TestRequestAfterWaitIsRefused(t *testing.T) {
 	counters, err := NewCounters(prometheus.NewRegistry())
 	if err != nil {
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// MaxFrameBytes bounds one encoded frame without its length prefix.
+	// MaxFrameBytes bounds one encoded frame, excluding its length prefix.
 	MaxFrameBytes = 4 << 20
-	// lengthPrefixBytes is the size of the big-endian length before each frame.
+	// lengthPrefixBytes is the size of the big-endian length that precedes each frame.
 	lengthPrefixBytes = 4
-	// maxDuration bounds durations read from the wire.
-	maxDuration = 24 * time.Hour
+	// maxWireDuration caps durations read from the wire.
+	maxWireDuration = 24 * time.Hour
 )
 
 // EncodeFrame returns the frame with its length prefix, ready for the wire.
-// A frame over MaxFrameBytes is an error of KindTooLarge.
+// A frame larger than MaxFrameBytes is an error of KindTooLarge.
 func EncodeFrame(frame *transportpb.Frame) ([]byte, error) {
 	size := proto.Size(frame)
 	if size > MaxFrameBytes {
@@ -35,9 +35,10 @@
 	return encoded, nil
 }
 
-// ReadFrame reads one frame and its size on the wire. It returns io.EOF at a clean
-// end between frames, KindMalformed for bytes that are no valid frame, and the
-// reader's error otherwise. It never holds more than MaxFrameBytes.
+// ReadFrame reads one frame and returns it with its size on the wire in bytes. It returns
+// io.EOF at a clean end between frames, KindMalformed for bytes that are not a valid frame,
+// io.ErrUnexpectedEOF if reading fails within a frame's body, and the reader's error
+// otherwise. It never buffers more than MaxFrameBytes.
 func ReadFrame(reader io.Reader) (*transportpb.Frame, int, error) {
 	var prefix [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
@@ -55,11 +56,13 @@
 	return frame, lengthPrefixBytes + int(size), err
 }
 
-// firstAllocation bounds the memory given to a frame whose bytes have not arrived yet.
-const firstAllocation = 64 << 10
+// maxInitialAllocationBytes bounds the memory allocated for a frame before its bytes have arrived.
+const maxInitialAllocationBytes = 64 << 10
 
+// readBody reads size bytes. Its buffer grows with the bytes that arrive, so that a large length
+// prefix alone allocates little.
 func readBody(reader io.Reader, size int) ([]byte, error) {
-	body := make([]byte, 0, min(size, firstAllocation))
+	body := make([]byte, 0, min(size, maxInitialAllocationBytes))
 	for len(body) < size {
 		if len(body) == cap(body) {
 			grown := make([]byte, len(body), min(size, 2*cap(body)))
@@ -75,7 +78,7 @@
 	return body, nil
 }
 
-// decodeFrame decodes and checks what every frame of its kind must have.
+// decodeFrame decodes a frame and checks the fields that its kind requires.
 func decodeFrame(body []byte) (*transportpb.Frame, error) {
 	frame := &transportpb.Frame{}
 	if err := proto.Unmarshal(body, frame); err != nil {
@@ -98,6 +101,7 @@
 	return frame, nil
 }
 
+// microseconds converts a duration from the wire, capped at maxWireDuration.
 func microseconds(count uint64) time.Duration {
-	return time.Duration(min(count, uint64(maxDuration.Microseconds()))) * time.Microsecond
+	return time.Duration(min(count, uint64(maxWireDuration.Microseconds()))) * time.Microsecond
 }
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkRoundTrip: what was accepted is complete and reads back as the same frame.
+// checkRoundTrip checks that an accepted frame has a kind and is the same after encoding and reading it again.
 func checkRoundTrip(t *testing.T, frame *transportpb.Frame, size int) {
 	t.Helper()
 	if size <= lengthPrefixBytes || size > lengthPrefixBytes+MaxFrameBytes {
@@ -71,7 +71,7 @@
 	}
 }
 
-// fillReader gives count zero bytes and notes the largest read asked of it.
+// fillReader returns count bytes and records the largest buffer it was given.
 type fillReader struct {
 	count, largest int
 }
@@ -91,8 +91,8 @@
 	if _, err := readBody(reader, MaxFrameBytes); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatalf("got %v", err)
 	}
-	if reader.largest > firstAllocation {
-		t.Fatalf("made room for %d bytes on a promise", reader.largest)
+	if reader.largest > maxInitialAllocationBytes {
+		t.Fatalf("a read buffer of %d bytes before the data arrived", reader.largest)
 	}
 	if body, err := readBody(&fillReader{count: MaxFrameBytes}, MaxFrameBytes); err != nil || len(body) != MaxFrameBytes {
 		t.Fatalf("a whole frame: %d bytes, %v", len(body), err)
--- a/internal/transport/fx.go
+++ b/internal/transport/fx.go
@@ -14,13 +14,13 @@
 // Module provides the TCP transport as Caller and Registrar.
 var Module = fx.Module("transport",
 	fx.Provide(
-		newForNode,
+		provideTCP,
 		func(tcp *TCP) Caller { return tcp },
 		func(tcp *TCP) Registrar { return tcp },
 	),
 )
 
-func newForNode(
+func provideTCP(
 	lifecycle fx.Lifecycle,
 	node settings.Settings,
 	via network.Network,
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// inbound is a connection that a peer dialled. Answers go back over it.
+// inbound is a connection that a peer dialed. Responses to its requests are sent over it.
 type inbound struct {
 	transport  *TCP
 	connection net.Conn
 	queue      *sendQueue
-	// address is the peer's listen address from its hello, set before the first request.
+	// address is the peer's listen address from its hello; set before the first request is read.
 	address netip.AddrPort
 }
 
 // Peer returns the listen address that the peer gave in its hello.
 func (i *inbound) Peer() netip.AddrPort { return i.address }
 
-// Enqueue queues an answer.
+// Enqueue queues a response.
 func (i *inbound) Enqueue(ctx context.Context, frame *Outgoing) error {
 	return i.queue.put(ctx, i.address, frame)
 }
 
-// run serves the connection until it or ctx ends.
+// run serves the connection until it breaks or ctx ends.
 func (i *inbound) run(ctx context.Context) {
 	defer i.connection.Close()
 	reader := bufio.NewReaderSize(i.connection, bufferBytes)
-	if err := i.greet(ctx, reader); err != nil {
+	if err := i.handshake(ctx, reader); err != nil {
 		i.transport.logBroken(i.address, err)
 		return
 	}
@@ -49,8 +49,8 @@
 	i.transport.exchange.LinkClosed(i, err)
 }
 
-// greet reads the peer's hello and answers with this node's.
-func (i *inbound) greet(ctx context.Context, reader *bufio.Reader) error {
+// handshake reads the peer's hello, bounded by helloTimeout, and replies with this node's.
+func (i *inbound) handshake(ctx context.Context, reader *bufio.Reader) error {
 	if err := i.connection.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
--- a/internal/transport/memory/network_test.go
+++ b/internal/transport/memory/network_test.go
@@ -21,7 +21,7 @@
 
 func newText() *wrapperspb.StringValue { return &wrapperspb.StringValue{} }
 
-// newPair returns a caller and a server that answers with what it got.
+// newPair returns a caller and a server that echoes requests and records them in served.
 func newPair(t *testing.T, network *Network) (caller, server *Transport, served chan string) {
 	t.Helper()
 	served = make(chan string, 100)
@@ -88,7 +88,7 @@
 	network := NewNetwork(7)
 	lost := 0
 	for range 10000 {
-		if network.draw() < 0.05 {
+		if network.randomFloat() < 0.05 {
 			lost++
 		}
 	}
--- a/internal/transport/memory/transport.go
+++ b/internal/transport/memory/transport.go
@@ -24,7 +24,7 @@
 	cancel   context.CancelFunc
 }
 
-// NewTransport returns an end of network at address; it takes no frames before Start.
+// NewTransport returns a transport at address; it receives no frames before Start.
 func NewTransport(network *Network, address netip.AddrPort, registerer prometheus.Registerer) (*Transport, error) {
 	counters, err := transport.NewCounters(registerer)
 	if err != nil {
@@ -46,47 +46,47 @@
 	t.exchange.Handle(method, newRequest, handler)
 }
 
-// Start lets frames in. A transport that was at the same address is replaced.
+// Start attaches the transport to its network, replacing any other at the same address.
 func (t *Transport) Start() { t.network.attach(t) }
 
-// Stop lets no more frames in or out and waits for handlers.
+// Stop stops receiving and sending frames and waits for running handlers.
 func (t *Transport) Stop() {
 	t.cancel()
 	t.network.detach(t)
 	t.exchange.Wait()
 }
 
-// Address is where the transport is on its network.
+// Address returns the transport's address on its network.
 func (t *Transport) Address() netip.AddrPort { return t.address }
 
 // Call sends a request to a node and waits for the answer.
 func (t *Transport) Call(ctx context.Context, to netip.AddrPort, method transport.Method, request, response proto.Message) error {
-	return t.exchange.Call(ctx, edge{local: t, peer: to}, method, request, response)
+	return t.exchange.Call(ctx, link{local: t, peer: to}, method, request, response)
 }
 
 // Send sends a one-way message to a node.
 func (t *Transport) Send(to netip.AddrPort, method transport.Method, message proto.Message) error {
-	return t.exchange.Send(edge{local: t, peer: to}, method, message)
+	return t.exchange.Send(link{local: t, peer: to}, method, message)
 }
 
-// edge is the way from one transport to a peer; edges of the same ends are equal.
-type edge struct {
+// link is the path from one transport to a peer; links with the same ends compare equal.
+type link struct {
 	local *Transport
 	peer  netip.AddrPort
 }
 
-// Peer returns the other end.
-func (e edge) Peer() netip.AddrPort { return e.peer }
+// Peer returns the peer's address.
+func (e link) Peer() netip.AddrPort { return e.peer }
 
-// Enqueue hands the frame to the network.
-func (e edge) Enqueue(_ context.Context, frame *transport.Outgoing) error {
+// Enqueue sends the frame over the network, without queueing. It blocks while the sender is paused.
+func (e link) Enqueue(_ context.Context, frame *transport.Outgoing) error {
 	e.local.network.waitWhilePaused(e.local.address)
 	if e.local.ctx.Err() != nil {
 		return transport.KindNotSent.New("the transport does not run")
 	}
-	if !frame.Depart() {
+	if !frame.MarkSent() {
 		return nil
 	}
 	e.local.counters.Sent(frame.Method, len(frame.Encoded))
-	return e.local.network.carry(e.local.address, e.peer, frame.Encoded)
+	return e.local.network.transmit(e.local.address, e.peer, frame.Encoded)
 }
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -21,25 +21,27 @@
 	dialTimeout      = 3 * time.Second
 	firstDialBackoff = 50 * time.Millisecond
 	maxDialBackoff   = time.Second
-	// idleTimeout closes a dialled connection on which nothing moved and no call waits.
+	// idleTimeout is the time without frames and pending calls after which a dialed connection is closed.
 	idleTimeout     = 2 * time.Minute
 	idleCheckPeriod = 10 * time.Second
-	// quietLimit is the time without a byte of a peer, after something was sent to it, after which it is asked for a sign; a connection on
-	// which none comes within signTimeout is replaced. Together they are below the 3 s after which a deployment counts on a machine again
-	// whose connections were lost. It costs a call each 1.5 s to a peer that is only sent one-way messages.
-	quietLimit  = 1500 * time.Millisecond
-	signTimeout = 500 * time.Millisecond
+	// silenceLimit is the time without a frame from a peer, after something was sent to it, after which the peer is pinged. A
+	// connection on which no frame arrives within pingTimeout of that is replaced. Their sum is below 3 s, the time after which
+	// a deployment relies again on a machine whose connections were lost. The cost is one ping per 1.5 s to a peer that is sent
+	// only one-way messages.
+	silenceLimit = 1500 * time.Millisecond
+	pingTimeout  = 500 * time.Millisecond
 )
 
-// errBackingOff fails frames for a peer that could not be reached a moment ago.
+// errBackingOff fails frames for a peer whose last dial failed, until the backoff has passed.
 var errBackingOff = errors.New("the peer was unreachable a moment ago")
 
-// peer is the dialled way to one node. Its goroutine owns the connection.
+// peer is the outbound link to one node. The goroutine of run owns its connection.
 type peer struct {
 	transport *TCP
 	address   netip.AddrPort
 	queue     *sendQueue
-	// lastUsed is the time of the last frame in either direction, lastReceived that of the last one received, in Unix nanoseconds.
+	// lastUsed is the time of the last frame in either direction, lastReceived that of the last frame received; both in Unix
+	// nanoseconds.
 	lastUsed     atomic.Int64
 	lastReceived atomic.Int64
 }
@@ -47,7 +49,7 @@
 // Peer returns the address that this transport dials.
 func (p *peer) Peer() netip.AddrPort { return p.address }
 
-// Enqueue queues a frame.
+// Enqueue queues a frame, which run sends.
 func (p *peer) Enqueue(ctx context.Context, frame *Outgoing) error {
 	p.touch()
 	return p.queue.put(ctx, p.address, frame)
@@ -55,37 +57,37 @@
 
 func (p *peer) touch() { p.lastUsed.Store(time.Now().UnixNano()) }
 
-// received notes a frame from the peer.
-func (p *peer) received() {
+// noteReceived records the arrival of a frame from the peer.
+func (p *peer) noteReceived() {
 	p.touch()
 	p.lastReceived.Store(time.Now().UnixNano())
 }
 
-// quietSince says that nothing came from the peer since then.
-func (p *peer) quietSince(then time.Time) bool { return p.lastReceived.Load() < then.UnixNano() }
+// silentSince reports whether no frame has arrived from the peer since then.
+func (p *peer) silentSince(then time.Time) bool { return p.lastReceived.Load() < then.UnixNano() }
 
-// givesSign asks the peer for a sign; whatever frame comes from it meanwhile is one.
-func (p *peer) givesSign(ctx context.Context) bool {
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, signTimeout)
+// answersPing pings the peer and reports whether it is alive; any frame that arrives meanwhile counts as an answer.
+func (p *peer) answersPing(ctx context.Context) bool {
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	err := p.transport.exchange.Call(ctx, p, methodSign, &emptypb.Empty{}, &emptypb.Empty{})
-	return err == nil || !p.quietSince(began)
+	err := p.transport.exchange.Call(ctx, p, methodPing, &emptypb.Empty{}, &emptypb.Empty{})
+	return err == nil || !p.silentSince(start)
 }
 
+// idle reports whether the connection can be closed: unused for idleTimeout, with no pending call.
 func (p *peer) idle() bool {
-	unused := time.Since(time.Unix(0, p.lastUsed.Load()))
-	return unused > idleTimeout && !p.transport.exchange.waitsOn(p)
+	idleFor := time.Since(time.Unix(0, p.lastUsed.Load()))
+	return idleFor > idleTimeout && !p.transport.exchange.hasPendingCall(p)
 }
 
-// run dials when there is something to send, until ctx ends. While the peer is
-// unreachable, frames fail at once with KindNotSent and the next dial waits for a
-// jittered backoff.
+// run dials when there is a frame to send, until ctx ends. After a failed dial, frames
+// fail at once with KindNotSent until a jittered backoff has passed.
 func (p *peer) run(ctx context.Context) {
 	defer p.queue.failAll(context.Canceled)
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = firstDialBackoff, maxDialBackoff
-	wait.Reset()
+	dialBackoff := backoff.NewExponentialBackOff()
+	dialBackoff.InitialInterval, dialBackoff.MaxInterval = firstDialBackoff, maxDialBackoff
+	dialBackoff.Reset()
 	var nextDial time.Time
 	for {
 		var first *Outgoing
@@ -102,17 +104,17 @@
 		if err != nil {
 			p.drop(first, err)
 			p.queue.failAll(err)
-			nextDial = time.Now().Add(wait.NextBackOff())
+			nextDial = time.Now().Add(dialBackoff.NextBackOff())
 			continue
 		}
-		wait.Reset()
+		dialBackoff.Reset()
 		p.serve(ctx, connection, first)
 	}
 }
 
-// drop gives up a frame that was taken from the queue and never departed.
+// drop fails a frame that was taken from the queue and not sent.
 func (p *peer) drop(frame *Outgoing, cause error) {
-	p.queue.taken(frame)
+	p.queue.releaseBytes(frame)
 	frame.Fail(cause)
 }
 
@@ -126,11 +128,11 @@
 	return connection, err
 }
 
-// serve runs one connection until it ends.
+// serve runs one connection until it ends; first is the frame for which it was dialed.
 func (p *peer) serve(ctx context.Context, connection net.Conn, first *Outgoing) {
 	exchange, counters := p.transport.exchange, p.transport.counters
-	whole := ctx
-	ctx, cancel := context.WithCancel(whole)
+	transportContext := ctx
+	ctx, cancel := context.WithCancel(transportContext)
 	defer cancel()
 	var readError error
 	readerDone := make(chan struct{})
@@ -140,13 +142,13 @@
 		readError = p.read(ctx, connection)
 	}()
 	writer := newWriter(connection, counters, p.queue)
-	writer.quiet = newQuietWatch(p, func() {
+	writer.silence = newSilenceDetector(p, func() {
 		p.transport.logger.Info().Stringer(logging.FieldPeer, p.address).Msg("silent_connection_closed")
 		counters.silentConnections.Inc()
-		// Its end is what is wanted, whatever comes of it.
+		// Closing fails the pending read and write; its own error does not matter.
 		_ = connection.Close()
 	})
-	defer writer.quiet.stop()
+	defer writer.silence.stop()
 	writeError := writer.writeHello(p.transport.hello)
 	if writeError == nil {
 		writeError = writer.writeBatch(first, writeTimeout)
@@ -154,7 +156,7 @@
 		p.drop(first, writeError)
 	}
 	if writeError == nil {
-		writeError = writer.run(ctx, whole, p.idle)
+		writeError = writer.run(ctx, transportContext, p.idle)
 	}
 	_ = connection.Close()
 	<-readerDone
@@ -167,8 +169,8 @@
 	if _, err := readHello(reader, p.transport.counters); err != nil {
 		return err
 	}
-	return readLoop(ctx, reader, p.transport.exchange, p, p.received)
+	return readLoop(ctx, reader, p.transport.exchange, p, p.noteReceived)
 }
 
-// isMalformed says whether err is the peer's fault and worth a log line.
+// isMalformed reports whether the peer sent an invalid frame, which is logged.
 func isMalformed(err error) bool { return errorx.IsOfType(err, KindMalformed) }
--- a/internal/transport/quiet.go
+++ b/internal/transport/quiet.go
@@ -10,104 +10,107 @@
 	"google.golang.org/protobuf/types/known/emptypb"
 )
 
-// methodSign is answered by every node at once, whatever its handlers wait for.
-const methodSign Method = "transport.sign"
+// methodPing is the method of pings, which every node answers at once, however busy its other handlers are.
+const methodPing Method = "transport.sign"
 
-var signRegistration = registration{
+var pingRegistration = methodRegistration{
 	newRequest: func() proto.Message { return &emptypb.Empty{} },
 	handler: func(context.Context, netip.AddrPort, proto.Message) (proto.Message, error) {
 		return &emptypb.Empty{}, nil
 	},
 }
 
-// quietWatch notices that a connection has gone silent without a reset, which nothing but what is sent over it can show. It is safe for
-// concurrent use.
-type quietWatch struct {
+// silenceDetector detects a connection that stopped delivering data without a reset. Only traffic can show this: if
+// nothing arrives for silenceLimit after something was sent, the detector pings the peer. It is safe for concurrent use.
+type silenceDetector struct {
 	peer *peer
-	// silent is called where the peer gives no sign.
-	silent func()
-	ctx    context.Context
-	cancel context.CancelFunc
-	asking sync.WaitGroup
+	// onSilent is called if the peer does not answer a ping.
+	onSilent func()
+	ctx      context.Context
+	cancel   context.CancelFunc
+	// checks counts scheduled and running checks.
+	checks sync.WaitGroup
 
-	// mutex guards the fields below. timer runs while something was sent of which it is not known whether anything came since; armed is
-	// when the first of that was sent, last when the last was.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	timer *time.Timer
-	armed time.Time
-	last  time.Time
+	// checkTimer is set from a send until a check finds that something was received after the last send, or the peer answers a ping.
+	checkTimer *time.Timer
+	// firstUnconfirmed is the time of the send that scheduled the checks, lastSent that of the last send.
+	firstUnconfirmed time.Time
+	lastSent         time.Time
 }
 
-func newQuietWatch(watched *peer, silent func()) *quietWatch {
-	watch := &quietWatch{peer: watched, silent: silent}
-	watch.ctx, watch.cancel = context.WithCancel(context.Background())
-	return watch
+func newSilenceDetector(monitored *peer, silent func()) *silenceDetector {
+	detector := &silenceDetector{peer: monitored, onSilent: silent}
+	detector.ctx, detector.cancel = context.WithCancel(context.Background())
+	return detector
 }
 
-// sent notes that something is on its way to the peer.
-func (w *quietWatch) sent() {
+// noteSent records that a frame was sent to the peer, and schedules a check unless one is scheduled.
+func (w *silenceDetector) noteSent() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := time.Now()
-	w.last = now
-	if w.timer == nil && w.ctx.Err() == nil {
-		w.armed = now
-		w.lookIn(quietLimit)
+	w.lastSent = now
+	if w.checkTimer == nil && w.ctx.Err() == nil {
+		w.firstUnconfirmed = now
+		w.scheduleCheck(silenceLimit)
 	}
 }
 
-// lookIn looks at the connection some time from now. The mutex is held.
-func (w *quietWatch) lookIn(wait time.Duration) {
-	w.asking.Add(1)
-	w.timer = time.AfterFunc(wait, func() {
-		defer w.asking.Done()
-		w.look(time.Now())
+// scheduleCheck runs check after delay. The caller holds the mutex.
+func (w *silenceDetector) scheduleCheck(delay time.Duration) {
+	w.checks.Add(1)
+	w.checkTimer = time.AfterFunc(delay, func() {
+		defer w.checks.Done()
+		w.check(time.Now())
 	})
 }
 
-// look asks the peer for a sign where something was sent and nothing came for quietLimit.
-func (w *quietWatch) look(now time.Time) {
-	if w.mayWait(now) {
+// check pings the peer if something was sent and nothing received for silenceLimit; without an answer it calls onSilent.
+func (w *silenceDetector) check(now time.Time) {
+	if w.postponeCheck(now) {
 		return
 	}
-	if !w.peer.givesSign(w.ctx) {
+	if !w.peer.answersPing(w.ctx) {
 		if w.ctx.Err() == nil {
-			w.silent()
+			w.onSilent()
 		}
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.timer = nil
+	w.checkTimer = nil
 }
 
-// mayWait says that the peer need not be asked now: all that was sent is followed by something that came, or it has some time left.
-func (w *quietWatch) mayWait(now time.Time) bool {
+// postponeCheck reports whether the peer need not be pinged now: either a frame was received after the last send, which ends the
+// monitoring until the next send, or silenceLimit has not yet passed, and a new check is scheduled.
+func (w *silenceDetector) postponeCheck(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	received := time.Unix(0, w.peer.lastReceived.Load())
-	if !w.last.After(received) || w.ctx.Err() != nil {
-		w.timer = nil
+	if !w.lastSent.After(received) || w.ctx.Err() != nil {
+		w.checkTimer = nil
 		return true
 	}
-	quietFrom := w.armed
-	if received.After(quietFrom) {
-		quietFrom = received
+	silentFrom := w.firstUnconfirmed
+	if received.After(silentFrom) {
+		silentFrom = received
 	}
-	left := quietLimit - now.Sub(quietFrom)
-	if left > 0 {
-		w.lookIn(left)
+	remaining := silenceLimit - now.Sub(silentFrom)
+	if remaining > 0 {
+		w.scheduleCheck(remaining)
 	}
-	return left > 0
+	return remaining > 0
 }
 
-// stop ends the watch and waits for the last question.
-func (w *quietWatch) stop() {
+// stop ends the monitoring and waits for a running check.
+func (w *silenceDetector) stop() {
 	w.cancel()
 	w.mutex.Lock()
-	if w.timer != nil && w.timer.Stop() {
-		w.asking.Done()
+	if w.checkTimer != nil && w.checkTimer.Stop() {
+		w.checks.Done()
 	}
 	w.mutex.Unlock()
-	w.asking.Wait()
+	w.checks.Wait()
 }
--- a/internal/transport/silence_test.go
+++ b/internal/transport/silence_test.go
@@ -21,8 +21,8 @@
 	clientAddress = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-// TestSilentConnectionIsReplaced: a connection to a peer goes silent without a reset. It is noticed by what is sent over it, calls or
-// one-way messages, and replaced; one on which the peer is only slow to answer is kept.
+// TestSilentConnectionIsReplaced: a connection that goes silent without a reset is detected by the calls or one-way messages sent
+// over it, and replaced.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestPeerSlowToAnswerKeepsItsConnection: a call that takes long is no silence.
+// TestPeerSlowToAnswerKeepsItsConnection: a connection is not taken for silent while a long call runs on it.
 func TestPeerSlowToAnswerKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wires := networktest.NewPipes()
@@ -82,7 +82,7 @@
 	})
 }
 
-// TestListenerGoesOnAfterAnError: a failure to accept one connection, as for want of file descriptors, ends nothing.
+// TestListenerGoesOnAfterAnError: a failed accept, for example when file descriptors have run out, does not stop the listener.
 func TestListenerGoesOnAfterAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wires := networktest.NewPipes()
@@ -100,7 +100,7 @@
 	})
 }
 
-// startOver starts a node whose method test.note counts, and test.slow answers after 20 s.
+// startOver starts a node on the network via. Its method test.note counts calls, and test.slow answers after 20 s.
 func startOver(t *testing.T, via network.Network, address netip.AddrPort, noted *atomic.Int32) *TCP {
 	t.Helper()
 	node, err := NewTCPOver(via, "n", address, prometheus.NewRegistry(), zerolog.Nop())
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -16,20 +16,20 @@
 	"github.com/sloelift/sloelift/internal/pause"
 )
 
-// maxInboundConnections bounds connections that peers dialled.
+// maxInboundConnections bounds the connections dialed by peers; further ones are closed at once.
 const maxInboundConnections = 4096
 
-// keepAlive notices a vanished peer on a quiet connection; there are as many as nodes, so that probes are few.
+// keepAlive detects a vanished peer on an idle connection. There is about one connection per node and direction, so probes are few.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// acceptPause is the wait after a connection could not be accepted, as for want of file descriptors.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, for example when file descriptors have run out.
+const acceptRetryDelay = 100 * time.Millisecond
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past; setting it interrupts pending reads.
+var pastDeadline = time.Unix(1, 0)
 
-// TCP is the transport over TCP. Each direction between two nodes has its own
-// connection, which the side with something to send dials.
+// TCP is the transport over TCP. Each node dials its own connection to a peer when it has
+// something to send, so two nodes may have one connection per direction.
 type TCP struct {
 	node     string
 	listen   netip.AddrPort
@@ -38,7 +38,7 @@
 	counters *Counters
 	exchange *Exchange
 
-	// Set by Start, before any other goroutine runs.
+	// The fields below are set by Start, before any other goroutine runs.
 	listener net.Listener
 	address  netip.AddrPort
 	hello    []byte
@@ -53,13 +53,13 @@
 	running sync.WaitGroup
 }
 
-// NewTCP returns a transport on the system's network that will listen on the address
-// listen. node names this node to its peers.
+// NewTCP returns a transport on the system's network that Start makes listen on the
+// address listen. node is the node ID sent to peers.
 func NewTCP(node string, listen netip.AddrPort, registerer prometheus.Registerer, logger zerolog.Logger) (*TCP, error) {
 	return NewTCPOver(network.System{}, node, listen, registerer, logger)
 }
 
-// NewTCPOver is NewTCP on a given network.
+// NewTCPOver is like NewTCP, on the network via.
 func NewTCPOver(via network.Network, node string, listen netip.AddrPort, registerer prometheus.Registerer, logger zerolog.Logger) (*TCP, error) {
 	counters, err := NewCounters(registerer)
 	if err != nil {
@@ -86,7 +86,7 @@
 	t.exchange.Handle(method, newRequest, handler)
 }
 
-// Start listens and serves until Stop.
+// Start starts listening; the transport serves until Stop.
 func (t *TCP) Start() error {
 	listener, err := t.network.Listen(context.Background(), t.listen)
 	if err != nil {
@@ -106,11 +106,11 @@
 	return nil
 }
 
-// Address is the address on which the transport listens; it is valid after Start.
+// Address returns the address on which the transport listens; it is valid after Start.
 func (t *TCP) Address() netip.AddrPort { return t.address }
 
-// Stop sends what is queued on open connections, closes them all and waits for
-// handlers.
+// Stop flushes the queues of open connections, closes all connections and waits for
+// running handlers.
 func (t *TCP) Stop() {
 	t.mutex.Lock()
 	started := t.started
@@ -166,9 +166,9 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			// A listener that ended here would leave the node deaf to its peers until its end.
+			// Keep accepting: returning here would make the node unreachable to its peers until a restart.
 			t.logger.Error().Err(err).Msg("connection_not_accepted")
-			pause.Sleep(t.ctx, acceptPause)
+			pause.Sleep(t.ctx, acceptRetryDelay)
 			continue
 		}
 		select {
@@ -186,14 +186,14 @@
 
 func (t *TCP) serveInbound(connection net.Conn) {
 	network.Watch(connection, keepAlive)
-	// A connection that still waits for its hello ends with the transport too.
-	release := context.AfterFunc(t.ctx, func() { _ = connection.SetReadDeadline(past) })
-	defer release()
+	// Interrupts the wait for the peer's hello when the transport stops.
+	cancelInterrupt := context.AfterFunc(t.ctx, func() { _ = connection.SetReadDeadline(pastDeadline) })
+	defer cancelInterrupt()
 	inbound := &inbound{transport: t, connection: connection, queue: newSendQueue()}
 	inbound.run(t.ctx)
 }
 
-// logBroken writes one line for a connection that a malformed frame ended.
+// logBroken logs the end of a connection if a malformed frame caused it.
 func (t *TCP) logBroken(peer netip.AddrPort, err error) {
 	if isMalformed(err) {
 		t.logger.Warn().Stringer(logging.FieldPeer, peer).Err(err).Msg("malformed_frame")
--- a/internal/transport/tcp_test.go
+++ b/internal/transport/tcp_test.go
@@ -22,7 +22,7 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// logBuffer hands each log line to the test.
+// logBuffer passes each log line to the test.
 type logBuffer struct {
 	lines chan string
 }
@@ -136,7 +136,7 @@
 	}
 	server.Stop()
 	newNode(t, server.Address(), handleEcho)
-	// The first calls may still meet the broken connection; each says so at once.
+	// The first calls may still use the broken connection; each fails at once.
 	for {
 		err := client.Call(t.Context(), server.Address(), "test.echo", newText(), newText())
 		if err == nil {
@@ -201,14 +201,14 @@
 	queue := newSendQueue()
 	frame := &Outgoing{Encoded: make([]byte, MaxFrameBytes)}
 	accepted := 0
-	for queue.put(expired, loopback, frame) == nil {
+	for queue.put(expiredContext, loopback, frame) == nil {
 		accepted++
 	}
 	if accepted != queueBytes/MaxFrameBytes {
 		t.Fatalf("queue took %d frames", accepted)
 	}
 	queue.failAll(context.Canceled)
-	if err := queue.put(expired, loopback, frame); err != nil {
+	if err := queue.put(expiredContext, loopback, frame); err != nil {
 		t.Fatalf("an emptied queue refuses: %v", err)
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -12,21 +12,21 @@
 
 // Caller sends messages to other nodes. It is safe for concurrent use.
 type Caller interface {
-	// Call sends request and waits for the answer, which it decodes into response.
-	// ctx's deadline travels with the request. An error of the remote handler
-	// comes back as *RemoteError; KindNotSent means that the peer never had it.
+	// Call sends request, waits for the answer and decodes it into response.
+	// ctx's deadline is sent with the request. An error of the remote handler is
+	// returned as *RemoteError; KindNotSent means that the peer has not received the request.
 	Call(ctx context.Context, to netip.AddrPort, method Method, request, response proto.Message) error
-	// Send queues a one-way message, best effort: it may be lost without an error.
+	// Send queues a one-way message, best effort: it may be lost without an error being returned.
 	Send(to netip.AddrPort, method Method, message proto.Message) error
 }
 
 // Handler serves one method. For a one-way message the answer is dropped.
 type Handler func(ctx context.Context, from netip.AddrPort, request proto.Message) (proto.Message, error)
 
-// Registrar takes handlers. All are registered before the transport starts.
+// Registrar registers handlers. All must be registered before the transport starts.
 type Registrar interface {
-	// Handle registers handler; newRequest makes an empty request to decode into.
-	// A second registration of a method is a broken invariant and panics.
+	// Handle registers handler; newRequest returns an empty request to decode into.
+	// Registering a method twice panics.
 	Handle(method Method, newRequest func() proto.Message, handler Handler)
 }
 
