--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -7,22 +7,22 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Bounds of the wait between tries against the platform.
+// Parameters of the backoff between retries of calls to the platform.
 const (
 	backoffInitial    = 100 * time.Millisecond
 	backoffMaximum    = 10 * time.Second
 	backoffMultiplier = 2
-	// backoffJitter spreads each wait over [1-j, 1+j] times its value, so that nodes
-	// that failed together do not come back together.
+	// backoffJitter randomizes each delay by a factor in [1-backoffJitter, 1+backoffJitter],
+	// so that nodes that failed together do not retry together.
 	backoffJitter = 0.5
 )
 
-// Backoff gives the jittered, growing waits between tries. It belongs to one goroutine.
+// Backoff computes jittered exponential delays between retries. It is not safe for concurrent use.
 type Backoff struct {
 	exponential *backoff.ExponentialBackOff
 }
 
-// NewBackoff returns a Backoff that starts at its shortest wait.
+// NewBackoff returns a Backoff that starts at its shortest delay.
 func NewBackoff() *Backoff {
 	return &Backoff{exponential: &backoff.ExponentialBackOff{
 		InitialInterval:     backoffInitial,
@@ -32,20 +32,20 @@
 	}}
 }
 
-// NewBackoffUpTo returns a Backoff whose waits stay below about longest.
-func NewBackoffUpTo(longest time.Duration) *Backoff {
+// NewBackoffUpTo returns a Backoff whose delays are at most maximum before jitter.
+func NewBackoffUpTo(maximum time.Duration) *Backoff {
 	limited := NewBackoff()
-	limited.exponential.MaxInterval = longest
+	limited.exponential.MaxInterval = maximum
 	return limited
 }
 
-// Next returns the next wait.
+// Next returns the next delay.
 func (b *Backoff) Next() time.Duration { return b.exponential.NextBackOff() }
 
-// Reset starts again at the shortest wait; call it after a success.
+// Reset restarts at the shortest delay; call it after a success.
 func (b *Backoff) Reset() { b.exponential.Reset() }
 
-// Wait sleeps for the next wait; it returns ctx's error where ctx ends first.
+// Wait sleeps for the next delay; it returns ctx's error if ctx ends first.
 func (b *Backoff) Wait(ctx context.Context) error {
 	timer := time.NewTimer(b.Next())
 	defer timer.Stop()
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,7 +1,7 @@
-// Package platform holds the ports to what the operators' platform gives: the
+// Package platform defines the ports to the services of the operators' platform, which are the
 // key-value service, the machine list and the weight store, with one adapter each.
 //
-// The key-value service is rate-limited, has outages and can lose the answer to a
-// change that took effect. Callers of KeyValue must therefore treat an error of
-// KindUnknownOutcome as "may have happened" and settle it by reading back.
+// The key-value service is rate-limited, has outages, and the answer to a change that took
+// effect can be lost. Callers of KeyValue must therefore treat an error of
+// KindUnknownOutcome as "may have taken effect" and find out by reading back.
 package platform
--- a/internal/platform/etcdjson/messages.go
+++ b/internal/platform/etcdjson/messages.go
@@ -10,7 +10,7 @@
 	PathWatch      = "/v3/watch"
 )
 
-// Header opens each response; Revision is the store's at the time of the answer.
+// Header is the first field of each response; Revision is the store's revision at that time.
 type Header struct {
 	Revision int64 `json:"revision,string,omitempty"`
 }
@@ -25,7 +25,7 @@
 	Lease          int64  `json:"lease,string,omitempty"`
 }
 
-// RangeRequest reads Key, or all keys in [Key, RangeEnd) where RangeEnd is set.
+// RangeRequest reads Key, or all keys in [Key, RangeEnd) if RangeEnd is set.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -38,7 +38,7 @@
 	Count     int64      `json:"count,string,omitempty"`
 }
 
-// Names in a Compare.
+// Values of Target and Result in a Compare.
 const (
 	TargetMod   = "MOD"
 	ResultEqual = "EQUAL"
@@ -100,7 +100,7 @@
 	ID int64 `json:"ID,string"`
 }
 
-// LeaseResponse reports a lease; TimeToLive is in seconds and 0 where it has lapsed.
+// LeaseResponse reports a lease; TimeToLive is in seconds, 0 if the lease has expired.
 type LeaseResponse struct {
 	Header     Header `json:"header"`
 	ID         int64  `json:"ID,string,omitempty"`
@@ -117,7 +117,7 @@
 	Create WatchCreateRequest `json:"create_request"`
 }
 
-// WatchCreateRequest watches [Key, RangeEnd) from StartRevision on.
+// WatchCreateRequest watches [Key, RangeEnd), starting at StartRevision.
 type WatchCreateRequest struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
@@ -127,13 +127,13 @@
 // EventDelete is the type of an event that removed a key; a put has no type.
 const EventDelete = "DELETE"
 
-// Event is one change of one key. A deleted key's KeyValue holds its key and ModRevision only.
+// Event is one change of one key. The KeyValue of a deleted key has only Key and ModRevision set.
 type Event struct {
 	Type     string   `json:"type,omitempty"`
 	KeyValue KeyValue `json:"kv"`
 }
 
-// WatchResponse is one message of a watch stream; all its events are complete revisions.
+// WatchResponse is one message of a watch stream; it never splits the events of a revision.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -148,7 +148,7 @@
 	Error  *Error        `json:"error,omitempty"`
 }
 
-// Codes of gRPC that the gateway reports in Error.
+// gRPC status codes that the gateway reports in Error.
 const (
 	CodeInvalidArgument   = 3
 	CodeNotFound          = 5
@@ -157,8 +157,8 @@
 	CodeUnavailable       = 14
 )
 
-// MessageNoLeader is the text of an Error that surely had no effect, unlike a time-out,
-// which the gateway reports under the same code.
+// MessageNoLeader is the message of an Error for a call that certainly had no effect, unlike a
+// timeout, which the gateway reports with the same code.
 const MessageNoLeader = "etcdserver: no leader"
 
 // Error is the body of every answer that is not 200.
@@ -167,8 +167,8 @@
 	Message string `json:"message"`
 }
 
-// PrefixEnd returns the range end that covers all keys below prefix; it is a zero byte, that is
-// "no end", where prefix is empty or all 0xff.
+// PrefixEnd returns the range end that covers all keys with prefix: a single zero byte, which
+// means "no end", if prefix is empty or all 0xff.
 func PrefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for index := len(end) - 1; index >= 0; index-- {
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -10,60 +10,60 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// Exchanger makes HTTP calls to one address and gives back whatever answer comes. An adapter of a service that speaks HTTP
-// is built on it; what an answer means is the adapter's to say. It is safe for concurrent use.
+// Exchanger makes HTTP calls to one address and returns the answers whatever their status. Adapters of HTTP services use
+// it and interpret the status themselves. It is safe for concurrent use.
 type Exchanger struct {
-	caller   *httpCaller
-	address  netip.AddrPort
-	patience *patience
+	caller  *httpCaller
+	address netip.AddrPort
+	timeout *adaptiveTimeout
 }
 
-// NewExchanger returns an Exchanger; nothing connects yet.
+// NewExchanger returns an Exchanger; it connects on first use.
 func NewExchanger(dialer network.Network, address netip.AddrPort) *Exchanger {
-	return &Exchanger{caller: newHTTPCaller(dialer, []netip.AddrPort{address}), address: address, patience: newPatience()}
+	return &Exchanger{caller: newHTTPCaller(dialer, []netip.AddrPort{address}), address: address, timeout: newAdaptiveTimeout()}
 }
 
-// Close drops the kept connections.
+// Close closes idle connections.
 func (e *Exchanger) Close() { e.caller.close() }
 
-// Read makes a call that changes nothing. Without a whole answer the error is of KindUnavailable.
+// Read makes a call without side effects. Without a complete answer the error is of KindUnavailable.
 func (e *Exchanger) Read(ctx context.Context, method, target string) (status int, body []byte, err error) {
 	return e.exchange(ctx, method, target, readsOnly, nil)
 }
 
-// ReadHeld is Read of an answer that the service holds back for up to hold.
+// ReadHeld is Read of an answer that the service may delay by up to hold, as in long polling.
 func (e *Exchanger) ReadHeld(ctx context.Context, method, target string, hold time.Duration) (status int, body []byte, err error) {
-	return e.within(ctx, hold, method, target, readsOnly, nil)
+	return e.exchangeHeld(ctx, hold, method, target, readsOnly, nil)
 }
 
-// Change makes a call that may change something. Without a whole answer the error is of KindUnavailable where nothing was
+// Change makes a call that may have side effects. Without a complete answer the error is of KindUnavailable if nothing was
 // sent, else of KindUnknownOutcome.
 func (e *Exchanger) Change(ctx context.Context, method, target string, content []byte) (status int, body []byte, err error) {
 	return e.exchange(ctx, method, target, changes, content)
 }
 
 func (e *Exchanger) exchange(ctx context.Context, method, target string, kind effect, content []byte) (int, []byte, error) {
-	return e.within(ctx, 0, method, target, kind, content)
+	return e.exchangeHeld(ctx, 0, method, target, kind, content)
 }
 
-// within makes a call whose answer may be held back for hold.
-func (e *Exchanger) within(ctx context.Context, hold time.Duration, method, target string, kind effect, content []byte) (status int, answer []byte, err error) {
-	err = e.patience.call(ctx, hold, e.caller, func(ctx context.Context, came func()) error {
-		status, answer, err = e.send(ctx, method, target, kind, content, came)
+// exchangeHeld makes a call whose answer the service may delay by up to hold.
+func (e *Exchanger) exchangeHeld(ctx context.Context, hold time.Duration, method, target string, kind effect, content []byte) (status int, answer []byte, err error) {
+	err = e.timeout.call(ctx, hold, e.caller, func(ctx context.Context, onProgress func()) error {
+		status, answer, err = e.send(ctx, method, target, kind, content, onProgress)
 		return err
 	})
 	return status, answer, err
 }
 
-// send makes a call; came is called whenever some of the answer has come.
-func (e *Exchanger) send(ctx context.Context, method, target string, kind effect, content []byte, came func()) (int, []byte, error) {
+// send makes a call; onProgress is called whenever a part of the answer has arrived.
+func (e *Exchanger) send(ctx context.Context, method, target string, kind effect, content []byte, onProgress func()) (int, []byte, error) {
 	answer, err := e.caller.send(ctx, e.address, method, target, kind, content)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer closeBody(answer)
-	came()
-	body, err := io.ReadAll(io.LimitReader(&comingReader{answer.Body, came}, maxAnswerBody))
+	onProgress()
+	body, err := io.ReadAll(io.LimitReader(&progressReader{answer.Body, onProgress}, maxAnswerBodyBytes))
 	if err != nil && kind == changes && answer.StatusCode == http.StatusOK {
 		return 0, nil, KindUnknownOutcome.Wrap(err, "the answer of %s broke off", e.address)
 	}
@@ -73,16 +73,16 @@
 	return answer.StatusCode, body, nil
 }
 
-// comingReader calls came whenever it has read something.
-type comingReader struct {
+// progressReader calls onProgress after each read that returned data.
+type progressReader struct {
 	io.Reader
-	came func()
+	onProgress func()
 }
 
-func (r *comingReader) Read(buffer []byte) (int, error) {
+func (r *progressReader) Read(buffer []byte) (int, error) {
 	count, err := r.Reader.Read(buffer)
 	if count > 0 {
-		r.came()
+		r.onProgress()
 	}
 	return count, err
 }
--- a/internal/platform/follow.go
+++ b/internal/platform/follow.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// followLongestWait bounds the wait between tries to follow a prefix, listTimeout one listing, longListTimeout one of many entries: each
-	// of its pages has a bound of its own.
-	followLongestWait = 700 * time.Millisecond
-	listTimeout       = 3 * time.Second
-	longListTimeout   = 30 * time.Second
-	// gatherWait is how long changes are gathered before the service is asked for more: each answer costs a call.
-	gatherWait = 200 * time.Millisecond
+	// maxFollowBackoff bounds the delay between attempts to follow a prefix.
+	maxFollowBackoff = 700 * time.Millisecond
+	// listTimeout bounds one listing, longListTimeout one of many entries, whose pages each have a bound of their own as well.
+	listTimeout     = 3 * time.Second
+	longListTimeout = 30 * time.Second
+	// coalesceDelay is the pause after changes before more are read, so that several changes arrive in one answer: each answer costs a call.
+	coalesceDelay = 200 * time.Millisecond
 )
 
-// Follower takes in the content below a prefix.
+// Follower receives the content below a prefix and its changes.
 type Follower struct {
-	// Replace is given the whole content, at first and after changes were missed.
+	// Replace receives the complete content: first, and again after changes were missed.
 	Replace func(listing Listing)
-	// Update is given the changes of one revision; both lists are empty where only the revision has moved on.
+	// Update receives the changes of one revision; both lists are empty if only the revision has advanced.
 	Update func(revision int64, changed []Entry, deleted []string)
-	// Failed is told of each error; the Follower goes on by itself.
+	// Failed is called with each error; Follow then retries, except after KindTooLong.
 	Failed func(err error)
-	// Behind says, where it is set, that changes were missed: the prefix is listed again.
+	// Behind, if set, signals that changes were missed, so that the prefix is listed again.
 	Behind <-chan struct{}
-	// MostEntries bounds the listings, where it is above 0: Follow ends where there are more entries. Long gives them more time.
+	// MostEntries is the maximum size of a listing if it is above 0: Follow ends if there are more entries.
 	MostEntries int
-	Long        bool
+	// Long allows listings longListTimeout instead of listTimeout.
+	Long bool
 }
 
-// Follow keeps a Follower informed of what lies below prefix until ctx ends, or there are too many entries: one listing, then watches from
-// where the last one ended. Only where the service has dropped its history, or Behind says so, is the prefix listed again.
+// Follow passes the content below prefix and its changes to follower, until ctx ends or there are too many entries. It lists once
+// and then watches, each watch continuing where the last one ended. It lists again only if the service has compacted the revisions
+// needed, or if Behind signals missed changes.
 func Follow(ctx context.Context, store KeyValue, prefix string, follower Follower) {
-	waits := NewBackoffUpTo(followLongestWait)
+	retryBackoff := NewBackoffUpTo(maxFollowBackoff)
 	revision := int64(0)
 	for ctx.Err() == nil {
 		var err error
 		if revision == 0 {
 			revision, err = listInto(ctx, store, prefix, follower)
 		} else {
-			revision, err = watchInto(ctx, store, prefix, revision, follower, waits)
+			revision, err = watchInto(ctx, store, prefix, revision, follower, retryBackoff)
 		}
 		if err == nil {
-			waits.Reset()
+			retryBackoff.Reset()
 			continue
 		}
 		if errorx.IsOfType(err, KindCompacted) {
@@ -60,10 +62,11 @@
 		if ctx.Err() == nil {
 			follower.Failed(err)
 		}
-		_ = waits.Wait(ctx)
+		_ = retryBackoff.Wait(ctx)
 	}
 }
 
+// listInto passes one listing to follower and returns its revision.
 func listInto(ctx context.Context, store KeyValue, prefix string, follower Follower) (int64, error) {
 	timeout := listTimeout
 	if follower.Long {
@@ -82,9 +85,9 @@
 	return listing.Revision, nil
 }
 
-// watchInto delivers changes behind revision until the watch ends, and returns the revision up to which all are delivered;
-// 0 asks for a listing.
-func watchInto(ctx context.Context, store KeyValue, prefix string, revision int64, follower Follower, waits *Backoff) (int64, error) {
+// watchInto passes the changes after revision to follower until the watch ends, and returns the revision up to which all have
+// been passed on; 0 requests a new listing.
+func watchInto(ctx context.Context, store KeyValue, prefix string, revision int64, follower Follower, retryBackoff *Backoff) (int64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	events, err := store.Watch(ctx, prefix, revision+1)
@@ -100,11 +103,11 @@
 			if event.Err != nil {
 				return revision, event.Err
 			}
-			waits.Reset()
+			retryBackoff.Reset()
 			follower.Update(event.Revision, event.Changed, event.Deleted)
 			revision = max(revision, event.Revision)
 			if len(event.Changed)+len(event.Deleted) > 0 && !event.More && len(events) == 0 {
-				pause.Sleep(ctx, gatherWait)
+				pause.Sleep(ctx, coalesceDelay)
 			}
 		case <-follower.Behind:
 			return 0, nil
--- a/internal/platform/follow_test.go
+++ b/internal/platform/follow_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// answeringStore answers each watch call with so many changes at once, as a service does after a busy moment, and then with the revision.
+// answeringStore answers each watch call with a batch of changes, as a service does after a burst of writes, then with the revision.
 type answeringStore struct {
 	KeyValue
 	changes int
-	// answers is how many answers were taken.
+	// answers counts the answers that were received.
 	answers int
 }
 
@@ -39,26 +39,26 @@
 	return events, nil
 }
 
-// TestChangesOfOneAnswerAreTakenAtOnce: many changes that came together are in force together; the wait for more is between answers.
+// TestChangesOfOneAnswerAreTakenAtOnce: changes of one answer are delivered without delay between them; coalesceDelay applies only between answers.
 func TestChangesOfOneAnswerAreTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &answeringStore{changes: 40}
 		ctx, cancel := context.WithCancel(t.Context())
-		taken := 0
+		received := 0
 		go Follow(ctx, store, "k", Follower{
 			Replace: func(Listing) {},
-			Update:  func(_ int64, changed []Entry, _ []string) { taken += len(changed) },
+			Update:  func(_ int64, changed []Entry, _ []string) { received += len(changed) },
 			Failed:  func(error) {},
 		})
-		time.Sleep(gatherWait / 2)
+		time.Sleep(coalesceDelay / 2)
 		synctest.Wait()
-		if taken != store.changes {
-			t.Errorf("%d of %d changes are taken", taken, store.changes)
+		if received != store.changes {
+			t.Errorf("%d of %d changes were received", received, store.changes)
 		}
-		time.Sleep(4 * gatherWait)
+		time.Sleep(4 * coalesceDelay)
 		synctest.Wait()
 		if store.answers > 5 {
-			t.Errorf("%d answers in %s: the wait between them is left out", store.answers, 4*gatherWait)
+			t.Errorf("%d answers in %s: no coalesceDelay between them", store.answers, 4*coalesceDelay)
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/platform/fx.go
+++ b/internal/platform/fx.go
@@ -9,8 +9,8 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// Module provides KeyValue, MachineList and WeightStore from the settings. Nothing
-// connects at start, so a node starts while the platform is down.
+// Module provides KeyValue, MachineList and WeightStore from the settings. They
+// connect on first use, so that a node can start while the platform is down.
 var Module = fx.Module("platform",
 	fx.Provide(provideKeyValue, provideMachineList, provideWeightStore),
 )
--- a/internal/platform/http_caller.go
+++ b/internal/platform/http_caller.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// maxErrorBody bounds what is read of an error's body.
-	maxErrorBody = 64 << 10
-	// maxAnswerBody bounds one answer.
-	maxAnswerBody = 64 << 20
+	// maxErrorBodyBytes bounds the bytes read of an error answer's body.
+	maxErrorBodyBytes = 64 << 10
+	// maxAnswerBodyBytes bounds the bytes read of an answer's body.
+	maxAnswerBodyBytes = 64 << 20
 )
 
-// effect says whether a call may change something, which decides what a missing answer means.
+// effect is whether a call may have side effects, which determines the error kind of a missing answer.
 type effect bool
 
 const (
@@ -33,7 +33,7 @@
 )
 
 // httpCaller makes HTTP JSON calls to one of several addresses of one service. It
-// stays with the address that answered last.
+// prefers the address that last answered with status 200.
 type httpCaller struct {
 	client    *http.Client
 	addresses []netip.AddrPort
@@ -49,7 +49,7 @@
 
 func (c *httpCaller) close() { c.client.CloseIdleConnections() }
 
-// post sends request as JSON and decodes the answer into response, which may be nil.
+// post sends request as JSON and decodes the answer into response, unless that is nil.
 func (c *httpCaller) post(ctx context.Context, path string, kind effect, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return decodeAnswer(answer, kind, response)
 }
 
-// get reads path into response.
+// get requests path and decodes the answer into response.
 func (c *httpCaller) get(ctx context.Context, path string, response any) error {
 	answer, err := c.open(ctx, http.MethodGet, path, readsOnly, nil)
 	if err != nil {
@@ -72,7 +72,8 @@
 }
 
 // open sends a request to the addresses in turn and returns the first answer with
-// status 200; its body must be closed. The next address is tried only where the call surely had no effect.
+// status 200; the caller must close its body. The next address is tried only if the call certainly
+// had no effect.
 func (c *httpCaller) open(ctx context.Context, method, path string, kind effect, body []byte) (*http.Response, error) {
 	if len(c.addresses) == 0 {
 		return nil, KindUnavailable.New("no address is set for this service")
@@ -108,12 +109,12 @@
 	return answer, nil
 }
 
-// send makes one call and returns its answer, whatever its status.
+// send makes one call and returns the answer whatever its status.
 func (c *httpCaller) send(
 	ctx context.Context, address netip.AddrPort, method, path string, kind effect, body []byte,
 ) (*http.Response, error) {
-	// The transport repeats a POST by itself only where it wrote nothing of it, and asks for
-	// a connection anew then.
+	// http.Transport retries a POST by itself only if it wrote nothing of it, and then requests
+	// a connection again.
 	var maybeSent atomic.Bool
 	trace := &httptrace.ClientTrace{
 		GetConn: func(string) { maybeSent.Store(false) },
@@ -135,13 +136,13 @@
 	return answer, nil
 }
 
-// decodeAnswer reads a 200 answer. One that breaks off is a missing answer.
+// decodeAnswer decodes an answer of status 200. An incomplete one counts as missing.
 func decodeAnswer(answer *http.Response, kind effect, response any) error {
 	defer closeBody(answer)
 	if response == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxAnswerBody)).Decode(response); err != nil {
+	if err := json.NewDecoder(io.LimitReader(answer.Body, maxAnswerBodyBytes)).Decode(response); err != nil {
 		if kind == changes {
 			return KindUnknownOutcome.Wrap(err, "the answer of %s broke off", answer.Request.URL.Host)
 		}
@@ -150,10 +151,10 @@
 	return nil
 }
 
-// answerError maps an answer that is not 200 to an error kind; the message begins with the address.
+// answerError converts an answer of another status than 200 to an error; its message begins with the address.
 func answerError(answer *http.Response, kind effect) error {
 	var body etcdjson.Error
-	decodeError := json.NewDecoder(io.LimitReader(answer.Body, maxErrorBody)).Decode(&body)
+	decodeError := json.NewDecoder(io.LimitReader(answer.Body, maxErrorBodyBytes)).Decode(&body)
 	if decodeError != nil && !errors.Is(decodeError, io.EOF) {
 		body.Message = answer.Status
 	}
@@ -174,8 +175,8 @@
 	}
 }
 
-// closeBody drains a short rest so that the connection can be used again.
+// closeBody drains up to maxErrorBodyBytes of the body, so that the connection can be reused, and closes it.
 func closeBody(answer *http.Response) {
-	_, _ = io.CopyN(io.Discard, answer.Body, maxErrorBody)
+	_, _ = io.CopyN(io.Discard, answer.Body, maxErrorBodyBytes)
 	_ = answer.Body.Close()
 }
--- a/internal/platform/http_caller_test.go
+++ b/internal/platform/http_caller_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestErrorKinds tells, for each answer of the gateway, the kind of error that a read and a change get.
+// TestErrorKinds prints, for each answer of the gateway, the error kinds that a read and a change return.
 func TestErrorKinds(t *testing.T) {
 	datadriven.RunTest(t, "testdata/error_kinds", func(t *testing.T, data *datadriven.TestData) string {
 		var status int
@@ -74,7 +74,7 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// closedAddress is one on which nothing listens any more.
+// closedAddress returns an address on which nothing listens any more.
 func closedAddress(t *testing.T) netip.AddrPort {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/platform/keyvalue.go
+++ b/internal/platform/keyvalue.go
@@ -21,13 +21,13 @@
 	Revision int64
 }
 
-// Condition holds when the key's ModRevision equals the given one (0: must not exist).
+// Condition holds if the key's ModRevision equals the given one; 0 means that the key must not exist.
 type Condition struct {
 	Key         string
 	ModRevision int64
 }
 
-// Change puts a value or, with Delete set, removes the key.
+// Change writes a value or, if Delete is set, removes the key.
 type Change struct {
 	Key     string
 	Value   []byte
@@ -35,14 +35,14 @@
 	LeaseID LeaseID
 }
 
-// Transaction makes all Changes at one revision if all Conditions hold, else none.
+// Transaction applies all Changes at one revision if all Conditions hold, else none.
 type Transaction struct {
 	Conditions []Condition
 	Changes    []Change
 }
 
-// CommitResult reports a Transaction. Where Committed is false, Current holds the
-// entries of the Conditions' keys as they stood.
+// CommitResult is the result of a Transaction. If Committed is false, Current holds the
+// entries of the Conditions' keys at that time.
 type CommitResult struct {
 	Committed bool
 	Revision  int64
@@ -54,13 +54,13 @@
 
 // WatchEvent carries changes of one revision, or the error that ended the watch.
 type WatchEvent struct {
-	// More says that the next event comes without a further call to the service.
+	// More reports that the next event follows without a further call to the service.
 	More     bool
 	Revision int64
 	Changed  []Entry
 	// Deleted holds keys that were removed.
 	Deleted []string
-	// Err is set on the last event. KindCompacted means: list again, then watch.
+	// Err is set on the last event only. After KindCompacted the reader must list again before it watches.
 	Err error
 }
 
@@ -71,34 +71,39 @@
 	Get(ctx context.Context, key string) (Entry, error)
 	// List reads all keys below prefix at one revision.
 	List(ctx context.Context, prefix string) (Listing, error)
-	// Commit makes one transaction. An error of KindUnknownOutcome may have taken effect.
+	// Commit executes one transaction. After an error of KindUnknownOutcome it may have taken effect.
 	Commit(ctx context.Context, transaction Transaction) (CommitResult, error)
 	// Watch delivers changes below prefix with revision >= fromRevision, in order,
 	// until ctx ends or an event with Err is delivered; then the channel is closed.
 	Watch(ctx context.Context, prefix string, fromRevision int64) (<-chan WatchEvent, error)
+	// GrantLease creates a lease.
 	GrantLease(ctx context.Context, timeToLive time.Duration) (LeaseID, error)
+	// KeepAlive renews a lease and returns its time to live. An expired lease is an error of KindLeaseNotFound.
 	KeepAlive(ctx context.Context, lease LeaseID) (timeToLive time.Duration, err error)
+	// RevokeLease ends a lease and removes its keys.
 	RevokeLease(ctx context.Context, lease LeaseID) error
 }
 
-// mostEntriesKey is the key of a context's bound on listings.
-type mostEntriesKey struct{}
+// maxEntriesKey is the context key of the maximum size of listings.
+type maxEntriesKey struct{}
 
-// WithMostEntries returns a context whose listings fail with KindTooLong as soon as there are more entries than most.
-func WithMostEntries(ctx context.Context, most int) context.Context {
-	return context.WithValue(ctx, mostEntriesKey{}, most)
+// WithMostEntries returns a context in which listings of more than maximum entries fail with KindTooLong.
+func WithMostEntries(ctx context.Context, maximum int) context.Context {
+	return context.WithValue(ctx, maxEntriesKey{}, maximum)
 }
 
-// TooMany returns the error of a listing that has read so many entries and is not at its end, where ctx bounds them to fewer; else nil.
+// TooMany returns an error of KindTooLong if entries, the number read so far by an unfinished listing, exceeds the maximum set in ctx;
+// else nil.
 func TooMany(ctx context.Context, entries int) error {
-	most, bounded := ctx.Value(mostEntriesKey{}).(int)
-	if !bounded || entries <= most {
+	maximum, bounded := ctx.Value(maxEntriesKey{}).(int)
+	if !bounded || entries <= maximum {
 		return nil
 	}
-	return KindTooLong.New("more than %d entries", most)
+	return KindTooLong.New("more than %d entries", maximum)
 }
 
-// StaleLister is a KeyValue that has cheaper listings, which may be seconds old.
+// StaleLister is implemented by a KeyValue that offers cheaper listings, which may be seconds old.
 type StaleLister interface {
+	// ListStale is like KeyValue.List, of a state that may be seconds old.
 	ListStale(ctx context.Context, prefix string) (Listing, error)
 }
--- a/internal/platform/keyvalue_http.go
+++ b/internal/platform/keyvalue_http.go
@@ -21,17 +21,17 @@
 var _ KeyValue = (*KeyValueHTTP)(nil)
 
 // NewKeyValueHTTP returns an adapter that tries addresses in turn and makes at
-// most requestsPerSecond calls (0: no bound). It connects on first use.
+// most requestsPerSecond calls per second (0: no limit). It connects on first use.
 func NewKeyValueHTTP(
 	dialer network.Network, addresses []netip.AddrPort, requestsPerSecond float64,
 ) *KeyValueHTTP {
 	return &KeyValueHTTP{caller: newHTTPCaller(dialer, addresses), limiter: newCallLimiter(requestsPerSecond)}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (k *KeyValueHTTP) Close() { k.caller.close() }
 
-// request is one call: what it is for, and whether it may change something.
+// request is one call; purpose is its rate-limit bucket, kind whether it may have side effects.
 type request struct {
 	path    string
 	purpose string
@@ -40,13 +40,13 @@
 }
 
 // call makes one call within the rate limit and callTimeout.
-func (k *KeyValueHTTP) call(ctx context.Context, made request, response any) error {
+func (k *KeyValueHTTP) call(ctx context.Context, call request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := k.limiter.wait(ctx, made.purpose); err != nil {
+	if err := k.limiter.wait(ctx, call.purpose); err != nil {
 		return err
 	}
-	return k.caller.post(ctx, made.path, made.kind, made.body, response)
+	return k.caller.post(ctx, call.path, call.kind, call.body, response)
 }
 
 // Get reads one key.
@@ -77,7 +77,7 @@
 	return Listing{Entries: entriesOf(response.KeyValues), Revision: response.Header.Revision}, nil
 }
 
-// Commit makes one transaction.
+// Commit executes one transaction.
 func (k *KeyValueHTTP) Commit(ctx context.Context, transaction Transaction) (CommitResult, error) {
 	var response etcdjson.TxnResponse
 	err := k.call(ctx, request{
@@ -103,7 +103,7 @@
 	return result, nil
 }
 
-// transactionPurpose is that of the first key; a transaction stays within one slice.
+// transactionPurpose returns the purpose of the first key; all keys of a transaction belong to one slice.
 func transactionPurpose(transaction Transaction) string {
 	switch {
 	case len(transaction.Conditions) > 0:
@@ -116,22 +116,22 @@
 }
 
 func transactionRequest(transaction Transaction) etcdjson.TxnRequest {
-	var made etcdjson.TxnRequest
+	var result etcdjson.TxnRequest
 	for _, condition := range transaction.Conditions {
-		made.Compare = append(made.Compare, etcdjson.Compare{
+		result.Compare = append(result.Compare, etcdjson.Compare{
 			Key:         []byte(condition.Key),
 			Target:      etcdjson.TargetMod,
 			Result:      etcdjson.ResultEqual,
 			ModRevision: condition.ModRevision,
 		})
-		made.Failure = append(made.Failure, etcdjson.RequestOperation{
+		result.Failure = append(result.Failure, etcdjson.RequestOperation{
 			Range: &etcdjson.RangeRequest{Key: []byte(condition.Key)},
 		})
 	}
 	for _, change := range transaction.Changes {
-		made.Success = append(made.Success, changeOperation(change))
+		result.Success = append(result.Success, changeOperation(change))
 	}
-	return made
+	return result
 }
 
 func changeOperation(change Change) etcdjson.RequestOperation {
@@ -148,7 +148,7 @@
 	return k.call(ctx, request{path: path, purpose: purposeLeases, kind: kind, body: body}, response)
 }
 
-// GrantLease asks for a lease; timeToLive is rounded up to whole seconds.
+// GrantLease creates a lease; timeToLive is rounded up to whole seconds.
 func (k *KeyValueHTTP) GrantLease(ctx context.Context, timeToLive time.Duration) (LeaseID, error) {
 	seconds := int64((timeToLive + time.Second - 1) / time.Second)
 	var response etcdjson.LeaseResponse
@@ -156,7 +156,7 @@
 	return LeaseID(response.ID), err
 }
 
-// KeepAlive renews a lease and returns its time to live. It can be repeated.
+// KeepAlive renews a lease and returns its time to live. It is idempotent, so it is sent as a read.
 func (k *KeyValueHTTP) KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error) {
 	var response etcdjson.KeepAliveResponse
 	err := k.callLease(ctx, etcdjson.PathKeepAlive, readsOnly, etcdjson.LeaseRequest{ID: int64(lease)}, &response)
@@ -186,8 +186,8 @@
 
 func entriesOf(stored []etcdjson.KeyValue) []Entry {
 	entries := make([]Entry, 0, len(stored))
-	for _, one := range stored {
-		entries = append(entries, entryOf(one))
+	for _, keyValue := range stored {
+		entries = append(entries, entryOf(keyValue))
 	}
 	return entries
 }
--- a/internal/platform/keyvalue_watch.go
+++ b/internal/platform/keyvalue_watch.go
@@ -9,10 +9,10 @@
 	"github.com/sloelift/sloelift/internal/platform/etcdjson"
 )
 
-// watchBuffer is how many events wait for a slow reader before the stream is held back.
+// watchBuffer is the number of events buffered for a slow reader before the stream is no longer read.
 const watchBuffer = 16
 
-// Watch opens a watch stream.
+// Watch opens a watch stream; opening it is bounded by callTimeout.
 func (k *KeyValueHTTP) Watch(ctx context.Context, prefix string, fromRevision int64) (<-chan WatchEvent, error) {
 	if err := k.limiter.wait(ctx, purposeOf(prefix)); err != nil {
 		return nil, err
@@ -23,15 +23,15 @@
 	if err != nil {
 		return nil, KindRefused.Wrap(err, "encode request")
 	}
-	// The stream lives until ctx ends; only its opening is bounded.
+	// The stream lasts until ctx ends; only its opening has a timeout.
 	ctx, cancel := context.WithCancel(ctx)
-	overdue := time.AfterFunc(callTimeout, cancel)
+	openTimer := time.AfterFunc(callTimeout, cancel)
 	answer, err := k.caller.open(ctx, http.MethodPost, etcdjson.PathWatch, readsOnly, body)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	if !overdue.Stop() {
+	if !openTimer.Stop() {
 		cancel()
 		_ = answer.Body.Close()
 		return nil, KindUnavailable.New("watch did not open in time")
@@ -44,7 +44,7 @@
 	return events, nil
 }
 
-// readWatch delivers the stream's events until it breaks off or ctx ends.
+// readWatch delivers the stream's events until the stream ends or ctx ends.
 func readWatch(ctx context.Context, answer *http.Response, events chan<- WatchEvent) {
 	defer close(events)
 	defer func() { _ = answer.Body.Close() }()
@@ -67,6 +67,7 @@
 	}
 }
 
+// deliver sends event; it reports false if ctx ended first.
 func deliver(ctx context.Context, events chan<- WatchEvent, event WatchEvent) bool {
 	select {
 	case events <- event:
@@ -76,6 +77,7 @@
 	}
 }
 
+// watchError returns the error that a message reports, or nil.
 func watchError(message etcdjson.WatchMessage) error {
 	switch {
 	case message.Error != nil:
@@ -89,7 +91,7 @@
 	}
 }
 
-// watchEvents groups changes, which come in order, by their revision.
+// watchEvents groups changes, which are ordered by revision, into one event per revision.
 func watchEvents(changed []etcdjson.Event) []WatchEvent {
 	var grouped []WatchEvent
 	for _, event := range changed {
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// minimumBurst lets a node that just started make its first few calls at once.
+	// minimumBurst is the minimum burst in calls, so that a node that has just started can make its first calls at once.
 	minimumBurst = 5
-	// purposeShare is the part of the node's rate that one purpose may use, so that none can
-	// keep all others from the service.
+	// purposeShare is the fraction of the node's rate that one purpose may use, so that no
+	// purpose can starve the others.
 	purposeShare = 0.5
-	// keyDepth is how many leading parts of a key name its purpose: "/sloelift/config".
+	// keyDepth is the number of leading segments of a key that form its purpose: "sloelift/config" for
+	// "/sloelift/config/head".
 	keyDepth = 2
 	// purposeLeases is the purpose of calls that name no key.
 	purposeLeases = "leases"
 )
 
-// callLimiter bounds a node's calls in all and by purpose, which is the slice that owns the
-// key. It is safe for concurrent use.
+// callLimiter limits the rate of a node's calls, in total and by purpose, which is the slice
+// that owns the key. It is safe for concurrent use.
 type callLimiter struct {
 	perSecond float64
 	total     *rate.Limiter
@@ -31,7 +32,7 @@
 	byPurpose map[string]*rate.Limiter
 }
 
-// newCallLimiter bounds calls to perSecond; 0 or less is no bound.
+// newCallLimiter limits calls to perSecond; 0 or less means no limit.
 func newCallLimiter(perSecond float64) *callLimiter {
 	return &callLimiter{
 		perSecond: perSecond,
@@ -47,10 +48,10 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(minimumBurst, int(perSecond)))
 }
 
-// wait blocks until a call for purpose is allowed. Where that is not before ctx's deadline
-// it returns KindRateLimited at once; nothing was sent.
+// wait blocks until a call for purpose is allowed. If that would be after ctx's deadline, it
+// returns KindRateLimited at once.
 func (l *callLimiter) wait(ctx context.Context, purpose string) error {
-	if err := l.of(purpose).Wait(ctx); err != nil {
+	if err := l.limiterFor(purpose).Wait(ctx); err != nil {
 		return KindRateLimited.Wrap(err, "wait for this node's own rate of %s", purpose)
 	}
 	if err := l.total.Wait(ctx); err != nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-func (l *callLimiter) of(purpose string) *rate.Limiter {
+func (l *callLimiter) limiterFor(purpose string) *rate.Limiter {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	limiter, present := l.byPurpose[purpose]
@@ -70,7 +71,7 @@
 	return limiter
 }
 
-// purposeOf returns the leading parts of a key.
+// purposeOf returns the first keyDepth segments of a key.
 func purposeOf(key string) string {
 	parts := strings.SplitN(strings.TrimPrefix(key, "/"), "/", keyDepth+1)
 	return strings.Join(parts[:min(keyDepth, len(parts))], "/")
--- a/internal/platform/machinelist.go
+++ b/internal/platform/machinelist.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// MachineRole says what runs on a machine.
+// MachineRole is what runs on a machine.
 type MachineRole string
 
 // Roles in the machine list.
@@ -14,10 +14,10 @@
 	RoleReplica MachineRole = "replica"
 )
 
-// MachineState is the platform's view of a machine; it lags.
+// MachineState is the platform's view of a machine, which lags behind its actual state.
 type MachineState string
 
-// States in the machine list. A machine that is gone is not listed.
+// States in the machine list. A removed machine is not listed.
 const (
 	MachineLive    MachineState = "live"
 	MachineLeaving MachineState = "leaving"
@@ -33,11 +33,11 @@
 	State  MachineState `json:"state"`
 	// Address is the engine's HTTP address for a replica and the peer transport's for a node.
 	Address netip.AddrPort `json:"address"`
-	// Service is the Service that a replica is bought for; empty for a node.
+	// Service is the service to which a replica is assigned; empty for a node.
 	Service string `json:"service,omitempty"`
 }
 
-// MachineListing is the whole list; Version rises with each change.
+// MachineListing is the complete list; Version increases with each change.
 type MachineListing struct {
 	Version  int64     `json:"version"`
 	Machines []Machine `json:"machines"`
@@ -45,6 +45,6 @@
 
 // MachineList is the port to the platform's lagging list of machines.
 type MachineList interface {
-	// List returns the present listing.
+	// List returns the current listing.
 	List(ctx context.Context) (MachineListing, error)
 }
--- a/internal/platform/patience.go
+++ b/internal/platform/patience.go
@@ -7,61 +7,65 @@
 )
 
 const (
-	// shortestPatience and longestPatience bound the wait for an answer that is not held back on purpose.
-	shortestPatience = 400 * time.Millisecond
-	longestPatience  = 4 * time.Second
-	// patienceOfLatency is how many times the last answer's time the next one may take.
-	patienceOfLatency = 4
+	// minAnswerTimeout and maxAnswerTimeout bound the adaptive timeout, which excludes an intended delay of the answer.
+	minAnswerTimeout = 400 * time.Millisecond
+	maxAnswerTimeout = 4 * time.Second
+	// timeoutLatencyFactor is the ratio of the timeout to the latency of the last answer.
+	timeoutLatencyFactor = 4
 )
 
-// patience is how long an answer, or more of it, is waited for. A service that comes back after silence does not answer what was sent before, so
-// the wait is short at first; one that is slow is given more time with each answer that does not come. It is safe for concurrent use.
-type patience struct {
-	mutex sync.Mutex
-	wait  time.Duration
+// adaptiveTimeout is the timeout for the next part of an answer from one service. It starts short, since a service that recovers after
+// being silent does not answer earlier requests, so waiting for them gains nothing. It doubles with each missed answer to adapt to a slow
+// service, and follows the latency of answers. It is safe for concurrent use.
+type adaptiveTimeout struct {
+	mutex   sync.Mutex
+	timeout time.Duration
 }
 
-func newPatience() *patience { return &patience{wait: shortestPatience} }
+func newAdaptiveTimeout() *adaptiveTimeout { return &adaptiveTimeout{timeout: minAnswerTimeout} }
 
-// call makes a call through caller whose answer may be held back for hold, and waits for it that much longer and no longer than is patient.
-// The wait begins again whenever exchange calls came, as more of the answer has come: where many nodes read much at once, each answer takes long,
-// and trying again would lengthen all of them.
-// Without an answer the kept connections are given up: they may go silent together, without a reset, and each would cost a call more, and
-// longer patience.
-func (p *patience) call(ctx context.Context, hold time.Duration, caller *httpCaller, exchange func(ctx context.Context, came func()) error) error {
-	wait := p.bound()
-	bounded, giveUp := context.WithCancel(ctx)
-	defer giveUp()
-	timer := time.AfterFunc(hold+wait, giveUp)
+// call runs exchange, which makes a call through caller, and cancels it after hold, the delay by which the service may hold back the
+// answer, plus the current timeout.
+//
+// The timeout restarts whenever exchange calls onProgress, because more of the answer has arrived: if many nodes read much data at once,
+// each answer takes long, and retrying would slow down all of them.
+//
+// If the call times out, idle connections are closed: they may all have gone silent without a reset, and each would cost another failed
+// call and a longer timeout.
+func (t *adaptiveTimeout) call(ctx context.Context, hold time.Duration, caller *httpCaller, exchange func(ctx context.Context, onProgress func()) error) error {
+	answerTimeout := t.current()
+	bounded, cancel := context.WithCancel(ctx)
+	defer cancel()
+	timer := time.AfterFunc(hold+answerTimeout, cancel)
 	defer timer.Stop()
-	began := time.Now()
-	err := exchange(bounded, func() { timer.Reset(wait) })
+	start := time.Now()
+	err := exchange(bounded, func() { timer.Reset(answerTimeout) })
 	switch {
 	case err == nil:
-		p.answered(time.Since(began) - hold)
+		t.recordLatency(time.Since(start) - hold)
 	case bounded.Err() != nil && ctx.Err() == nil:
-		p.missed(wait)
+		t.recordTimeout(answerTimeout)
 		caller.close()
 	}
 	return err
 }
 
-func (p *patience) bound() time.Duration {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.wait
+func (t *adaptiveTimeout) current() time.Duration {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.timeout
 }
 
-// answered notes that an answer took so long.
-func (p *patience) answered(took time.Duration) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.wait = min(max(patienceOfLatency*took, shortestPatience), longestPatience)
+// recordLatency adapts the timeout to the latency of an answer.
+func (t *adaptiveTimeout) recordLatency(latency time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.timeout = min(max(timeoutLatencyFactor*latency, minAnswerTimeout), maxAnswerTimeout)
 }
 
-// missed notes that no answer came within waited. Calls that waited together lengthen the wait once.
-func (p *patience) missed(waited time.Duration) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.wait = min(max(p.wait, 2*waited), longestPatience)
+// recordTimeout doubles the timeout after a call got no answer within expired. Concurrent calls that time out together double it once.
+func (t *adaptiveTimeout) recordTimeout(expired time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.timeout = min(max(t.timeout, 2*expired), maxAnswerTimeout)
 }
--- a/internal/platform/patience_test.go
+++ b/internal/platform/patience_test.go
@@ -17,14 +17,14 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// moodyNetwork leads to a service that is silent, or answers each request after latency.
-type moodyNetwork struct {
+// slowNetwork connects to a service that is silent or answers each request after latency.
+type slowNetwork struct {
 	network.Network
 	silent  atomic.Bool
 	latency atomic.Int64
 }
 
-func (m *moodyNetwork) Dial(context.Context, netip.AddrPort) (net.Conn, error) {
+func (n *slowNetwork) Dial(context.Context, netip.AddrPort) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
 		defer func() { _ = far.Close() }()
@@ -33,11 +33,11 @@
 			if _, err := far.Read(buffer); err != nil {
 				return
 			}
-			if m.silent.Load() {
+			if n.silent.Load() {
 				_, _ = io.Copy(io.Discard, far)
 				return
 			}
-			time.Sleep(time.Duration(m.latency.Load()))
+			time.Sleep(time.Duration(n.latency.Load()))
 			if _, err := io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"); err != nil {
 				return
 			}
@@ -48,37 +48,37 @@
 
 func TestPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		moody := &moodyNetwork{}
-		exchanger := NewExchanger(moody, netip.MustParseAddrPort("127.0.0.1:1"))
+		service := &slowNetwork{}
+		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
 		read := func() (time.Duration, error) {
 			began := time.Now()
 			_, _, err := exchanger.Read(t.Context(), http.MethodGet, "/")
 			return time.Since(began), err
 		}
-		moody.silent.Store(true)
-		for _, want := range []time.Duration{shortestPatience, 2 * shortestPatience, 4 * shortestPatience} {
+		service.silent.Store(true)
+		for _, want := range []time.Duration{minAnswerTimeout, 2 * minAnswerTimeout, 4 * minAnswerTimeout} {
 			if took, err := read(); took != want || !errorx.IsOfType(err, KindUnavailable) {
 				t.Errorf("gave up after %s with %v, want %s", took, err, want)
 			}
 		}
-		moody.silent.Store(false)
-		moody.latency.Store(int64(time.Second))
+		service.silent.Store(false)
+		service.latency.Store(int64(time.Second))
 		if _, err := read(); err != nil {
 			t.Errorf("a slow answer after silence: %v", err)
 		}
-		moody.latency.Store(int64(2 * time.Second))
+		service.latency.Store(int64(2 * time.Second))
 		if _, err := read(); err != nil {
 			t.Errorf("an answer that is slower than the last: %v", err)
 		}
-		moody.latency.Store(int64(time.Millisecond))
-		if _, err := read(); err != nil || exchanger.patience.bound() != shortestPatience {
-			t.Errorf("after a quick answer: %v, %s", err, exchanger.patience.bound())
+		service.latency.Store(int64(time.Millisecond))
+		if _, err := read(); err != nil || exchanger.timeout.current() != minAnswerTimeout {
+			t.Errorf("after a quick answer: %v, %s", err, exchanger.timeout.current())
 		}
 		exchanger.Close()
 	})
 }
 
-// partsNetwork leads to a service that sends its answers in parts, one each interval, and none from the part on that is set.
+// partsNetwork connects to a service that sends its answers in parts, one per interval, and goes silent at part silentFrom.
 type partsNetwork struct {
 	network.Network
 	parts, silentFrom int
@@ -109,9 +109,10 @@
 	return near, nil
 }
 
-// TestLongAnswerIsReadToItsEnd: an answer that takes longer than is patient is waited for while more of it comes, and given up once none does.
+// TestLongAnswerIsReadToItsEnd: an answer that takes longer than the timeout is read as long as parts of it arrive, and abandoned
+// when none arrive for the timeout.
 func TestLongAnswerIsReadToItsEnd(t *testing.T) {
-	const parts, interval = 10, shortestPatience / 2
+	const parts, interval = 10, minAnswerTimeout / 2
 	synctest.Test(t, func(t *testing.T) {
 		long := &partsNetwork{parts: parts, silentFrom: parts, interval: interval}
 		exchanger := NewExchanger(long, netip.MustParseAddrPort("127.0.0.1:1"))
@@ -125,23 +126,23 @@
 		if _, _, err := exchanger.Read(t.Context(), http.MethodGet, "/"); !errorx.IsOfType(err, KindUnavailable) {
 			t.Errorf("an answer that breaks off: %v", err)
 		}
-		if took := time.Since(began); took != 2*interval+shortestPatience {
-			t.Errorf("given up after %s, want %s", took, 2*interval+shortestPatience)
+		if took := time.Since(began); took != 2*interval+minAnswerTimeout {
+			t.Errorf("given up after %s, want %s", took, 2*interval+minAnswerTimeout)
 		}
 		exchanger.Close()
 	})
 }
 
-// TestHeldAnswerIsWaitedFor: a watch may be held longer than any other answer takes.
+// TestHeldAnswerIsWaitedFor: an answer that the service holds back, as for a watch, may take longer than maxAnswerTimeout.
 func TestHeldAnswerIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		moody := &moodyNetwork{}
-		moody.latency.Store(int64(20 * time.Second))
-		exchanger := NewExchanger(moody, netip.MustParseAddrPort("127.0.0.1:1"))
+		service := &slowNetwork{}
+		service.latency.Store(int64(20 * time.Second))
+		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
 		if _, _, err := exchanger.ReadHeld(t.Context(), http.MethodGet, "/", 20*time.Second); err != nil {
 			t.Error(err)
 		}
-		moody.latency.Store(int64(time.Minute))
+		service.latency.Store(int64(time.Minute))
 		began := time.Now()
 		if _, _, err := exchanger.ReadHeld(t.Context(), http.MethodGet, "/", 20*time.Second); err == nil || time.Since(began) > 25*time.Second {
 			t.Errorf("%v after %s", err, time.Since(began))
@@ -151,31 +152,31 @@
 	})
 }
 
-// TestCutWatchIsNoticedSoon: the service may cut a watch without a word, after it told nothing of changes for a while. A node that takes
-// seconds to notice is behind for as long.
+// TestCutWatchIsNoticedSoon: the service may drop a watch silently, after a period without changes. A node whose timeout is seconds
+// long would have stale data for that time.
 func TestCutWatchIsNoticedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hold = time.Second
-		moody := &moodyNetwork{}
-		moody.silent.Store(true)
-		exchanger := NewExchanger(moody, netip.MustParseAddrPort("127.0.0.1:1"))
+		service := &slowNetwork{}
+		service.silent.Store(true)
+		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
 		held := func() time.Duration {
 			began := time.Now()
 			_, _, _ = exchanger.ReadHeld(t.Context(), http.MethodGet, "/", hold)
 			return time.Since(began)
 		}
-		if took := held(); took != hold+shortestPatience {
-			t.Errorf("noticed after %s, want %s", took, hold+shortestPatience)
+		if took := held(); took != hold+minAnswerTimeout {
+			t.Errorf("noticed after %s, want %s", took, hold+minAnswerTimeout)
 		}
-		if took := held(); took != hold+2*shortestPatience {
-			t.Errorf("the next was waited for %s, want %s: the service may be slow", took, hold+2*shortestPatience)
+		if took := held(); took != hold+2*minAnswerTimeout {
+			t.Errorf("the next was waited for %s, want %s: the service may be slow", took, hold+2*minAnswerTimeout)
 		}
-		moody.silent.Store(false)
-		moody.latency.Store(int64(hold))
+		service.silent.Store(false)
+		service.latency.Store(int64(hold))
 		held()
-		moody.silent.Store(true)
-		if took := held(); took != hold+shortestPatience {
-			t.Errorf("after an answer, noticed after %s, want %s", took, hold+shortestPatience)
+		service.silent.Store(true)
+		if took := held(); took != hold+minAnswerTimeout {
+			t.Errorf("after an answer, noticed after %s, want %s", took, hold+minAnswerTimeout)
 		}
 		exchanger.Close()
 	})
--- a/internal/platform/platformtest/keyvalue.go
+++ b/internal/platform/platformtest/keyvalue.go
@@ -1,4 +1,4 @@
-// Package platformtest has stand-ins for the platform's services, for tests and for measurements without a platform.
+// Package platformtest provides fakes of the platform's services, for tests and for measurements without a platform.
 package platformtest
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// KeyValue is a key-value service in memory with revisions and conditional transactions; its leases do not end, and
+// KeyValue is an in-memory key-value service with revisions and conditional transactions. Its leases never expire, and
 // it has no watches. It is safe for concurrent use.
 type KeyValue struct {
 	platform.KeyValue
@@ -22,7 +22,7 @@
 	entries  map[string]platform.Entry
 }
 
-// errEmptyValue is the answer to a change without a value, which the platform's service refuses.
+// errEmptyValue is returned for a change without a value, which the platform's service refuses too.
 var errEmptyValue = errors.New("a change has no value")
 
 // NewKeyValue returns a KeyValue without entries.
@@ -35,7 +35,7 @@
 	return k.entries[key], nil
 }
 
-// List implements platform.KeyValue; the entries come in no order.
+// List implements platform.KeyValue; the entries are unordered.
 func (k *KeyValue) List(_ context.Context, prefix string) (platform.Listing, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -48,7 +48,7 @@
 	return listing, nil
 }
 
-// Commit implements platform.KeyValue; it knows changes that write a value.
+// Commit implements platform.KeyValue; it supports only changes that write a value.
 func (k *KeyValue) Commit(_ context.Context, transaction platform.Transaction) (platform.CommitResult, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/internal/platform/registration.go
+++ b/internal/platform/registration.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// nodePrefix is where nodes register themselves.
+	// nodePrefix is the key prefix under which nodes register themselves.
 	nodePrefix = "/sloelift/nodes/"
-	// registerLongestWait bounds the wait between tries to register.
-	registerLongestWait = time.Second
-	registerTimeout     = 3 * time.Second
+	// maxRegisterBackoff bounds the delay between attempts to register, registerTimeout one attempt.
+	maxRegisterBackoff = time.Second
+	registerTimeout    = 3 * time.Second
 )
 
 // registeredNode is the value of a node's key.
@@ -32,42 +32,43 @@
 	store KeyValue
 	self  Machine
 
-	// registered is closed once this node is in the list. found is the listing that showed it, where an earlier run of the process had
-	// registered it; it is set before registered is closed and returned by the first List.
+	// registered is closed once this node is in the list.
 	registered chan struct{}
-	found      atomic.Pointer[Listing]
-	// onDemand says that the node registers only when the list is read, and looks for its own entry alone before.
+	// initialListing is the listing that contained this node's entry if an earlier run of the process had registered it. It is set
+	// before registered is closed, and returned by the first List.
+	initialListing atomic.Pointer[Listing]
+	// onDemand makes the node register only when the list is read. To find out whether it is registered, it reads only its own entry.
 	onDemand bool
-	// starting begins the registration once.
-	starting sync.Once
-	// listed says that the list has been read since this process registered.
+	// startOnce starts the registration.
+	startOnce sync.Once
+	// listed is set once the list has been read since this process registered.
 	listed  atomic.Bool
 	context context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// NewRegisteredMachines returns a list that will hold self.
+// NewRegisteredMachines returns a list to which self is added by Start or, with RegisterOnDemand, by the first List.
 func NewRegisteredMachines(store KeyValue, self Machine) *RegisteredMachines {
 	return &RegisteredMachines{store: store, self: self, registered: make(chan struct{})}
 }
 
-// RegisterOnDemand has this node register only once it reads the list: while it finds others without it, they find it as well, and a call for each
-// of many nodes is saved. It is called before Start.
+// RegisterOnDemand makes this node register only when it first reads the list. While it finds other nodes without the list, they find it
+// as well, and one call per node is saved in large deployments. It must be called before Start.
 func (r *RegisteredMachines) RegisterOnDemand() { r.onDemand = true }
 
 // Start registers this node in the background, unless it does so on demand.
 func (r *RegisteredMachines) Start() {
 	r.context, r.cancel = context.WithCancel(context.Background())
 	if !r.onDemand {
-		r.begin()
+		r.startRegistration()
 	}
 }
 
-// begin registers this node in the background, until that is done. A node that an earlier run has registered finds that out by a
-// stale read, which costs a tenth of other calls.
-func (r *RegisteredMachines) begin() {
-	r.starting.Do(func() { r.running.Go(r.registerUntilDone) })
+// startRegistration registers this node in the background, retrying until it succeeds. Whether an earlier run has already registered it
+// is determined by a stale read, which costs a tenth of other calls.
+func (r *RegisteredMachines) startRegistration() {
+	r.startOnce.Do(func() { r.running.Go(r.registerUntilDone) })
 }
 
 func (r *RegisteredMachines) registerUntilDone() {
@@ -75,22 +76,22 @@
 		close(r.registered)
 		return
 	}
-	waits := NewBackoffUpTo(registerLongestWait)
+	retryBackoff := NewBackoffUpTo(maxRegisterBackoff)
 	for r.register(r.context) != nil {
-		if waits.Wait(r.context) != nil {
+		if retryBackoff.Wait(r.context) != nil {
 			return
 		}
 	}
 	close(r.registered)
 }
 
-// Stop ends a registration under way; the entry stays, as the list lags anyway.
+// Stop cancels a registration in progress. The entry remains, since the list lags anyway.
 func (r *RegisteredMachines) Stop() {
 	r.cancel()
 	r.running.Wait()
 }
 
-// isRegistered says that the list has this node's entry as it is now.
+// isRegistered reports whether the list has this node's current entry.
 func (r *RegisteredMachines) isRegistered(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 	for _, entry := range listing.Entries {
 		if entry.Key == own.Key && bytes.Equal(entry.Value, own.Value) {
 			if !r.onDemand {
-				r.found.Store(&listing)
+				r.initialListing.Store(&listing)
 			}
 			return true
 		}
@@ -114,7 +115,7 @@
 	return false
 }
 
-// entry is this node's entry in the list.
+// entry returns the change that writes this node's entry.
 func (r *RegisteredMachines) entry() Change {
 	value, err := json.Marshal(registeredNode{Region: r.self.Region, Zone: r.self.Zone, Address: r.self.Address})
 	if err != nil {
@@ -123,7 +124,7 @@
 	return Change{Key: nodePrefix + r.self.ID, Value: value}
 }
 
-// register writes this node's entry; a write of the same value twice does no harm.
+// register writes this node's entry; it is idempotent.
 func (r *RegisteredMachines) register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
@@ -131,24 +132,24 @@
 	return err
 }
 
-// listStale reads a prefix that may be seconds old, where the service offers that more cheaply.
+// listStale lists a prefix, from a state that may be seconds old if the service offers that at a lower cost.
 func listStale(ctx context.Context, store KeyValue, prefix string) (Listing, error) {
-	if offers, is := store.(StaleLister); is {
-		return offers.ListStale(ctx, prefix)
+	if lister, supported := store.(StaleLister); supported {
+		return lister.ListStale(ctx, prefix)
 	}
 	return store.List(ctx, prefix)
 }
 
-// List returns the nodes that are registered. It waits until this node is, so that of nodes that start together the later
-// ones find the earlier ones.
+// List returns the registered nodes. It waits until this node is registered, so that of nodes that start together the later
+// ones find the earlier ones. Entries that do not decode are skipped.
 func (r *RegisteredMachines) List(ctx context.Context) (MachineListing, error) {
-	r.begin()
+	r.startRegistration()
 	select {
 	case <-r.registered:
 	case <-ctx.Done():
 		return MachineListing{}, ctx.Err()
 	}
-	listing, err := r.read(ctx)
+	listing, err := r.readListing(ctx)
 	if err != nil {
 		return MachineListing{}, err
 	}
@@ -165,10 +166,10 @@
 	return machines, nil
 }
 
-// read returns the listing that showed this node's entry, at first; else the first listing after the registration is exact, since nodes
-// that start together find each other by it, and later ones may be seconds old.
-func (r *RegisteredMachines) read(ctx context.Context) (Listing, error) {
-	if found := r.found.Swap(nil); found != nil {
+// readListing returns initialListing the first time, if there is one. Otherwise the first listing after the registration is current, so
+// that nodes that start together find each other, and later ones may be seconds old.
+func (r *RegisteredMachines) readListing(ctx context.Context) (Listing, error) {
+	if found := r.initialListing.Swap(nil); found != nil {
 		r.listed.Store(true)
 		return *found, nil
 	}
--- a/internal/platform/registration_test.go
+++ b/internal/platform/registration_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// registry is a store of registrations that counts the calls.
+// registry is a store of registrations that counts its calls.
 type registry struct {
 	KeyValue
 	entries              []Entry
 	writes, lists, stale int
-	// staleEntries counts the entries that stale reads had.
+	// staleEntries counts the entries returned by stale reads.
 	staleEntries int
 }
 
@@ -44,8 +44,8 @@
 	return listing, nil
 }
 
-// TestNodeRegistersOnDemand: a node that finds the others without the list makes no call; once it reads the list it is in it, looks for its own
-// entry alone before, however many are registered, and is not registered again after a restart.
+// TestNodeRegistersOnDemand: a node makes no call until it reads the list. Then it reads only its own entry, however many nodes are
+// registered, registers, and appears in the list. It does not register again after a restart.
 func TestNodeRegistersOnDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &registry{}
@@ -72,7 +72,7 @@
 	})
 }
 
-// TestRestartedNodeIsNotRegisteredAgain: a node that an earlier run registered makes one stale read, the cheapest call.
+// TestRestartedNodeIsNotRegisteredAgain: a node registered by an earlier run makes only one stale read, the cheapest call.
 func TestRestartedNodeIsNotRegisteredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &registry{}
--- a/internal/platform/settle.go
+++ b/internal/platform/settle.go
@@ -7,28 +7,28 @@
 	"github.com/joomcode/errorx"
 )
 
-// WriteMark names a write so that a lost answer can be settled: the transaction
-// puts a value that contains ID at Key, and has a Condition on Key. ID is unique among all writes.
+// WriteMark identifies a write, so that its outcome can be determined after its answer was lost: the
+// transaction writes a value that contains ID at Key, and has a Condition on Key. ID must be unique among all writes.
 type WriteMark struct {
 	Key string
 	ID  string
 }
 
-// CommitSettled makes transaction and settles a lost answer by reading mark.Key back:
-//   - the value contains mark.ID: it took effect;
-//   - the key is as the Condition asks: it has not taken effect. The same transaction is sent again, which
-//     is safe, since the Condition lets only one of the two take effect;
-//   - another write is there: a later one may have replaced ours, so the error of
-//     KindUnknownOutcome stands, unless that value lists our ID.
+// CommitSettled commits transaction. If the answer is lost, it determines the outcome by reading mark.Key back:
+//   - If the value contains mark.ID, the transaction took effect. This includes a later write whose value lists the ID.
+//   - If the key still satisfies the Condition, the transaction has not taken effect. It is sent again, which
+//     is safe, since the Condition lets only one of the two attempts take effect.
+//   - Otherwise another write is there, which may have replaced this one, so an error of
+//     KindUnknownOutcome is returned.
 //
-// A settled result carries the ModRevision of mark.Key as its Revision. When ctx ends first,
-// the error is of KindUnknownOutcome.
+// The Revision of a result determined by reading back is the ModRevision of mark.Key. If ctx ends first,
+// the error is of KindUnknownOutcome. A transaction without a Condition on mark.Key is refused with KindRefused.
 func CommitSettled(ctx context.Context, store KeyValue, transaction Transaction, mark WriteMark) (CommitResult, error) {
-	expected, marked := conditionOn(transaction, mark.Key)
-	if !marked {
+	expectedRevision, hasCondition := conditionOn(transaction, mark.Key)
+	if !hasCondition {
 		return CommitResult{}, KindRefused.New("transaction has no condition on %s", mark.Key)
 	}
-	waits := NewBackoff()
+	retryBackoff := NewBackoff()
 	maybeSent := false
 	for {
 		result, err := store.Commit(ctx, transaction)
@@ -41,25 +41,25 @@
 		if !maybeSent {
 			return CommitResult{}, err
 		}
-		lost := err
-		entry, err := readBack(ctx, store, mark.Key, waits)
+		commitError := err
+		entry, err := readBack(ctx, store, mark.Key, retryBackoff)
 		if err != nil {
-			return CommitResult{}, KindUnknownOutcome.Wrap(lost, "not settled in time")
+			return CommitResult{}, KindUnknownOutcome.Wrap(commitError, "not settled in time")
 		}
 		if bytes.Contains(entry.Value, []byte(mark.ID)) {
 			return CommitResult{Committed: true, Revision: entry.ModRevision}, nil
 		}
-		if entry.ModRevision != expected {
-			return CommitResult{}, KindUnknownOutcome.Wrap(lost, "another write took the place of %s", mark.ID)
+		if entry.ModRevision != expectedRevision {
+			return CommitResult{}, KindUnknownOutcome.Wrap(commitError, "another write took the place of %s", mark.ID)
 		}
-		if waits.Wait(ctx) != nil {
-			return CommitResult{}, KindUnknownOutcome.Wrap(lost, "not settled in time")
+		if retryBackoff.Wait(ctx) != nil {
+			return CommitResult{}, KindUnknownOutcome.Wrap(commitError, "not settled in time")
 		}
 	}
 }
 
-// settleAnswer reads the answer to a transaction that may have been sent before: a refused
-// repetition is a success where the first one stands.
+// settleAnswer interprets the answer to a transaction that may have been sent before: if a retry's
+// Condition fails because an earlier attempt took effect, the transaction is committed.
 func settleAnswer(result CommitResult, maybeSent bool, mark WriteMark) (CommitResult, error) {
 	if result.Committed || !maybeSent {
 		return result, nil
@@ -72,18 +72,20 @@
 	return CommitResult{}, KindUnknownOutcome.New("another write took the place of %s", mark.ID)
 }
 
-func readBack(ctx context.Context, store KeyValue, key string, waits *Backoff) (Entry, error) {
+// readBack reads key, retrying until it succeeds or ctx ends.
+func readBack(ctx context.Context, store KeyValue, key string, retryBackoff *Backoff) (Entry, error) {
 	for {
 		entry, err := store.Get(ctx, key)
 		if err == nil {
 			return entry, nil
 		}
-		if waitError := waits.Wait(ctx); waitError != nil {
+		if waitError := retryBackoff.Wait(ctx); waitError != nil {
 			return Entry{}, err
 		}
 	}
 }
 
+// conditionOn returns the ModRevision that transaction requires of key; found is false without such a Condition.
 func conditionOn(transaction Transaction, key string) (modRevision int64, found bool) {
 	for _, condition := range transaction.Conditions {
 		if condition.Key == key {
--- a/internal/platform/settle_test.go
+++ b/internal/platform/settle_test.go
@@ -12,28 +12,28 @@
 	"github.com/sloelift/sloelift/internal/platform"
 )
 
-// fate is what happens to one call to unreliableStore.
-type fate int
+// callOutcome is what happens to one call to unreliableStore.
+type callOutcome int
 
 const (
-	works fate = iota
+	succeeds callOutcome = iota
 	refused
-	lostBefore
-	lostAfter
-	// delayed takes effect, if its condition still holds, at some later time.
+	lostRequest
+	lostAnswer
+	// delayed loses the answer; the transaction takes effect at a later time if its condition still holds.
 	delayed
 )
 
-// event is what happens between two calls.
+// event is what happens before a call.
 type event int
 
 const (
 	nothing event = iota
-	lateArrive
+	applyDelayed
 	otherWrites
 )
 
-// next takes the first of drawn, or the zero value where all are used up.
+// next removes and returns the first element of drawn, or returns the zero value if drawn is empty.
 func next[T any](drawn *[]T) T {
 	var first T
 	if len(*drawn) > 0 {
@@ -42,14 +42,15 @@
 	return first
 }
 
-// unreliableStore is one key whose calls meet the drawn fates. Another writer may come in between.
+// unreliableStore is a store of one key whose calls have the drawn outcomes. Another writer may write between calls.
 type unreliableStore struct {
 	platform.KeyValue
-	// fates and events are used up in order; then calls work and nothing happens in between.
-	fates    []fate
+	// outcomes and events are consumed in order; after that calls succeed and no events happen.
+	outcomes []callOutcome
 	events   []event
 	entry    platform.Entry
-	late     []platform.Transaction
+	// pending holds the delayed transactions, accepted all values written.
+	pending  []platform.Transaction
 	accepted []string
 }
 
@@ -67,36 +68,36 @@
 	s.accepted = append(s.accepted, value)
 }
 
-// between is what others do between two calls.
-func (s *unreliableStore) between() {
+// runEvent makes the next drawn event happen.
+func (s *unreliableStore) runEvent() {
 	switch next(&s.events) {
-	case lateArrive:
-		s.arrive()
+	case applyDelayed:
+		s.applyPending()
 	case otherWrites:
 		s.put(fmt.Sprintf("other-%d", s.entry.ModRevision))
 	case nothing:
 	}
 }
 
-func (s *unreliableStore) arrive() {
-	for _, transaction := range s.late {
+func (s *unreliableStore) applyPending() {
+	for _, transaction := range s.pending {
 		s.apply(transaction)
 	}
-	s.late = nil
+	s.pending = nil
 }
 
 func (s *unreliableStore) Commit(_ context.Context, transaction platform.Transaction) (platform.CommitResult, error) {
-	s.between()
-	switch next(&s.fates) {
+	s.runEvent()
+	switch next(&s.outcomes) {
 	case refused:
 		return platform.CommitResult{}, platform.KindRateLimited.New("refused")
-	case lostBefore:
+	case lostRequest:
 		return platform.CommitResult{}, platform.KindUnknownOutcome.New("lost")
-	case lostAfter:
+	case lostAnswer:
 		s.apply(transaction)
 		return platform.CommitResult{}, platform.KindUnknownOutcome.New("lost")
 	case delayed:
-		s.late = append(s.late, transaction)
+		s.pending = append(s.pending, transaction)
 		return platform.CommitResult{}, platform.KindUnknownOutcome.New("lost")
 	default:
 		committed := s.apply(transaction)
@@ -105,21 +106,21 @@
 }
 
 func (s *unreliableStore) Get(context.Context, string) (platform.Entry, error) {
-	s.between()
-	if next(&s.fates) != works {
+	s.runEvent()
+	if next(&s.outcomes) != succeeds {
 		return platform.Entry{}, platform.KindUnavailable.New("away")
 	}
 	return s.entry, nil
 }
 
-// TestCommitSettledTellsTheTruth checks that a write takes effect at most once, and that the outcome told is
-// the true one.
+// TestCommitSettledTellsTheTruth checks that a write takes effect at most once, and that the reported outcome
+// is correct.
 func TestCommitSettledTellsTheTruth(t *testing.T) {
-	fates := rapid.SliceOfN(rapid.SampledFrom([]fate{works, refused, lostBefore, lostAfter, delayed, delayed}), 1, 8)
-	events := rapid.SliceOfN(rapid.SampledFrom([]event{nothing, nothing, lateArrive, lateArrive, otherWrites}), 6, 16)
+	outcomes := rapid.SliceOfN(rapid.SampledFrom([]callOutcome{succeeds, refused, lostRequest, lostAnswer, delayed, delayed}), 1, 8)
+	events := rapid.SliceOfN(rapid.SampledFrom([]event{nothing, nothing, applyDelayed, applyDelayed, otherWrites}), 6, 16)
 	rapid.Check(t, func(r *rapid.T) {
 		store := &unreliableStore{
-			entry: platform.Entry{Key: settledKey}, fates: fates.Draw(r, "fates"), events: events.Draw(r, "events"),
+			entry: platform.Entry{Key: settledKey}, outcomes: outcomes.Draw(r, "fates"), events: events.Draw(r, "events"),
 		}
 		var failure string
 		synctest.Test(t, func(t *testing.T) { failure = store.settle(t) })
@@ -134,14 +135,14 @@
 	settledID  = "write-id"
 )
 
-// settle makes one write and returns what is wrong with its outcome.
+// settle makes one write and returns a description of a wrong outcome, or an empty string.
 func (s *unreliableStore) settle(t *testing.T) string {
 	transaction := platform.Transaction{
 		Conditions: []platform.Condition{{Key: settledKey}},
 		Changes:    []platform.Change{{Key: settledKey, Value: []byte(settledID)}},
 	}
 	result, err := platform.CommitSettled(t.Context(), s, transaction, platform.WriteMark{Key: settledKey, ID: settledID})
-	s.arrive()
+	s.applyPending()
 	times := 0
 	for _, value := range s.accepted {
 		if value == settledID {
@@ -152,9 +153,9 @@
 	case times > 1:
 		return fmt.Sprintf("the write took effect %d times", times)
 	case err == nil && result.Committed != (times == 1):
-		return fmt.Sprintf("told %v, took effect %d times", result.Committed, times)
+		return fmt.Sprintf("reported committed %v, took effect %d times", result.Committed, times)
 	case err != nil && !errorx.IsOfType(err, platform.KindUnknownOutcome) && times > 0:
-		return fmt.Sprintf("told %v, yet it took effect", err)
+		return fmt.Sprintf("reported %v, but the write took effect", err)
 	default:
 		return ""
 	}
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -12,14 +12,14 @@
 	"github.com/sloelift/sloelift/internal/network/networktest"
 )
 
-// servedAt is the address of serveInMemory.
-var servedAt = netip.MustParseAddrPort("127.0.0.1:1")
+// serviceAddress is the address on which serveInMemory serves.
+var serviceAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-// serveInMemory serves at servedAt, over a network whose connections can go silent. The server must be closed.
+// serveInMemory serves on serviceAddress, over a network whose connections can be silenced. The caller must close the server.
 func serveInMemory(t *testing.T, handler http.HandlerFunc) (*http.Server, *networktest.Silencer) {
 	t.Helper()
 	wires := networktest.NewPipes()
-	listener, err := wires.Listen(t.Context(), servedAt)
+	listener, err := wires.Listen(t.Context(), serviceAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,12 +28,12 @@
 	return server, networktest.NewSilencer(wires)
 }
 
-// TestSilentConnectionsToTheServiceAreGivenUp: all kept connections to the key-value service go silent without a reset. The first call that
-// gets no answer shows it, and the next one takes a new connection.
+// TestSilentConnectionsToTheServiceAreGivenUp: all idle connections to the key-value service go silent without a reset. After the first
+// call that times out, all of them are closed, and the next call uses a new connection.
 func TestSilentConnectionsToTheServiceAreGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, silencer := serveInMemory(t, func(http.ResponseWriter, *http.Request) { time.Sleep(10 * time.Millisecond) })
-		exchanger := NewExchanger(silencer, servedAt)
+		exchanger := NewExchanger(silencer, serviceAddress)
 		const kept = 5
 		var calls sync.WaitGroup
 		for range kept {
@@ -61,12 +61,12 @@
 	})
 }
 
-// TestSilentConnectionToTheMachineListIsGivenUp: the machine list is known again within the time in which a leaving replica must get no more
-// work.
+// TestSilentConnectionToTheMachineListIsGivenUp: if the connection to the machine list goes silent, the list is read again well within
+// the 2 s after which a leaving replica must get no more work.
 func TestSilentConnectionToTheMachineListIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, silencer := serveInMemory(t, func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "{}") })
-		machines := NewMachineListHTTP(silencer, servedAt)
+		machines := NewMachineListHTTP(silencer, serviceAddress)
 		if _, err := machines.List(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/weightstore.go
+++ b/internal/platform/weightstore.go
@@ -10,11 +10,11 @@
 }
 
 // WeightStore is the port to the rate-limited weight store. Engines fetch from it
-// themselves; this system asks it what exists and reserves fetches so that
-// the store's rate is not exceeded.
+// directly; this system queries which weights exist and reserves fetches, so that
+// the store's rate limit is not exceeded.
 type WeightStore interface {
-	// Describe returns one version; an absent one is an error of KindRefused.
+	// Describe returns one version; if it does not exist, the error is of KindRefused.
 	Describe(ctx context.Context, name, version string) (Weights, error)
-	// ReserveFetch asks leave for one replica to fetch; KindRateLimited means later.
+	// ReserveFetch reserves a fetch for one replica; after KindRateLimited the caller should retry later.
 	ReserveFetch(ctx context.Context, name, version, replica string) error
 }
--- a/internal/platform/weightstore_http.go
+++ b/internal/platform/weightstore_http.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// PathWeights is the path below which the weight store serves its versions.
+// PathWeights is the path prefix under which the weight store serves its versions.
 const PathWeights = "/v1/weights"
 
 // FetchReservation is the body of POST /v1/weights/{name}/{version}/reservations.
@@ -26,10 +26,10 @@
 	return &WeightStoreHTTP{caller: newHTTPCaller(dialer, addressesOf(address))}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (w *WeightStoreHTTP) Close() { w.caller.close() }
 
-// Describe returns one version; an absent one is an error of KindRefused.
+// Describe returns one version; if it does not exist, the error is of KindRefused.
 func (w *WeightStoreHTTP) Describe(ctx context.Context, name, version string) (Weights, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -38,8 +38,8 @@
 	return weights, err
 }
 
-// ReserveFetch asks leave for one replica to fetch. A reservation whose answer is lost is
-// only a turn not used, so the call may be repeated.
+// ReserveFetch reserves a fetch for one replica. A reservation whose answer is lost only
+// goes unused, so the call may be repeated.
 func (w *WeightStoreHTTP) ReserveFetch(ctx context.Context, name, version, replica string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/transport/silence.go
+++ b/internal/transport/silence.go
@@ -47,70 +47,70 @@
 }
 
 // noteSent records that a frame was sent to the peer, and schedules a check unless one is scheduled.
-func (w *silenceDetector) noteSent() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (d *silenceDetector) noteSent() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	now := time.Now()
-	w.lastSent = now
-	if w.checkTimer == nil && w.ctx.Err() == nil {
-		w.firstUnconfirmed = now
-		w.scheduleCheck(silenceLimit)
+	d.lastSent = now
+	if d.checkTimer == nil && d.ctx.Err() == nil {
+		d.firstUnconfirmed = now
+		d.scheduleCheck(silenceLimit)
 	}
 }
 
 // scheduleCheck runs check after delay. The caller holds the mutex.
-func (w *silenceDetector) scheduleCheck(delay time.Duration) {
-	w.checks.Add(1)
-	w.checkTimer = time.AfterFunc(delay, func() {
-		defer w.checks.Done()
-		w.check(time.Now())
+func (d *silenceDetector) scheduleCheck(delay time.Duration) {
+	d.checks.Add(1)
+	d.checkTimer = time.AfterFunc(delay, func() {
+		defer d.checks.Done()
+		d.check(time.Now())
 	})
 }
 
 // check pings the peer if something was sent and nothing received for silenceLimit; without an answer it calls onSilent.
-func (w *silenceDetector) check(now time.Time) {
-	if w.postponeCheck(now) {
+func (d *silenceDetector) check(now time.Time) {
+	if d.postponeCheck(now) {
 		return
 	}
-	if !w.peer.answersPing(w.ctx) {
-		if w.ctx.Err() == nil {
-			w.onSilent()
+	if !d.peer.answersPing(d.ctx) {
+		if d.ctx.Err() == nil {
+			d.onSilent()
 		}
 		return
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.checkTimer = nil
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.checkTimer = nil
 }
 
 // postponeCheck reports whether the peer need not be pinged now: either a frame was received after the last send, which ends the
 // monitoring until the next send, or silenceLimit has not yet passed, and a new check is scheduled.
-func (w *silenceDetector) postponeCheck(now time.Time) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	received := time.Unix(0, w.peer.lastReceived.Load())
-	if !w.lastSent.After(received) || w.ctx.Err() != nil {
-		w.checkTimer = nil
+func (d *silenceDetector) postponeCheck(now time.Time) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	received := time.Unix(0, d.peer.lastReceived.Load())
+	if !d.lastSent.After(received) || d.ctx.Err() != nil {
+		d.checkTimer = nil
 		return true
 	}
-	silentFrom := w.firstUnconfirmed
+	silentFrom := d.firstUnconfirmed
 	if received.After(silentFrom) {
 		silentFrom = received
 	}
 	remaining := silenceLimit - now.Sub(silentFrom)
 	if remaining > 0 {
-		w.scheduleCheck(remaining)
+		d.scheduleCheck(remaining)
 	}
 	return remaining > 0
 }
 
 // stop ends the monitoring and waits for a running check.
-func (w *silenceDetector) stop() {
-	w.cancel()
-	w.mutex.Lock()
-	if w.checkTimer != nil && w.checkTimer.Stop() {
-		w.checks.Done()
+func (d *silenceDetector) stop() {
+	d.cancel()
+	d.mutex.Lock()
+	if d.checkTimer != nil && d.checkTimer.Stop() {
+		d.checks.Done()
 	}
-	w.mutex.Unlock()
-	w.checks.Wait()
+	d.mutex.Unlock()
+	d.checks.Wait()
 }
