--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -8,13 +8,15 @@
 	"time"
 )
 
-// Network listens and dials over TCP by IP number. It is safe for concurrent use.
+// Network listens and dials over TCP by IP address. It is safe for concurrent use.
 type Network interface {
+	// Listen opens a listener at address.
 	Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error)
+	// Dial opens a connection to address.
 	Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 }
 
-// DialTimeout bounds how long one connection attempt of System takes.
+// DialTimeout bounds one connection attempt of System.
 const DialTimeout = 2 * time.Second
 
 // System is the operating system's network.
@@ -37,8 +39,8 @@
 	return connection, nil
 }
 
-// HTTPTransport returns an http.Transport that dials through network; host names
-// in URLs are errors.
+// HTTPTransport returns an http.Transport that dials through network. URLs must have IP
+// addresses; dialing a host name is an error.
 func HTTPTransport(network Network) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, hostPort string) (net.Conn, error) {
--- a/internal/network/networktest/pipes.go
+++ b/internal/network/networktest/pipes.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// Pipes is a network in memory with one listener an address. It is safe for concurrent use.
+// Pipes is an in-memory network with one listener per address. It is safe for concurrent use.
 type Pipes struct {
-	// FailFirstAccept has the first Accept of each listener fail, as for want of file descriptors.
+	// FailFirstAccept makes the first Accept of each listener fail, as if file descriptors had run out.
 	FailFirstAccept bool
 
 	// mutex guards listeners.
@@ -23,14 +23,14 @@
 
 // Listen opens a listener.
 func (p *Pipes) Listen(_ context.Context, address netip.AddrPort) (net.Listener, error) {
-	listener := &pipeListener{address: address, dialled: make(chan net.Conn), closed: make(chan struct{}), failsNext: p.FailFirstAccept}
+	listener := &pipeListener{address: address, dialed: make(chan net.Conn), closed: make(chan struct{}), failNextAccept: p.FailFirstAccept}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.listeners[address] = listener
 	return listener, nil
 }
 
-// Dial connects to the listener at address, once that accepts.
+// Dial connects to the listener at address; it waits until the listener accepts.
 func (p *Pipes) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	p.mutex.Lock()
 	listener := p.listeners[address]
@@ -38,10 +38,10 @@
 	if listener == nil {
 		return nil, errors.New("connection refused")
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case listener.dialled <- far:
-		return near, nil
+	case listener.dialed <- server:
+		return client, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -49,22 +49,22 @@
 	}
 }
 
-// pipeListener accepts what Pipes dials.
+// pipeListener accepts the connections dialed through Pipes.
 type pipeListener struct {
-	address   netip.AddrPort
-	dialled   chan net.Conn
-	once      sync.Once
-	closed    chan struct{}
-	failsNext bool
+	address        netip.AddrPort
+	dialed         chan net.Conn
+	closeOnce      sync.Once
+	closed         chan struct{}
+	failNextAccept bool
 }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
-	if l.failsNext {
-		l.failsNext = false
+	if l.failNextAccept {
+		l.failNextAccept = false
 		return nil, errors.New("too many open files")
 	}
 	select {
-	case connection := <-l.dialled:
+	case connection := <-l.dialed:
 		return connection, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -72,7 +72,7 @@
 }
 
 func (l *pipeListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
--- a/internal/network/networktest/silencer.go
+++ b/internal/network/networktest/silencer.go
@@ -1,4 +1,4 @@
-// Package networktest has networks for tests.
+// Package networktest provides networks for tests.
 package networktest
 
 import (
@@ -12,26 +12,26 @@
 	"github.com/sloelift/sloelift/internal/network"
 )
 
-// Silencer is a Network whose open connections can go silent for good: nothing comes and nothing arrives any more, nor is a connection
-// reset, while new ones work. It is safe for concurrent use.
+// Silencer is a Network whose open connections can be silenced permanently: they deliver no more data in either direction and are not
+// reset, while new connections work. It is safe for concurrent use.
 type Silencer struct {
 	network.Network
 
-	// mutex guards the fields below. Connections to addresses in cutOff are not made, nor refused.
-	mutex  sync.Mutex
-	open   []*connection
-	cutOff map[netip.AddrPort]bool
-	// refuses says that connections to these are refused at once.
-	refuses bool
+	// mutex guards connections and cutOff. Dials to addresses in cutOff get no answer.
+	mutex       sync.Mutex
+	connections []*connection
+	cutOff      map[netip.AddrPort]bool
+	// refuseCutOff makes connections to addresses in cutOff be refused at once.
+	refuseCutOff bool
 }
 
 // NewSilencer returns a Silencer over inner.
 func NewSilencer(inner network.Network) *Silencer { return &Silencer{Network: inner} }
 
-// Refuse has connections to the addresses that are cut off be refused at once, in place of no answer. It is called before CutOff.
-func (s *Silencer) Refuse() { s.refuses = true }
+// Refuse makes dials to addresses that are cut off fail at once instead of getting no answer. It must be called before CutOff.
+func (s *Silencer) Refuse() { s.refuseCutOff = true }
 
-// CutOff has the given addresses, and no others, not be reached by new connections.
+// CutOff makes the given addresses, and no others, unreachable for new connections.
 func (s *Silencer) CutOff(addresses ...netip.AddrPort) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -47,10 +47,10 @@
 	return s.cutOff[address]
 }
 
-// Dial connects.
+// Dial connects to address through the inner network, unless it is cut off.
 func (s *Silencer) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	if s.isCutOff(address) {
-		if s.refuses {
+		if s.refuseCutOff {
 			return nil, syscall.ECONNREFUSED
 		}
 		<-ctx.Done()
@@ -60,42 +60,42 @@
 	if err != nil {
 		return nil, err
 	}
-	dialled := &connection{Conn: inner, closed: make(chan struct{})}
+	dialed := &connection{Conn: inner, closed: make(chan struct{})}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.open = append(s.open, dialled)
-	return dialled, nil
+	s.connections = append(s.connections, dialed)
+	return dialed, nil
 }
 
-// Silence silences the connections that are open now, and returns their number.
+// Silence silences the connections that are currently open and returns their number.
 func (s *Silencer) Silence() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
-	for _, each := range s.open {
+	for _, tracked := range s.connections {
 		select {
-		case <-each.closed:
+		case <-tracked.closed:
 		default:
-			each.silent.Store(true)
+			tracked.silent.Store(true)
 			count++
 		}
 	}
-	s.open = nil
+	s.connections = nil
 	return count
 }
 
-// connection is one dialled connection.
+// connection is a dialed connection.
 type connection struct {
 	net.Conn
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	silent    atomic.Bool
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// Read drops what comes while the connection is silent, its end too.
-func (c *connection) Read(into []byte) (int, error) {
+// Read discards data while the connection is silent. If the other end closes it then, Read blocks until Close.
+func (c *connection) Read(buffer []byte) (int, error) {
 	for {
-		count, err := c.Conn.Read(into)
+		count, err := c.Conn.Read(buffer)
 		if !c.silent.Load() {
 			return count, err
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-// Write takes what no one gets while the connection is silent.
+// Write discards content while the connection is silent.
 func (c *connection) Write(content []byte) (int, error) {
 	if c.silent.Load() {
 		return len(content), nil
@@ -116,6 +116,6 @@
 
 // Close closes the connection.
 func (c *connection) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/network/severable.go
+++ b/internal/network/severable.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// Severable is a Network whose owner can be cut off as a machine is: Sever closes
-// all of it at once and for good, Pause holds all bytes back until Resume, and
-// SetReachable refuses chosen peers.
+// Severable is a Network that simulates failures of a machine: Sever closes all
+// listeners and connections permanently, Pause holds back all bytes until Resume, and
+// SetReachable partitions it from chosen peers.
 type Severable struct {
 	inner Network
 
-	// mutex guards all below. resumed is closed while the network is not paused.
-	mutex     sync.Mutex
-	severed   bool
-	resumed   chan struct{}
-	reachable func(netip.AddrPort) bool
-	closers   map[*severableConn]struct{}
-	listeners map[net.Listener]struct{}
+	// mutex guards the fields below.
+	mutex   sync.Mutex
+	severed bool
+	// resumed is closed while the network is not paused.
+	resumed     chan struct{}
+	reachable   func(netip.AddrPort) bool
+	connections map[*severableConn]struct{}
+	listeners   map[net.Listener]struct{}
 }
 
 // NewSeverable returns a Severable over inner.
@@ -29,10 +30,10 @@
 	resumed := make(chan struct{})
 	close(resumed)
 	return &Severable{
-		inner:     inner,
-		resumed:   resumed,
-		closers:   make(map[*severableConn]struct{}),
-		listeners: make(map[net.Listener]struct{}),
+		inner:       inner,
+		resumed:     resumed,
+		connections: make(map[*severableConn]struct{}),
+		listeners:   make(map[net.Listener]struct{}),
 	}
 }
 
@@ -52,12 +53,12 @@
 	return &severableListener{Listener: listener, network: s}, nil
 }
 
-// Dial opens a connection unless the peer is cut off.
+// Dial opens a connection; it waits while the network is paused, and fails if the peer is unreachable.
 func (s *Severable) Dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
-	if err := s.wait(ctx); err != nil {
+	if err := s.waitWhilePaused(ctx); err != nil {
 		return nil, err
 	}
-	if !s.allows(address) {
+	if !s.isReachable(address) {
 		return nil, syscall.EHOSTUNREACH
 	}
 	conn, err := s.inner.Dial(ctx, address)
@@ -67,12 +68,12 @@
 	return s.track(conn, address)
 }
 
-// Sever closes every listener and connection; nothing can be opened any more.
+// Sever closes every listener and resets every connection; new ones are refused from then on.
 func (s *Severable) Sever() {
 	s.mutex.Lock()
 	s.severed = true
-	listeners, conns := s.listeners, s.closers
-	s.listeners, s.closers = make(map[net.Listener]struct{}), make(map[*severableConn]struct{})
+	listeners, conns := s.listeners, s.connections
+	s.listeners, s.connections = make(map[net.Listener]struct{}), make(map[*severableConn]struct{})
 	s.resumeLocked()
 	s.mutex.Unlock()
 	for listener := range listeners {
@@ -109,25 +110,25 @@
 	}
 }
 
-// SetReachable makes dials fail, and resets dialled connections, to addresses for
-// which reachable is false. nil makes all reachable. Connections that peers opened are
-// cut by the peers' own networks.
+// SetReachable makes dials fail to addresses for which reachable returns false, and resets
+// connections dialed to them. If reachable is nil, all are reachable. Accepted connections are
+// reset by the networks of the peers that dialed them.
 func (s *Severable) SetReachable(reachable func(netip.AddrPort) bool) {
 	s.mutex.Lock()
 	s.reachable = reachable
-	var cut []*severableConn
-	for conn := range s.closers {
-		if conn.dialled.IsValid() && reachable != nil && !reachable(conn.dialled) {
-			cut = append(cut, conn)
+	var unreachable []*severableConn
+	for conn := range s.connections {
+		if conn.remote.IsValid() && reachable != nil && !reachable(conn.remote) {
+			unreachable = append(unreachable, conn)
 		}
 	}
 	s.mutex.Unlock()
-	for _, conn := range cut {
+	for _, conn := range unreachable {
 		_ = conn.reset()
 	}
 }
 
-func (s *Severable) allows(address netip.AddrPort) bool {
+func (s *Severable) isReachable(address netip.AddrPort) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.severed {
@@ -136,8 +137,8 @@
 	return s.reachable == nil || s.reachable(address)
 }
 
-// wait blocks while the network is paused.
-func (s *Severable) wait(ctx context.Context) error {
+// waitWhilePaused blocks while the network is paused, until ctx ends; it fails if the network is severed.
+func (s *Severable) waitWhilePaused(ctx context.Context) error {
 	for {
 		s.mutex.Lock()
 		resumed, severed := s.resumed, s.severed
@@ -158,23 +159,23 @@
 	}
 }
 
-// track takes conn over; dialled is not valid for an accepted one.
-func (s *Severable) track(conn net.Conn, dialled netip.AddrPort) (net.Conn, error) {
-	tracked := &severableConn{Conn: conn, network: s, dialled: dialled}
+// track wraps conn and registers it; remote is the dialed address, invalid for an accepted connection.
+func (s *Severable) track(conn net.Conn, remote netip.AddrPort) (net.Conn, error) {
+	tracked := &severableConn{Conn: conn, network: s, remote: remote}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.severed {
 		_ = tracked.reset()
 		return nil, syscall.ENETDOWN
 	}
-	s.closers[tracked] = struct{}{}
+	s.connections[tracked] = struct{}{}
 	return tracked, nil
 }
 
-func (s *Severable) forget(conn *severableConn) {
+func (s *Severable) untrack(conn *severableConn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.closers, conn)
+	delete(s.connections, conn)
 }
 
 type severableListener struct {
@@ -191,7 +192,7 @@
 	return l.network.track(conn, netip.AddrPort{})
 }
 
-// Close closes the listener and forgets it.
+// Close closes the listener and unregisters it.
 func (l *severableListener) Close() error {
 	l.network.mutex.Lock()
 	delete(l.network.listeners, l.Listener)
@@ -202,13 +203,13 @@
 type severableConn struct {
 	net.Conn
 	network *Severable
-	dialled netip.AddrPort
+	remote  netip.AddrPort
 }
 
 // Read reads, and holds the bytes back while the network is paused.
 func (c *severableConn) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
-	if waitErr := c.network.wait(context.Background()); waitErr != nil {
+	if waitErr := c.network.waitWhilePaused(context.Background()); waitErr != nil {
 		return 0, waitErr
 	}
 	return count, err
@@ -216,19 +217,19 @@
 
 // Write waits while the network is paused, then writes.
 func (c *severableConn) Write(buffer []byte) (int, error) {
-	if err := c.network.wait(context.Background()); err != nil {
+	if err := c.network.waitWhilePaused(context.Background()); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(buffer)
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and unregisters it.
 func (c *severableConn) Close() error {
-	c.network.forget(c)
+	c.network.untrack(c)
 	return c.Conn.Close()
 }
 
-// reset closes without a goodbye, as a machine that vanishes does.
+// reset closes the connection with a TCP reset instead of an orderly shutdown.
 func (c *severableConn) reset() error {
 	if tcp, isTCP := c.Conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
--- a/internal/network/severable_test.go
+++ b/internal/network/severable_test.go
@@ -18,22 +18,22 @@
 		t.Fatal(err)
 	}
 	address := netip.MustParseAddrPort(listener.Addr().String())
-	dialled, err := System{}.Dial(context.Background(), address)
+	dialed, err := System{}.Dial(context.Background(), address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = dialled.Close() })
+	t.Cleanup(func() { _ = dialed.Close() })
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return severable, accepted, dialled
+	return severable, accepted, dialed
 }
 
 func TestSeverClosesConnectionsAndRefusesDials(t *testing.T) {
-	severable, _, outside := connectedPair(t)
+	severable, _, dialed := connectedPair(t)
 	severable.Sever()
-	if _, err := io.ReadAll(outside); err == nil {
+	if _, err := io.ReadAll(dialed); err == nil {
 		t.Fatal("want a reset, got a clean end")
 	}
 	if _, err := severable.Dial(context.Background(), netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
@@ -42,25 +42,25 @@
 }
 
 func TestPauseHoldsBytesBackUntilResume(t *testing.T) {
-	severable, inside, outside := connectedPair(t)
+	severable, accepted, dialed := connectedPair(t)
 	severable.Pause()
 	written := make(chan struct{})
 	go func() {
-		_, _ = inside.Write([]byte("x"))
+		_, _ = accepted.Write([]byte("x"))
 		close(written)
 	}()
-	if err := outside.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
+	if err := dialed.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := outside.Read(make([]byte, 1)); err == nil {
+	if _, err := dialed.Read(make([]byte, 1)); err == nil {
 		t.Fatal("a paused network let a byte through")
 	}
 	severable.Resume()
 	<-written
-	if err := outside.SetReadDeadline(time.Time{}); err != nil {
+	if err := dialed.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := outside.Read(make([]byte, 1)); err != nil {
+	if _, err := dialed.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/network/user_timeout_linux.go
+++ b/internal/network/user_timeout_linux.go
@@ -2,17 +2,17 @@
 
 import "syscall"
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of linux/tcp.h.
 const tcpUserTimeout = 18
 
-// setUserTimeout sets unackedTimeout on a socket.
+// setUserTimeout sets a socket's TCP user timeout to unackedTimeout.
 func setUserTimeout(raw syscall.RawConn) error {
-	var failure error
+	var optionError error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+		optionError = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionError
 }
--- a/internal/network/user_timeout_other.go
+++ b/internal/network/user_timeout_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// setUserTimeout does nothing where the system has no such timeout.
+// setUserTimeout does nothing on systems other than Linux.
 func setUserTimeout(_ syscall.RawConn) error { return nil }
--- a/internal/network/watch.go
+++ b/internal/network/watch.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// unackedTimeout ends a connection whose bytes the other end does not acknowledge. It is below the shortest time after which a
-	// deployment counts on a machine again whose connections were lost (3 s), and above the pauses of a machine that has spent
-	// its processor time (0.1 s) or whose link is full (over half a second).
+	// unackedTimeout is the time after which a connection with unacknowledged data is closed. It is below the shortest time after
+	// which a deployment relies again on a machine whose connections were lost (3 s), and above the pauses of a machine that has
+	// used up its CPU quota (0.1 s) or whose link is saturated (over half a second).
 	unackedTimeout = 2 * time.Second
-	// A quiet connection whose other end is gone without a word ends after keepAliveIdle and keepAliveProbes unanswered probes, about
+	// An idle connection whose other end vanished silently is closed after keepAliveIdle and keepAliveProbes unanswered probes, about
 	// four seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 3
 )
 
-// Watch makes the system end a connection whose other end vanished without a word. A connection that is not the system's own is left
-// as it is.
+// Watch makes the operating system close a TCP connection whose other end vanished silently: idle connections by keepAlive probes,
+// others after unackedTimeout. Connections that are not TCP connections of the operating system are left unchanged.
 func Watch(connection net.Conn, keepAlive net.KeepAliveConfig) {
-	tcp, is := connection.(*net.TCPConn)
-	if !is {
+	tcp, isTCP := connection.(*net.TCPConn)
+	if !isTCP {
 		return
 	}
-	// Both are best effort: without them the time-outs of the calls do the same, later.
+	// Both are best effort: without them the calls' own timeouts detect the loss later.
 	_ = tcp.SetKeepAliveConfig(keepAlive)
 	if raw, err := tcp.SyscallConn(); err == nil {
 		_ = setUserTimeout(raw)
