--- a/internal/platform/keyvalue_http.go
+++ b/internal/platform/keyvalue_http.go
@@ -40,13 +40,13 @@
 }
 
 // call makes one call within the rate limit and callTimeout.
-func (k *KeyValueHTTP) call(ctx context.Context, call request, response any) error {
+func (k *KeyValueHTTP) call(ctx context.Context, spec request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := k.limiter.wait(ctx, call.purpose); err != nil {
+	if err := k.limiter.wait(ctx, spec.purpose); err != nil {
 		return err
 	}
-	return k.caller.post(ctx, call.path, call.kind, call.body, response)
+	return k.caller.post(ctx, spec.path, spec.kind, spec.body, response)
 }
 
 // Get reads one key.
