--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,7 +12,7 @@
 	"github.com/sloelift/sloelift/internal/operator"
 )
 
-// drainer runs the steps of a planned stop in order: unready, leave, streams, partitions.
+// drainer runs the steps of a graceful stop in order: unready, leave, streams, partitions.
 type drainer struct {
 	logger zerolog.Logger
 	steps  []drainStep
@@ -48,7 +48,7 @@
 	}
 }
 
-// drain runs each step; a step that fails is logged and the next one runs.
+// drain runs the steps in order. A failed step is logged and does not stop the following ones.
 func (d *drainer) drain(ctx context.Context) {
 	for _, step := range d.steps {
 		if err := step.run(ctx); err != nil {
--- a/internal/node/fx.go
+++ b/internal/node/fx.go
@@ -20,7 +20,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Slices are the modules of every slice of a node, lower layers first.
+// Slices holds the modules of all slices of a node, lower layers first.
 var Slices = fx.Options(
 	transport.Module,
 	platform.Module,
@@ -41,7 +41,7 @@
 	fx.Invoke(announceStore),
 )
 
-// announceStore tells the other nodes which disk this node brings.
+// announceStore publishes the incarnation of this node's disk to the other nodes, if it has one.
 func announceStore(members *membership.Service, disk *ledger.Disk) {
 	if incarnation := disk.Incarnation(); incarnation != "" {
 		members.SetStore(incarnation)
--- a/internal/node/homes.go
+++ b/internal/node/homes.go
@@ -7,15 +7,15 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// followHomes has the ledger keep batch jobs in the regions that the configuration in force allows.
-func followHomes(lifecycle fx.Lifecycle, routes *route.Holder, manager *ledger.Manager) {
-	take := func(table *route.Table) {
+// followBatchRegions makes the ledger keep batch jobs in the regions that the current configuration allows.
+func followBatchRegions(lifecycle fx.Lifecycle, routes *route.Holder, manager *ledger.Manager) {
+	apply := func(table *route.Table) {
 		var confined []ledger.Confined
-		for _, home := range table.BatchHomes() {
-			confined = append(confined, ledger.Confined{Key: home.Host, Regions: home.Regions})
+		for _, batchHome := range table.BatchHomes() {
+			confined = append(confined, ledger.Confined{Key: batchHome.Host, Regions: batchHome.Regions})
 		}
 		manager.SetConfined(confined)
 	}
-	remove := routes.Subscribe(take)
-	lifecycle.Append(fx.StopHook(remove))
+	unsubscribe := routes.Subscribe(apply)
+	lifecycle.Append(fx.StopHook(unsubscribe))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,14 +14,14 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// Bounds of the parts of a start and a stop that are not waiting for streams.
+// Timeouts of starting, stopping and killing a node. They exclude draining, which settings.Limits.DrainTimeout bounds.
 const (
 	startTimeout = 30 * time.Second
 	stopTimeout  = 15 * time.Second
 	killTimeout  = 15 * time.Second
 )
 
-// Node is one running node. Several can run in one process.
+// Node is one node. Several can run in one process.
 type Node struct {
 	app     *fx.App
 	logger  zerolog.Logger
@@ -29,7 +29,7 @@
 	limits  settings.Limits
 }
 
-// Option changes how a node is built.
+// Option configures New.
 type Option func(*options)
 
 type options struct {
@@ -37,17 +37,17 @@
 	extra   []fx.Option
 }
 
-// WithNetwork puts another network in place of the operating system's.
+// WithNetwork replaces the operating system's network.
 func WithNetwork(replacement network.Network) Option {
 	return func(o *options) { o.network = replacement }
 }
 
-// WithFx adds fx options, for instance a decorator that changes a slice's policy.
+// WithFx adds fx options, for example a decorator that changes a slice's policy.
 func WithFx(extra ...fx.Option) Option {
 	return func(o *options) { o.extra = append(o.extra, extra...) }
 }
 
-// New wires a node from its settings. Nothing listens before Start.
+// New wires a node from its settings. It does not listen before Start.
 func New(nodeSettings settings.Settings, logger zerolog.Logger, choices ...Option) (*Node, error) {
 	chosen := options{network: network.System{}}
 	for _, choice := range choices {
@@ -77,7 +77,7 @@
 	return created, nil
 }
 
-// Start brings the node up. It does not wait for the key-value service.
+// Start starts the node's slices, within startTimeout. It does not wait for the key-value service.
 func (n *Node) Start(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// Stop is the planned stop: the node turns unready, streams run to their end (bounded
-// by settings.Limits.DrainTimeout), partitions are handed over, and all slices end.
+// Stop stops the node gracefully: the node becomes unready, leaves the membership, lets streams
+// finish and hands over its partitions, all within settings.Limits.DrainTimeout; then all slices stop.
 func (n *Node) Stop(ctx context.Context) error {
 	n.logger.Info().Msg("node_stopping")
 	drainContext, cancelDrain := context.WithTimeout(ctx, n.limits.DrainTimeout)
@@ -104,9 +104,9 @@
 	return nil
 }
 
-// Kill ends the node without drain or handover, as when its machine dies; the caller
-// severs its network first, so that nothing it still does is seen by others. It returns
-// when the data folder is closed and can be opened anew, or after killTimeout.
+// Kill stops the node without drain or handover, to simulate the death of its machine. The caller
+// must sever its network first, so that other nodes see none of its remaining actions. Kill returns
+// when the data folder is closed and can be opened again, or after killTimeout.
 func (n *Node) Kill() {
 	bounded, cancel := context.WithTimeout(context.Background(), killTimeout)
 	defer cancel()
--- a/internal/node/role.go
+++ b/internal/node/role.go
@@ -34,30 +34,31 @@
 )
 
 const (
-	// memoryShare is the part of the process's memory at which the garbage collector works hardest.
-	memoryShare = 0.75
-	// collectAt is the growth of the heap, in percent, after which garbage is collected.
-	collectAt = 60
-	// metricsHeaderTimeout bounds the wait for the header of a request for figures.
+	// memoryLimitFraction is the fraction of the process's memory set as the Go runtime's soft memory limit, near which the garbage
+	// collector works hardest.
+	memoryLimitFraction = 0.75
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
+	gcPercent = 60
+	// metricsHeaderTimeout bounds the reading of the header of a request for metrics.
 	metricsHeaderTimeout = 4 * time.Second
-	// MetricsPath is where a process gives its figures.
+	// MetricsPath is the path at which a process serves its metrics.
 	MetricsPath = "/metrics"
 )
 
-// Adapter translates between the platform that the processes run on and the product's types.
+// Adapter translates between the platform on which the processes run and the product's types.
 type Adapter struct {
 	Headers    replica.Headers
 	ReadyPath  string
 	Translator Translator
-	// KeyValue makes the port to the platform's key-value service.
+	// KeyValue returns the port to the platform's key-value service; watchWait returns how long a watch call may be held.
 	KeyValue func(exchanger *platform.Exchanger, watchWait func() time.Duration) platform.KeyValue
-	// Report is how replicas are asked for their load.
+	// Report defines how replicas report their load.
 	Report replica.LoadReport
-	// Batch makes the HTTP calls about batch jobs.
+	// Batch returns the HTTP calls about batch jobs.
 	Batch func(door *batch.Door) BatchCalls
 }
 
-// Translator reads and writes the entries of the key-value service.
+// Translator decodes and encodes the entries of the key-value service.
 type Translator interface {
 	discovery.Translator
 	retirement.Translator
@@ -67,26 +68,26 @@
 // BatchCalls are the HTTP calls about batch jobs.
 type BatchCalls interface {
 	forward.BatchSubmitter
-	// Register adds the calls other than submissions; each is authenticated first.
+	// Register adds the calls other than submissions, each wrapped by authenticate.
 	Register(router *mux.Router, authenticate func(forward.JobCall) http.HandlerFunc)
 }
 
-// RunRole runs an edge or a storage node until ctx ends, and stops it as planned.
-func RunRole(ctx context.Context, own settings.Settings, adapter Adapter, logger zerolog.Logger) error {
-	limitMemory(own.Limits.MemoryMegabytes)
-	logger = logger.With().Str(logging.FieldNode, own.Node).Str(logging.FieldZone, own.Zone).Logger()
+// RunRole runs an edge or a storage node until ctx ends, and stops it gracefully.
+func RunRole(ctx context.Context, nodeSettings settings.Settings, adapter Adapter, logger zerolog.Logger) error {
+	limitMemory(nodeSettings.Limits.MemoryMegabytes)
+	logger = logger.With().Str(logging.FieldNode, nodeSettings.Node).Str(logging.FieldZone, nodeSettings.Zone).Logger()
 	registry := prometheus.NewRegistry()
 	app := fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.StartTimeout(startTimeout), fx.StopTimeout(stopTimeout),
-		fx.Supply(own, adapter, logger),
+		fx.Supply(nodeSettings, adapter, logger),
 		fx.Provide(
 			func() network.Network { return network.System{} },
 			func() prometheus.Registerer { return registry },
 			func() prometheus.Gatherer { return registry },
 		),
 		sharedSlices,
-		roleSlices(own.Role),
+		roleSlices(nodeSettings.Role),
 	)
 	if err := app.Err(); err != nil {
 		return err
@@ -94,9 +95,9 @@
 	startContext, cancelStart := context.WithTimeout(ctx, startTimeout)
 	defer cancelStart()
 	if err := app.Start(startContext); err != nil {
-		return failureOfStart(ctx, err, logger)
+		return startError(ctx, err, logger)
 	}
-	logger.Info().Str("role", string(own.Role)).Int("process", os.Getpid()).Msg("node_started")
+	logger.Info().Str("role", string(nodeSettings.Role)).Int("process", os.Getpid()).Msg("node_started")
 	<-ctx.Done()
 	logger.Info().Msg("node_stopping")
 	stopContext, cancelStop := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -106,9 +107,9 @@
 	return err
 }
 
-// failureOfStart returns the failure of a start. Where the planned stop came during it, what had started is stopped again, and that is no
-// failure of the process.
-func failureOfStart(ctx context.Context, failure error, logger zerolog.Logger) error {
+// startError returns the error of a failed start, or nil if ctx ended during the start: then fx has stopped what had started, and the
+// process was stopped as requested.
+func startError(ctx context.Context, failure error, logger zerolog.Logger) error {
 	if ctx.Err() == nil {
 		return failure
 	}
@@ -116,24 +117,27 @@
 	return nil
 }
 
+// limitMemory configures the garbage collector for a process with so many megabytes of memory; 0 sets no limit.
 func limitMemory(megabytes int) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(float64(megabytes<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(megabytes<<20) * memoryLimitFraction))
 	}
 }
 
-// sharedSlices run in each role.
+// sharedSlices holds the slices of all roles.
 var sharedSlices = fx.Options(
 	fx.Provide(
-		func() *watchPace { return &watchPace{} }, newRoleKeyValue, newFeed, newCopies, route.NewHolder, replica.NewDirectory, newPartOfReplicas, newDiscovery, newReplicaClient, newPicker,
+		func() *watchHold { return &watchHold{} }, newRoleKeyValue, newFeed, newSnapshotCache, route.NewHolder, replica.NewDirectory,
+		newReplicaSubset, newDiscovery, newReplicaClient, newPicker,
 		newRegisteredMachines, newColdStarts, newQuarantine, func() *ledger.Timing { return &roleLedgerTiming },
 		membershipTimingOf,
 	),
 	transport.Module, membership.Module, ledger.Module,
-	fx.Invoke(serveMetrics, announceStore, followEvacuations, followHomes, reportSuspensions),
+	fx.Invoke(serveMetrics, announceStore, followEvacuations, followBatchRegions, reportSuspensions),
 )
 
+// roleSlices returns the slices that only nodes of role have.
 func roleSlices(role settings.Role) fx.Option {
 	if role == settings.RoleStorage {
 		return fx.Options(
@@ -142,24 +146,25 @@
 		)
 	}
 	return fx.Options(
-		fx.Provide(newLoadShare(loadsharepb.Kind_KIND_ONLINE), newGate, forward.NewMetrics, newBatchCalls, newForwardHandler, newEdgeServer, noFactory),
+		fx.Provide(newLoadShare(loadsharepb.Kind_KIND_ONLINE), newGate, forward.NewMetrics, newBatchCalls, newForwardHandler, newEdgeServer,
+			newEdgePartitionFactory),
 		quota.Module,
 		fx.Invoke(func(*edge.Server) {}),
 	)
 }
 
-// serveMetrics gives the process's figures at the admin address.
-func serveMetrics(lifecycle fx.Lifecycle, own settings.Settings, gatherer prometheus.Gatherer, via network.Network) {
+// serveMetrics serves the process's metrics at the admin address.
+func serveMetrics(lifecycle fx.Lifecycle, nodeSettings settings.Settings, gatherer prometheus.Gatherer, via network.Network) {
 	router := mux.NewRouter()
 	router.Handle(MetricsPath, promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{}))
 	server := &http.Server{Handler: router, ReadHeaderTimeout: metricsHeaderTimeout, ErrorLog: logging.Discard()}
 	lifecycle.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
-			listener, err := via.Listen(ctx, own.AdminAddress)
+			listener, err := via.Listen(ctx, nodeSettings.AdminAddress)
 			if err != nil {
 				return err
 			}
-			// OnStop closes the server, at which Serve ends. Without it the process serves on, without figures.
+			// Serve ends when OnStop closes the server. If it fails earlier, the process continues without metrics.
 			go func() { _ = server.Serve(listener) }()
 			return nil
 		},
--- a/internal/node/role_discovery.go
+++ b/internal/node/role_discovery.go
@@ -24,38 +24,54 @@
 	"github.com/sloelift/sloelift/internal/zonerelay"
 )
 
-// watchPace says how long the key-value service holds watches. The feed decides on that; it is made after the port to the service, which
-// needs the pace, and is set then.
-type watchPace struct {
+// watchHold provides the time for which the key-value service may hold watch calls. The change feed determines it. The feed is created
+// after the port to the service, which needs the time, so it is set later.
+type watchHold struct {
 	feed atomic.Pointer[changefeed.Feed]
 }
 
-// firstHold is how long watches are held until the feed is set.
-const firstHold = time.Second
+// initialHold is the time for which watch calls are held before the feed is set.
+const initialHold = time.Second
 
-func (w *watchPace) wait() time.Duration {
+func (w *watchHold) duration() time.Duration {
 	feed := w.feed.Load()
 	if feed == nil {
-		return firstHold
+		return initialHold
 	}
 	return feed.Hold()
 }
 
-func newRoleKeyValue(own settings.Settings, adapter Adapter, via network.Network, pace *watchPace) platform.KeyValue {
-	exchanger := platform.NewExchanger(via, own.Platform.MetadataStore)
-	return adapter.KeyValue(exchanger, pace.wait)
+func newRoleKeyValue(nodeSettings settings.Settings, adapter Adapter, via network.Network, hold *watchHold) platform.KeyValue {
+	exchanger := platform.NewExchanger(via, nodeSettings.Platform.MetadataStore)
+	return adapter.KeyValue(exchanger, hold.duration)
 }
 
-// newFeed has discovery follow the key-value service through the nodes that watch it.
-func newFeed(lifecycle fx.Lifecycle, store platform.KeyValue, caller transport.Caller, registrar transport.Registrar, members *membership.Service, pace *watchPace, logger zerolog.Logger) *changefeed.Feed {
+// newFeed returns the feed through which discovery follows the key-value service: only some nodes watch the service, and relay its changes.
+func newFeed(
+	lifecycle fx.Lifecycle,
+	store platform.KeyValue,
+	caller transport.Caller,
+	registrar transport.Registrar,
+	members *membership.Service,
+	hold *watchHold,
+	logger zerolog.Logger,
+) *changefeed.Feed {
 	feed := changefeed.New(store, caller, registrar, members, logger)
-	pace.feed.Store(feed)
+	hold.feed.Store(feed)
 	lifecycle.Append(fx.StartStopHook(feed.Start, feed.Stop))
 	return feed
 }
 
-// newCopies keeps what discovery follows, for starts while the key-value service does not answer.
-func newCopies(own settings.Settings, store *changefeed.Feed, caller transport.Caller, registrar transport.Registrar, members *membership.Service, registerer prometheus.Registerer, logger zerolog.Logger) (*snapshotcache.Cache, error) {
+// newSnapshotCache returns the cache of the data that discovery follows, for starts while the key-value service does not answer.
+func newSnapshotCache(
+	nodeSettings settings.Settings,
+	store *changefeed.Feed,
+	caller transport.Caller,
+	registrar transport.Registrar,
+	members *membership.Service,
+	registerer prometheus.Registerer,
+	logger zerolog.Logger,
+) (*snapshotcache.Cache, error) {
 	var relays membership.PerView[zonerelay.Relays]
 	lister := func() (snapshotcache.Lister, bool) {
 		view := members.View()
@@ -65,61 +81,88 @@
 	return snapshotcache.New(snapshotcache.Options{
 		Lister: lister, MostShort: roster.MostKeptByEach,
 		Store: store, Caller: caller, Registrar: registrar, Viewer: members, Join: members.AddContact, Unanswered: store.Unanswered,
-		Seeds: own.Seeds(), DataFolder: own.DataFolder, RandomSeed: uint64(time.Now().UnixNano()), Registerer: registerer, Logger: logger,
+		Seeds: nodeSettings.Seeds(), DataFolder: nodeSettings.DataFolder, RandomSeed: uint64(time.Now().UnixNano()), Registerer: registerer, Logger: logger,
 	})
 }
 
-// partOfReplicas is how this node gets its part of the replicas, where there are too many for each node to keep all.
-type partOfReplicas struct {
+// replicaSubset holds the components through which this node gets its subset of the replicas if there are too many for each node to
+// keep all.
+type replicaSubset struct {
 	roster *roster.Roster
 	keeper *roster.Keeper
 	relays *roster.Follower
 }
 
-// newPartOfReplicas has this node also answer others that follow their part, while it keeps the whole list.
-func newPartOfReplicas(own settings.Settings, feed *changefeed.Feed, adapter Adapter, directory *replica.Directory, members *membership.Service, caller transport.Caller, registrar transport.Registrar, logger zerolog.Logger) partOfReplicas {
-	all, keeper := roster.New(), roster.NewKeeper(directory)
-	feed.WatchAlone(adapter.Translator.ReplicaPrefix(), roster.MostKeptByEach, all.Long)
-	roster.NewRelay(all, func() bool { return !feed.Answered() }, registrar)
+// newReplicaSubset also makes this node a relay for nodes that follow their subsets, while it keeps the complete list.
+func newReplicaSubset(
+	nodeSettings settings.Settings,
+	feed *changefeed.Feed,
+	adapter Adapter,
+	directory *replica.Directory,
+	members *membership.Service,
+	caller transport.Caller,
+	registrar transport.Registrar,
+	logger zerolog.Logger,
+) replicaSubset {
+	fullRoster, keeper := roster.New(), roster.NewKeeper(directory)
+	feed.WatchAlone(adapter.Translator.ReplicaPrefix(), roster.MostKeptByEach, fullRoster.Long)
+	roster.NewRelay(fullRoster, func() bool { return !feed.Answered() }, registrar)
 	options := roster.FollowerOptions{
-		Node: membership.NodeID(own.Node), Zone: own.Zone, Caller: caller, Viewer: members, Keeper: keeper,
+		Node: membership.NodeID(nodeSettings.Node), Zone: nodeSettings.Zone, Caller: caller, Viewer: members, Keeper: keeper,
 		Logger: logger.With().Str(logging.FieldSlice, "roster").Logger(),
 	}
-	if own.Role != settings.RoleStorage {
-		options.Seeds = own.Seeds()
+	if nodeSettings.Role != settings.RoleStorage {
+		options.Seeds = nodeSettings.Seeds()
 	}
 	relays := roster.NewFollower(options)
-	return partOfReplicas{roster: all, keeper: keeper, relays: relays}
+	return replicaSubset{roster: fullRoster, keeper: keeper, relays: relays}
 }
 
-func newDiscovery(lifecycle fx.Lifecycle, own settings.Settings, copies *snapshotcache.Cache, adapter Adapter, routes *route.Holder, directory *replica.Directory, part partOfReplicas, members *membership.Service, registerer prometheus.Registerer, logger zerolog.Logger) (*discovery.Service, error) {
+func newDiscovery(
+	lifecycle fx.Lifecycle,
+	nodeSettings settings.Settings,
+	cache *snapshotcache.Cache,
+	adapter Adapter,
+	routes *route.Holder,
+	directory *replica.Directory,
+	subset replicaSubset,
+	members *membership.Service,
+	registerer prometheus.Registerer,
+	logger zerolog.Logger,
+) (*discovery.Service, error) {
 	metrics, err := discovery.NewMetrics(registerer)
 	if err != nil {
 		return nil, err
 	}
 	service := discovery.New(discovery.Options{
-		Store: copies, Translator: adapter.Translator, Routes: routes, Directory: directory, Viewer: members, Reporter: members, Copies: copies,
-		Roster: part.roster, Keeper: part.keeper, Relays: part.relays, Node: membership.NodeID(own.Node), Zone: own.Zone,
+		Store: cache, Translator: adapter.Translator, Routes: routes, Directory: directory, Viewer: members, Reporter: members, Copies: cache,
+		Roster: subset.roster, Keeper: subset.keeper, Relays: subset.relays, Node: membership.NodeID(nodeSettings.Node), Zone: nodeSettings.Zone,
 		Metrics: metrics, Logger: logger,
 	})
-	lifecycle.Append(fx.StartStopHook(copies.Start, copies.Stop))
+	lifecycle.Append(fx.StartStopHook(cache.Start, cache.Stop))
 	lifecycle.Append(fx.StartStopHook(service.Start, service.Stop))
 	return service, nil
 }
 
-func newRegisteredMachines(lifecycle fx.Lifecycle, own settings.Settings, store platform.KeyValue) platform.MachineList {
+func newRegisteredMachines(lifecycle fx.Lifecycle, nodeSettings settings.Settings, store platform.KeyValue) platform.MachineList {
 	machines := platform.NewRegisteredMachines(store, platform.Machine{
-		ID: own.Node, Role: platform.RoleNode, Region: own.Region, Zone: own.Zone, Address: own.PeerAddress,
+		ID: nodeSettings.Node, Role: platform.RoleNode, Region: nodeSettings.Region, Zone: nodeSettings.Zone, Address: nodeSettings.PeerAddress,
 	})
-	if own.Role != settings.RoleStorage && len(own.Seeds()) > 0 {
+	if nodeSettings.Role != settings.RoleStorage && len(nodeSettings.Seeds()) > 0 {
 		machines.RegisterOnDemand()
 	}
 	lifecycle.Append(fx.StartStopHook(machines.Start, machines.Stop))
 	return machines
 }
 
-// followEvacuations has nothing more sent to the replicas of zones that operators ask to evacuate.
-func followEvacuations(operators *discovery.Service, adapter Adapter, directory *replica.Directory, registerer prometheus.Registerer, logger zerolog.Logger) error {
+// followEvacuations stops requests to the replicas of zones that operators request to evacuate.
+func followEvacuations(
+	operators *discovery.Service,
+	adapter Adapter,
+	directory *replica.Directory,
+	registerer prometheus.Registerer,
+	logger zerolog.Logger,
+) error {
 	metrics, err := evacuation.NewMetrics(registerer)
 	if err != nil {
 		return err
--- a/internal/node/role_edge.go
+++ b/internal/node/role_edge.go
@@ -25,28 +25,60 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-func newBatchCalls(adapter Adapter, locator ledger.Locator, homes ledger.Homes, caller transport.Caller, registrar transport.Registrar, members *membership.Service, logger zerolog.Logger) BatchCalls {
+func newBatchCalls(
+	adapter Adapter,
+	locator ledger.Locator,
+	homes ledger.Homes,
+	caller transport.Caller,
+	registrar transport.Registrar,
+	members *membership.Service,
+	logger zerolog.Logger,
+) BatchCalls {
 	return adapter.Batch(batch.NewDoor(locator, homes, caller, registrar, members, logger))
 }
 
-// newGate holds online requests back while all nodes' callers want more than the replicas have.
+// newGate returns the gate that queues online requests while the demand at all nodes exceeds the replicas' capacity.
 func newGate(directory *replica.Directory, shared *loadshare.Service) *forward.Gate {
 	gate := forward.NewGate(directory, shared)
 	shared.SetDemands(gate.Demands, gate.Changed)
 	return gate
 }
 
-func newForwardHandler(own settings.Settings, routes *route.Holder, directory *replica.Directory, picker *balance.Picker, client *replica.Client, gate *forward.Gate, limits *quota.Service, coldStarts *coldstart.Service, register *quarantine.Service, shared *loadshare.Service, calls BatchCalls, logger zerolog.Logger, metrics *forward.Metrics) *forward.Handler {
+func newForwardHandler(
+	nodeSettings settings.Settings,
+	routes *route.Holder,
+	directory *replica.Directory,
+	picker *balance.Picker,
+	client *replica.Client,
+	gate *forward.Gate,
+	limits *quota.Service,
+	coldStarts *coldstart.Service,
+	register *quarantine.Service,
+	shared *loadshare.Service,
+	calls BatchCalls,
+	logger zerolog.Logger,
+	metrics *forward.Metrics,
+) *forward.Handler {
 	return forward.NewHandler(forward.Options{
-		Routes: routes, Directory: directory, Picker: picker, Client: client, Zone: own.Zone, Batch: calls, Gate: gate, Quota: limits, ColdStarts: coldStarts, Refresh: shared.Refresh,
+		Routes: routes, Directory: directory, Picker: picker, Client: client, Zone: nodeSettings.Zone, Batch: calls, Gate: gate,
+		Quota: limits, ColdStarts: coldStarts, Refresh: shared.Refresh,
 		Quarantine: register, Logger: logger, Metrics: metrics,
 	})
 }
 
-func newEdgeServer(lifecycle fx.Lifecycle, own settings.Settings, adapter Adapter, handler *forward.Handler, calls BatchCalls, _ *discovery.Service, via network.Network, logger zerolog.Logger) *edge.Server {
+func newEdgeServer(
+	lifecycle fx.Lifecycle,
+	nodeSettings settings.Settings,
+	adapter Adapter,
+	handler *forward.Handler,
+	calls BatchCalls,
+	_ *discovery.Service,
+	via network.Network,
+	logger zerolog.Logger,
+) *edge.Server {
 	server := edge.NewServer(edge.Options{
-		Handler: handler, Logger: logger, Network: via, Grace: own.Bounds.Grace, FileDescriptors: own.Limits.FileDescriptors,
-		Addresses: edge.Addresses{Callers: own.CallerAddress, Readiness: own.ReadinessAddress, ReadyPath: adapter.ReadyPath},
+		Handler: handler, Logger: logger, Network: via, Grace: nodeSettings.Bounds.Grace, FileDescriptors: nodeSettings.Limits.FileDescriptors,
+		Addresses: edge.Addresses{Callers: nodeSettings.CallerAddress, Readiness: nodeSettings.ReadinessAddress, ReadyPath: adapter.ReadyPath},
 		Calls:     func(router *mux.Router) { calls.Register(router, handler.AuthenticateJobCall) },
 	})
 	lifecycle.Append(fx.Hook{OnStart: server.Start, OnStop: func(ctx context.Context) error {
@@ -56,7 +88,7 @@
 	return server
 }
 
-// noFactory is the factory of a process that never owns a partition.
-func noFactory() ledger.Factory {
+// newEdgePartitionFactory returns the partition factory of edges, which never own a partition: calling it panics.
+func newEdgePartitionFactory() ledger.Factory {
 	return func(ledger.PartitionID) ledger.StateMachine { panic("an edge owns no partition") }
 }
--- a/internal/node/role_replicas.go
+++ b/internal/node/role_replicas.go
@@ -23,26 +23,44 @@
 	return replica.NewClient(via, adapter.Headers)
 }
 
-func newPicker(own settings.Settings, directory *replica.Directory) *balance.Picker {
-	return balance.NewPicker(directory, own.Topology(), nil)
+func newPicker(nodeSettings settings.Settings, directory *replica.Directory) *balance.Picker {
+	return balance.NewPicker(directory, nodeSettings.Topology(), nil)
 }
 
-// newLoadShare shares with the other nodes how many requests each has at the replicas.
+// newLoadShare returns the constructor of the service through which nodes share how many requests each has at the replicas.
 func newLoadShare(kind loadsharepb.Kind) any {
-	return func(lifecycle fx.Lifecycle, own settings.Settings, directory *replica.Directory, members *membership.Service, caller transport.Caller, registrar transport.Registrar, logger zerolog.Logger) *loadshare.Service {
-		service := loadshare.New(loadshare.Options{Zone: own.Zone, Kind: kind}, directory, members, caller, registrar, logger)
+	return func(
+		lifecycle fx.Lifecycle,
+		nodeSettings settings.Settings,
+		directory *replica.Directory,
+		members *membership.Service,
+		caller transport.Caller,
+		registrar transport.Registrar,
+		logger zerolog.Logger,
+	) *loadshare.Service {
+		service := loadshare.New(loadshare.Options{Zone: nodeSettings.Zone, Kind: kind}, directory, members, caller, registrar, logger)
 		lifecycle.Append(fx.StartStopHook(service.Start, service.Stop))
 		return service
 	}
 }
 
-// newColdStarts bounds what cold replicas get. Storage nodes send them nothing: items wait for warm ones.
-func newColdStarts(lifecycle fx.Lifecycle, own settings.Settings, routes *route.Holder, directory *replica.Directory, store platform.KeyValue, members *membership.Service, registerer prometheus.Registerer, logger zerolog.Logger) *coldstart.Service {
+// newColdStarts returns the service that limits requests to cold replicas. Storage nodes send them none: batch items wait for warm
+// replicas.
+func newColdStarts(
+	lifecycle fx.Lifecycle,
+	nodeSettings settings.Settings,
+	routes *route.Holder,
+	directory *replica.Directory,
+	store platform.KeyValue,
+	members *membership.Service,
+	registerer prometheus.Registerer,
+	logger zerolog.Logger,
+) *coldstart.Service {
 	options := coldstart.Options{
-		Bounds: coldstart.Bounds{Burst: own.Bounds.ColdBurst, Slack: own.Bounds.ColdSlack},
+		Bounds: coldstart.Bounds{Burst: nodeSettings.Bounds.ColdBurst, Slack: nodeSettings.Bounds.ColdSlack},
 		Routes: routes, Directory: directory, Viewer: members, Registerer: registerer, Logger: logger,
 	}
-	if own.Role != settings.RoleStorage {
+	if nodeSettings.Role != settings.RoleStorage {
 		options.Store = store
 	}
 	service := coldstart.New(options)
@@ -50,8 +68,18 @@
 	return service
 }
 
-// newQuarantine keeps messages from replicas that crash them.
-func newQuarantine(lifecycle fx.Lifecycle, via network.Network, directory *replica.Directory, store platform.KeyValue, members *membership.Service, caller transport.Caller, registrar transport.Registrar, registerer prometheus.Registerer, logger zerolog.Logger) *quarantine.Service {
+// newQuarantine returns the service that keeps messages which crash replicas away from them.
+func newQuarantine(
+	lifecycle fx.Lifecycle,
+	via network.Network,
+	directory *replica.Directory,
+	store platform.KeyValue,
+	members *membership.Service,
+	caller transport.Caller,
+	registrar transport.Registrar,
+	registerer prometheus.Registerer,
+	logger zerolog.Logger,
+) *quarantine.Service {
 	service := quarantine.NewService(quarantine.Options{
 		Network: via, Directory: directory, Viewer: members, Store: store, Caller: caller, Registrar: registrar, Registerer: registerer, Logger: logger,
 	})
--- a/internal/node/role_storage.go
+++ b/internal/node/role_storage.go
@@ -25,30 +25,51 @@
 )
 
 const (
-	// batchMemoryShare is the part of the process's memory that bodies and results of batch jobs may take.
+	// batchMemoryShare is the fraction of the process's memory that bodies and results of batch jobs may use.
 	batchMemoryShare = 0.3
-	// defaultMemoryMegabytes and defaultKeepResults hold where the settings name none.
+	// defaultMemoryMegabytes and defaultKeepResults apply if the settings do not set them.
 	defaultMemoryMegabytes = 512
 	defaultKeepResults     = 10 * time.Minute
 )
 
-func newBatchService(own settings.Settings, adapter Adapter, routes *route.Holder, directory *replica.Directory, shared *loadshare.Service, picker *balance.Picker, client *replica.Client, coldStarts *coldstart.Service, register *quarantine.Service, registrar transport.Registrar, registerer prometheus.Registerer, logger zerolog.Logger) (*batch.Service, error) {
-	memory := cmp.Or(own.Limits.MemoryMegabytes, defaultMemoryMegabytes)
+func newBatchService(
+	nodeSettings settings.Settings,
+	adapter Adapter,
+	routes *route.Holder,
+	directory *replica.Directory,
+	shared *loadshare.Service,
+	picker *balance.Picker,
+	client *replica.Client,
+	coldStarts *coldstart.Service,
+	register *quarantine.Service,
+	registrar transport.Registrar,
+	registerer prometheus.Registerer,
+	logger zerolog.Logger,
+) (*batch.Service, error) {
+	memory := cmp.Or(nodeSettings.Limits.MemoryMegabytes, defaultMemoryMegabytes)
 	service := batch.NewService(batch.Options{
-		Zone: own.Zone, MaxBytes: int64(float64(memory<<20) * batchMemoryShare),
-		KeepResults: cmp.Or(own.Bounds.Poll, defaultKeepResults), Report: adapter.Report, ColdStarts: coldStarts, Quarantine: register,
+		Zone: nodeSettings.Zone, MaxBytes: int64(float64(memory<<20) * batchMemoryShare),
+		KeepResults: cmp.Or(nodeSettings.Bounds.Poll, defaultKeepResults), Report: adapter.Report, ColdStarts: coldStarts, Quarantine: register,
 	}, routes, directory, shared, picker, client, registrar, logger)
 	return service, registerer.Register(service)
 }
 
-// followRetirements empties storage nodes on request.
-func followRetirements(lifecycle fx.Lifecycle, operators *discovery.Service, store platform.KeyValue, adapter Adapter, manager *ledger.Manager, members *membership.Service, logger zerolog.Logger) {
+// followRetirements empties storage nodes when operators request it.
+func followRetirements(
+	lifecycle fx.Lifecycle,
+	operators *discovery.Service,
+	store platform.KeyValue,
+	adapter Adapter,
+	manager *ledger.Manager,
+	members *membership.Service,
+	logger zerolog.Logger,
+) {
 	service := retirement.New(store, adapter.Translator, manager, members, logger)
 	operators.FollowOperators(service)
 	lifecycle.Append(fx.StopHook(service.Stop))
 }
 
-// yieldToOnline has batch items give way as soon as other nodes report more online requests.
+// yieldToOnline makes batch items yield capacity as soon as other nodes report more online requests.
 func yieldToOnline(shared *loadshare.Service, service *batch.Service) {
 	shared.SetOwner(service.Works, service.OnlineChanged)
 }
--- a/internal/node/role_timing.go
+++ b/internal/node/role_timing.go
@@ -8,7 +8,8 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// roleLedgerTiming replaces the ledger's lost members sooner than on large machines: little is kept on a small disk.
+// roleLedgerTiming replaces the ledger's lost members sooner than the default for large machines does, since a small disk holds little
+// data.
 var roleLedgerTiming = func() ledger.Timing {
 	timing := ledger.DefaultTiming()
 	timing.Replace = 2 * time.Second
@@ -25,30 +26,31 @@
 	return timing
 }()
 
-// roleMembershipTiming reads the list of registered nodes more rarely: each reading is a priced call, and nodes that have
+// roleMembershipTiming reads the list of registered nodes less often than the default: each read is a metered call, and nodes that have
 // joined learn of others from each other.
 var roleMembershipTiming = func() membership.Timing {
 	timing := membership.DefaultTiming()
 	timing.ListPeriod = 45 * time.Second
-	// A node of a platform has a fifth of a core: it probes half as often. A dead node is known in its zone after 2.8 s instead of 2.6 s.
+	// Nodes on a platform have a fifth of a core, so they probe half as often. A dead node is detected in its zone after 2.8 s instead of
+	// 2.6 s.
 	timing.ZoneProbePeriod = 500 * time.Millisecond
 	timing.RemoteProbePeriod = time.Second
 	timing.DigestPeriod = 2 * time.Second
-	// A storage node that came back without its disk is filled only once the others know of it.
+	// Joins are retried quickly: a storage node that restarted without its disk gets its data back only once the others know of it.
 	timing.JoinPeriod = 50 * time.Millisecond
 	timing.MaxJoinPeriod = 300 * time.Millisecond
 	return timing
 }()
 
-// edgeJoinFirst is how long an edge waits to join through its seeds before it reads the list of registered nodes: a thousand edges that start at
-// once would each read as many entries.
-const edgeJoinFirst = time.Second
+// edgeSeedJoinTimeout is how long an edge tries to join through its seeds before it reads the list of registered nodes. If a thousand edges
+// started at once and read the list, each would read a thousand entries.
+const edgeSeedJoinTimeout = time.Second
 
-// membershipTimingOf returns the timing of a node of own's role.
-func membershipTimingOf(own settings.Settings) *membership.Timing {
+// membershipTimingOf returns the membership timing for the role in nodeSettings.
+func membershipTimingOf(nodeSettings settings.Settings) *membership.Timing {
 	timing := roleMembershipTiming
-	if own.Role != settings.RoleStorage {
-		timing.JoinFirst = edgeJoinFirst
+	if nodeSettings.Role != settings.RoleStorage {
+		timing.JoinFirst = edgeSeedJoinTimeout
 	}
 	return &timing
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -8,7 +8,7 @@
 	"github.com/sloelift/sloelift/internal/settings"
 )
 
-// Run starts a node, waits until ctx ends, and stops it as planned.
+// Run starts a node, waits until ctx ends, and stops it gracefully.
 func Run(ctx context.Context, nodeSettings settings.Settings, logger zerolog.Logger) error {
 	running, err := New(nodeSettings, logger)
 	if err != nil {
--- a/internal/node/suspension_test.go
+++ b/internal/node/suspension_test.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/internal/clock/clocktest"
 )
 
-// TestSuspensionIsLoggedOnce: an operator sees why leases ended.
+// TestSuspensionIsLoggedOnce: each suspension is logged once, so that operators see why leases expired.
 func TestSuspensionIsLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var output bytes.Buffer
@@ -22,7 +22,7 @@
 		reportSuspensions(lifecycle, prometheus.NewRegistry(), zerolog.New(&output))
 		lifecycle.RequireStart()
 		clocktest.Suspend(t, 3*time.Second)
-		time.Sleep(3 * suspensionInterval)
+		time.Sleep(3 * suspensionCheckInterval)
 		lifecycle.RequireStop()
 		if lines := strings.Count(output.String(), "machine_suspended"); lines != 1 || !strings.Contains(output.String(), `"suspended":3000`) {
 			t.Errorf("%d lines: %s", lines, output.String())
