--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -6,19 +6,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// readings is how often the two clocks are read: a thread that loses the processor between them reads too small an offset.
-const readings = 3
+// offsetReadings is the number of times that both clocks are read. A thread preempted between the two reads gets too small an offset, so
+// the largest one is used.
+const offsetReadings = 3
 
-// bootOffset returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC, or a little less.
+// bootOffset returns the time by which CLOCK_BOOTTIME, which counts suspension, is ahead of CLOCK_MONOTONIC, or slightly less.
 func bootOffset() time.Duration {
 	var largest time.Duration
-	for range readings {
-		var boot, steady unix.Timespec
-		// Neither fails on kernels that Go supports; a zero reading is then the smallest offset.
-		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+	for range offsetReadings {
+		var bootTime, monotonicTime unix.Timespec
+		// Neither call fails on kernels that Go supports. If one does, the largest offset read so far is returned, or 0.
+		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonicTime) != nil {
 			return largest
 		}
-		largest = max(largest, time.Duration(boot.Nano()-steady.Nano()))
+		largest = max(largest, time.Duration(bootTime.Nano()-monotonicTime.Nano()))
 	}
 	return largest
 }
--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// bootOffset returns 0: the steady clock is taken to go on.
+// bootOffset returns 0: the monotonic clock is assumed to count suspension.
 func bootOffset() time.Duration { return 0 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// fakeOffset is an offset between the kernel's clocks; read counts how often it was asked for.
+// fakeOffset is a fake offset between the kernel's clocks; reads counts the calls of get.
 type fakeOffset struct {
 	offset time.Duration
-	read   int
+	reads  int
 }
 
 func (f *fakeOffset) get() time.Duration {
-	f.read++
+	f.reads++
 	return f.offset
 }
 
-// TestSuspensionIsCounted: the time of day and the kernel's clock are ahead of the steady one by it.
+// TestSuspensionIsCounted: after a suspension, the time of day and the kernel's offset have advanced by its duration, the monotonic
+// clock has not.
 func TestSuspensionIsCounted(t *testing.T) {
 	kernel := &fakeOffset{offset: time.Hour}
 	c := newClock(kernel.get)
@@ -30,7 +31,7 @@
 	}
 }
 
-// TestStepOfTheTimeOfDayIsNoSuspension: an operator sets it forth and back, the kernel's clock does not move.
+// TestStepOfTheTimeOfDayIsNoSuspension: an operator sets the time of day forward and back; the kernel's offset does not change.
 func TestStepOfTheTimeOfDayIsNoSuspension(t *testing.T) {
 	kernel := &fakeOffset{offset: time.Hour}
 	c := newClock(kernel.get)
@@ -41,7 +42,7 @@
 	}
 }
 
-// TestKernelIsAskedAfterAStepOnly: the time is asked for many times in a request.
+// TestKernelIsAskedAfterAStepOnly: Now is called many times per request, so it must not call the kernel each time.
 func TestKernelIsAskedAfterAStepOnly(t *testing.T) {
 	kernel := &fakeOffset{}
 	c := newClock(kernel.get)
@@ -49,30 +50,31 @@
 		now := time.Now()
 		c.suspendedAfter(now.Sub(c.started), time.Duration(now.UnixNano()-c.started.UnixNano()))
 	}
-	if kernel.read > 2 {
-		t.Errorf("the kernel was asked %d times", kernel.read)
+	if kernel.reads > 2 {
+		t.Errorf("the kernel was asked %d times", kernel.reads)
 	}
 }
 
-// TestOffsetThatIsReadTooSmallTakesNothingBack: a thread may lose the processor between two readings.
+// TestOffsetThatIsReadTooSmallTakesNothingBack: a thread may be preempted between reading the two clocks; the smaller offset must not
+// reduce the suspended time.
 func TestOffsetThatIsReadTooSmallTakesNothingBack(t *testing.T) {
 	kernel := &fakeOffset{}
 	c := newClock(kernel.get)
 	kernel.offset = 3 * time.Second
-	c.measure()
+	c.updateSuspended()
 	kernel.offset = time.Second
-	c.measure()
+	c.updateSuspended()
 	if got := time.Duration(c.suspended.Load()); got != 3*time.Second {
 		t.Errorf("%s, want 3s", got)
 	}
 }
 
-// TestKernelsClocksAreRead: this machine was not suspended since the process began.
+// TestKernelsClocksAreRead assumes that this machine was not suspended since the process started.
 func TestKernelsClocksAreRead(t *testing.T) {
 	if before, after := bootOffset(), bootOffset(); after-before > time.Second || before-after > time.Second {
 		t.Errorf("%s and %s", before, after)
 	}
-	if apart := time.Until(Now()); apart > time.Second || apart < -time.Second {
-		t.Errorf("now is %s ahead", apart)
+	if difference := time.Until(Now()); difference > time.Second || difference < -time.Second {
+		t.Errorf("now is %s ahead", difference)
 	}
 }
--- a/internal/clock/clocktest/suspend.go
+++ b/internal/clock/clocktest/suspend.go
@@ -1,4 +1,4 @@
-// Package clocktest suspends the machine, as far as package clock can tell.
+// Package clocktest simulates suspensions of the machine for package clock.
 package clocktest
 
 import (
@@ -8,7 +8,8 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// Suspend has package clock find, until the test ends, that the machine was suspended for duration. Go's own clocks and timers do not move.
+// Suspend makes package clock report, until the test ends, that the machine was suspended for duration. Go's own clocks and timers are
+// not affected.
 func Suspend(t *testing.T, duration time.Duration) {
 	t.Helper()
 	t.Cleanup(clock.Simulate(duration))
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -11,28 +11,30 @@
 	"testing"
 )
 
-// counting are the packages whose leases, ages, terms and deadlines other nodes rely on.
-var counting = []string{
+// suspensionAwarePackages are the packages with leases, ages, terms and deadlines on which other nodes rely.
+var suspensionAwarePackages = []string{
 	"batch", "changefeed", "coldstart", "config/relay", "discovery", "forward", "job", "ledger", "loadshare", "membership", "pause", "quarantine", "quota",
 	"replica", "roster", "snapshotcache", "unreached",
 }
 
-// ofDay are the files in which package time tells the time of day, a deadline of a connection or an incarnation, by number of uses.
-var ofDay = map[string]int{
+// allowedUses maps files to their number of legitimate uses of package time: for the time of day, the deadline of a connection or an
+// incarnation.
+var allowedUses = map[string]int{
 	"batch/door.go": 1, "batch/partition.go": 1, "forward/handler.go": 1, "membership/fx.go": 1,
 	"job/item_record.go": 1, "job/item_result.go": 1, "job/owner_files.go": 1, "job/owner_jobs.go": 3, "job/owner_keys.go": 2,
 }
 
-// TestTimesCountSuspension: Go's steady clock stands still while the machine is suspended.
+// TestTimesCountSuspension guards against uses of package time where package clock is needed: Go's monotonic clock stops while the
+// machine is suspended.
 func TestTimesCountSuspension(t *testing.T) {
-	for _, name := range counting {
+	for _, name := range suspensionAwarePackages {
 		walk := func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			relative := strings.TrimPrefix(filepath.ToSlash(path), "../")
-			if uses := usesOfSteadyClock(t, path); uses != ofDay[relative] {
-				t.Errorf("%s reads the clock of package time %d times, want %d", relative, uses, ofDay[relative])
+			if uses := countTimeUses(t, path); uses != allowedUses[relative] {
+				t.Errorf("%s reads the clock of package time %d times, want %d", relative, uses, allowedUses[relative])
 			}
 			return nil
 		}
@@ -42,8 +44,8 @@
 	}
 }
 
-// usesOfSteadyClock counts the uses of time.Now, time.Since and time.Until in a file.
-func usesOfSteadyClock(t *testing.T, path string) int {
+// countTimeUses returns the number of uses of time.Now, time.Since and time.Until in a file.
+func countTimeUses(t *testing.T, path string) int {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
@@ -51,11 +53,11 @@
 	}
 	uses := 0
 	ast.Inspect(parsed, func(node ast.Node) bool {
-		selector, is := node.(*ast.SelectorExpr)
-		if !is {
+		selector, isSelector := node.(*ast.SelectorExpr)
+		if !isSelector {
 			return true
 		}
-		if of, named := selector.X.(*ast.Ident); named && of.Name == "time" && slices.Contains([]string{"Now", "Since", "Until"}, selector.Sel.Name) {
+		if identifier, isIdentifier := selector.X.(*ast.Ident); isIdentifier && identifier.Name == "time" && slices.Contains([]string{"Now", "Since", "Until"}, selector.Sel.Name) {
 			uses++
 		}
 		return true
