--- a/internal/pause/sleep.go
+++ b/internal/pause/sleep.go
@@ -1,4 +1,4 @@
-// Package pause waits for time to pass or a context to end, whichever is first.
+// Package pause provides waits that end early if a context ends.
 package pause
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/sloelift/sloelift/internal/clock"
 )
 
-// Sleep waits for duration; false if ctx ended meanwhile. It does not wait where
-// duration is not positive.
+// Sleep waits for duration and reports false if ctx ended first. It does not wait if
+// duration is not positive, and then reports whether ctx is still active.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -24,7 +24,7 @@
 	}
 }
 
-// Every calls do once in each interval until ctx ends. Intervals that pass while do runs are left out.
+// Every calls do once per interval until ctx ends. Ticks are dropped while do runs.
 func Every(ctx context.Context, interval time.Duration, do func(now time.Time)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
