--- a/internal/region/doc.go
+++ b/internal/region/doc.go
@@ -1,2 +1,2 @@
-// Package region says which regions there are, which zones lie in them, and where data may be kept and processed.
+// Package region maps zones to regions and represents the regions in which data may be stored and processed.
 package region
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -41,9 +41,9 @@
 		{"none in common", NewSet("a"), NewSet("b"), true, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			both := test.one.Intersect(test.other)
-			if both.Limited() != test.limited || !slices.Equal(both.Names(), test.want) {
-				t.Errorf("limited %t to %v", both.Limited(), both.Names())
+			intersection := test.one.Intersect(test.other)
+			if intersection.Limited() != test.limited || !slices.Equal(intersection.Names(), test.want) {
+				t.Errorf("limited %t to %v", intersection.Limited(), intersection.Names())
 			}
 		})
 	}
--- a/internal/region/set.go
+++ b/internal/region/set.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Set is the regions to which data is confined. Its zero value confines to none: everything is allowed. It is immutable.
+// Set is the set of regions in which data may be stored and processed. Its zero value allows all regions. It is immutable.
 type Set struct {
-	// limited says that only the named regions are allowed, which may be none.
+	// limited restricts the set to the regions in names, which may be empty.
 	limited bool
 	names   []string
 }
 
-// NewSet returns the Set of names; without any it allows all regions.
+// NewSet returns the Set of the named regions; without names it allows all regions.
 func NewSet(names ...string) Set {
 	if len(names) == 0 {
 		return Set{}
@@ -25,18 +25,18 @@
 // Nowhere returns the Set that allows no region.
 func Nowhere() Set { return Set{limited: true} }
 
-// Limited says that not all regions are allowed.
+// Limited reports whether the set excludes any region.
 func (s Set) Limited() bool { return s.limited }
 
-// Allows says that data may be in the region name. A limited Set does not allow a region without a name.
+// Allows reports whether data may be in the region name. A limited Set does not allow a region without a name.
 func (s Set) Allows(name string) bool {
 	return !s.limited || (name != "" && slices.Contains(s.names, name))
 }
 
-// Names returns the allowed regions in order; nil where all are.
+// Names returns the allowed regions, sorted; nil if all are allowed.
 func (s Set) Names() []string { return slices.Clone(s.names) }
 
-// String returns the allowed regions for a log line: "all", or their names separated by commas, which may be none.
+// String returns the allowed regions for log lines: "all", or their names separated by commas, empty if there are none.
 func (s Set) String() string {
 	if !s.limited {
 		return "all"
@@ -44,12 +44,12 @@
 	return strings.Join(s.names, ",")
 }
 
-// Equal says that both sets allow the same.
+// Equal reports whether both sets allow the same regions.
 func (s Set) Equal(other Set) bool {
 	return s.limited == other.limited && slices.Equal(s.names, other.names)
 }
 
-// Intersect returns what both sets allow, which may be no region at all.
+// Intersect returns the Set of the regions that both sets allow, which may be none.
 func (s Set) Intersect(other Set) Set {
 	if !s.limited {
 		return other
@@ -57,11 +57,11 @@
 	if !other.limited {
 		return s
 	}
-	both := Set{limited: true}
+	intersection := Set{limited: true}
 	for _, name := range s.names {
 		if slices.Contains(other.names, name) {
-			both.names = append(both.names, name)
+			intersection.names = append(intersection.names, name)
 		}
 	}
-	return both
+	return intersection
 }
--- a/internal/region/topology.go
+++ b/internal/region/topology.go
@@ -2,29 +2,29 @@
 
 import "maps"
 
-// Distance is how far apart two zones are.
+// Distance is the distance between two zones.
 type Distance int
 
-// Distances, the nearest first.
+// Distances in ascending order.
 const (
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
 )
 
-// Topology knows the region of each zone. Its zero value knows none. It is immutable.
+// Topology maps zones to regions. Its zero value maps none. It is immutable.
 type Topology struct{ regionOf map[string]string }
 
-// NewTopology returns the Topology in which regionOf names the region of each zone.
+// NewTopology returns a Topology from a map of zones to regions.
 func NewTopology(regionOf map[string]string) Topology {
 	return Topology{regionOf: maps.Clone(regionOf)}
 }
 
-// RegionOf returns the region of zone; empty where it is not known.
+// RegionOf returns the region of zone; empty if it is unknown.
 func (t Topology) RegionOf(zone string) string { return t.regionOf[zone] }
 
-// Between returns how far apart two zones are. A zone of an unknown region is taken for one of the same region, as where the
-// settings name no regions.
+// Between returns the distance between two zones. A zone whose region is unknown, as when the settings name no regions, counts as being in
+// the same region as every other zone.
 func (t Topology) Between(one, other string) Distance {
 	if one == other {
 		return SameZone
