--- a/internal/subscription/list.go
+++ b/internal/subscription/list.go
@@ -1,27 +1,27 @@
-// Package subscription keeps the functions that are called after a change.
+// Package subscription manages functions that are called after a change.
 package subscription
 
 import "sync"
 
-// List holds functions to call with each new value. Its zero value is empty. It is
+// List is a list of functions to call with each new value. Its zero value is empty. It is
 // safe for concurrent use.
 type List[Value any] struct {
 	mutex sync.Mutex
-	// last and byID are guarded by mutex.
-	last uint64
-	byID map[uint64]func(Value)
+	// lastID and byID are guarded by mutex.
+	lastID uint64
+	byID   map[uint64]func(Value)
 }
 
-// Add has notify called with each later value until remove is called. A call that has
-// begun by then may still end after it.
+// Add registers notify to be called with each later value until remove is called. A call
+// that is already in progress may still be running when remove returns.
 func (l *List[Value]) Add(notify func(Value)) (remove func()) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.byID == nil {
 		l.byID = make(map[uint64]func(Value))
 	}
-	l.last++
-	id := l.last
+	l.lastID++
+	id := l.lastID
 	l.byID[id] = notify
 	return func() {
 		l.mutex.Lock()
@@ -30,15 +30,15 @@
 	}
 }
 
-// Notify calls all functions, without the lock, so that they may be removed meanwhile.
+// Notify calls all functions, without holding the lock, so that they may remove themselves or others.
 func (l *List[Value]) Notify(value Value) {
 	l.mutex.Lock()
-	called := make([]func(Value), 0, len(l.byID))
+	notifiers := make([]func(Value), 0, len(l.byID))
 	for _, notify := range l.byID {
-		called = append(called, notify)
+		notifiers = append(notifiers, notify)
 	}
 	l.mutex.Unlock()
-	for _, notify := range called {
+	for _, notify := range notifiers {
 		notify(value)
 	}
 }
--- a/internal/subscription/list_test.go
+++ b/internal/subscription/list_test.go
@@ -8,7 +8,7 @@
 	var removeFirst func()
 	removeFirst = list.Add(func(value int) {
 		first += value
-		removeFirst() // from within a call
+		removeFirst() // remove must work from within a call
 	})
 	list.Add(func(value int) { second += value })
 	list.Notify(1)
--- a/internal/subscription/signal.go
+++ b/internal/subscription/signal.go
@@ -1,6 +1,6 @@
 package subscription
 
-// Signal leaves one signal in a channel of length 1, unless one is there already. It never waits.
+// Signal sends to a channel of capacity 1 unless a signal is already pending. It never blocks.
 func Signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/subscription/signal_test.go
+++ b/internal/subscription/signal_test.go
@@ -9,7 +9,7 @@
 		Signal(channel)
 		<-channel
 		if len(channel) > 0 {
-			t.Error("two signals though none was taken between them")
+			t.Error("two pending signals, want the second to be merged into the first")
 		}
 	}
 }
