--- a/internal/tenant/doc.go
+++ b/internal/tenant/doc.go
@@ -1,4 +1,4 @@
-// Package tenant holds the tenants of one version of the configuration and finds the one that holds an API key.
+// Package tenant holds the tenants of one configuration version and looks them up by API key.
 //
-// A Directory is immutable and keeps digests of the keys only, so that no dump or log of it shows a key.
+// A Directory is immutable and stores only digests of the keys, so that no dump or log of it reveals a key.
 package tenant
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -8,24 +8,24 @@
 	"github.com/sloelift/sloelift/internal/region"
 )
 
-// Limit bounds the requests of one tenant over all nodes together. Its zero value is no limit.
+// Limit is the rate limit of one tenant over all nodes together. Its zero value means no limit.
 type Limit struct {
-	// RequestsPerSecond is the rate that a tenant may keep up; 0 is no limit.
+	// RequestsPerSecond is the sustained rate; 0 means no limit.
 	RequestsPerSecond float64
-	// Burst is the number of requests that may come on top of the rate.
+	// Burst is the number of requests allowed in addition to the rate.
 	Burst float64
 }
 
-// Unlimited says that the limit refuses nothing.
+// Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.RequestsPerSecond <= 0 }
 
 // Tenant is one customer of the system.
 type Tenant struct {
 	Name  string
 	Limit Limit
-	// Priority takes precedence over that of a route, 0 being the highest; nil where the tenant has none of its own.
+	// Priority overrides that of a route; 0 is the highest. It is nil if the tenant has no priority of its own.
 	Priority *int
-	// Regions are where the tenant's requests may be served, cached and stored.
+	// Regions are the regions in which the tenant's requests may be served, cached and stored.
 	Regions region.Set
 }
 
@@ -44,22 +44,22 @@
 	byName map[string]*Tenant
 }
 
-// NewDirectory indexes the declared tenants. A key that two of them declare belongs to the first.
-func NewDirectory(declared []Declaration) *Directory {
+// NewDirectory indexes the declared tenants. A key declared by several tenants belongs to the first of them.
+func NewDirectory(declarations []Declaration) *Directory {
 	directory := &Directory{byKey: map[digest]*Tenant{}, byName: map[string]*Tenant{}}
-	for index := range declared {
-		directory.byName[declared[index].Name] = &declared[index].Tenant
-		for _, key := range declared[index].APIKeys {
-			hashed := digest(sha256.Sum256([]byte(key)))
-			if _, taken := directory.byKey[hashed]; !taken {
-				directory.byKey[hashed] = &declared[index].Tenant
+	for index := range declarations {
+		directory.byName[declarations[index].Name] = &declarations[index].Tenant
+		for _, key := range declarations[index].APIKeys {
+			keyDigest := digest(sha256.Sum256([]byte(key)))
+			if _, indexed := directory.byKey[keyDigest]; !indexed {
+				directory.byKey[keyDigest] = &declarations[index].Tenant
 			}
 		}
 	}
 	return directory
 }
 
-// ByKey returns the tenant that holds key; nil where none does.
+// ByKey returns the tenant with the API key; nil if there is none.
 func (d *Directory) ByKey(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -67,8 +67,8 @@
 	return d.byKey[digest(sha256.Sum256([]byte(key)))]
 }
 
-// ByName returns the tenant of that name; nil where none is declared.
+// ByName returns the tenant with the name; nil if there is none.
 func (d *Directory) ByName(name string) *Tenant { return d.byName[name] }
 
-// All returns every tenant once, in no order.
+// All returns every tenant once, in no particular order.
 func (d *Directory) All() iter.Seq[*Tenant] { return maps.Values(d.byName) }
