--- a/internal/outcome/doc.go
+++ b/internal/outcome/doc.go
@@ -1,7 +1,6 @@
-// Package outcome holds the typed result that a caller is told about a request.
+// Package outcome defines the typed result of a request that is reported to its caller.
 //
 // Every layer between the callers' interface and the engines reports failures
-// as an Outcome value inside an error made by this package, so that the statement
-// "refused work did not run" is decided once, where the fact is known, and is
-// never guessed by a later layer.
+// as an Outcome in an error of this package. Whether a refused request may have run
+// is thus decided once, in the layer that knows it, and never guessed by another.
 package outcome
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Outcome says what is known about the execution of a request or batch item.
+// Outcome is what is known about the execution of a request or batch item.
 type Outcome string
 
 const (
-	// NotRun means that no engine saw the request; it is always safe to send it again.
+	// NotRun means that no engine received the request; it is always safe to retry it.
 	NotRun Outcome = "not_run"
-	// Completed means that the whole answer is there.
+	// Completed means that the complete answer is available.
 	Completed Outcome = "completed"
-	// Cancelled means that the caller's cancel took effect and no result will follow.
+	// Cancelled means that the caller's cancellation took effect and no result will follow.
 	Cancelled Outcome = "cancelled"
 	// Indeterminate means that the request may have run; a request marked as not
-	// repeatable is never sent again after this outcome.
+	// repeatable is never retried after this outcome.
 	Indeterminate Outcome = "indeterminate"
-	// Failed means that the request ran or was examined and a definite error is the
-	// answer, for instance an invalid prompt.
+	// Failed means that the request was run or validated and its definite answer is an
+	// error, for example for an invalid prompt.
 	Failed Outcome = "failed"
 )
 
@@ -44,16 +44,16 @@
 	ReasonEngineFailed    Reason = "engine_failed"
 	ReasonInternal        Reason = "internal"
 	ReasonCallerCancelled Reason = "caller_cancelled"
-	// ReasonNoHome: what is confined to regions has no place in them.
+	// ReasonNoHome: data confined to certain regions can currently not be placed in them.
 	ReasonNoHome Reason = "no_home"
 )
 
-// Error is a failure with its Outcome. It wraps its cause.
+// Error is a failure with its Outcome. It wraps Cause, which may be nil.
 type Error struct {
 	Outcome Outcome
 	Reason  Reason
 	Message string
-	// RetryAfter is when the caller may come back; zero where no time can be named.
+	// RetryAfter is the delay before the caller may retry; zero if unknown.
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -80,15 +80,15 @@
 	return &Error{Outcome: outcome, Reason: reason, Message: message, Cause: cause}
 }
 
-// After returns a copy of e that names when to come back.
+// After returns a copy of e with RetryAfter set to wait.
 func (e *Error) After(wait time.Duration) *Error {
 	changed := *e
 	changed.RetryAfter = wait
 	return &changed
 }
 
-// Of returns the Outcome that err carries. A nil error is Completed; an error
-// that carries none is Indeterminate, which never promises too much.
+// Of returns the Outcome of err. A nil error is Completed; an error without an
+// Outcome is Indeterminate, which promises nothing about the execution.
 func Of(err error) Outcome {
 	if err == nil {
 		return Completed
