--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -11,42 +11,43 @@
 )
 
 const (
-	// linesPerSecond and lineBurst bound what one process logs.
+	// linesPerSecond and lineBurst limit the log lines of one process.
 	linesPerSecond = 300
 	lineBurst      = 1500
-	// queuedLines is how many lines wait for an output that does not drain.
-	queuedLines = 2048
-	// reportInterval is how often it is told how many lines were left out.
+	// queueLines is the maximum number of lines queued for an output that blocks.
+	queueLines = 2048
+	// reportInterval is the interval of the lines that report the number of dropped lines.
 	reportInterval = time.Second
-	// closeWait bounds the wait for the last lines at a stop.
-	closeWait = 300 * time.Millisecond
+	// closeTimeout bounds the writing of the queued lines by Close.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// BoundedWriter passes lines on to an output without ever waiting for it. Lines over a rate, or that find the queue full, are
-// left out and counted, and the count is told in a line of its own. It is safe for concurrent use.
+// BoundedWriter writes lines to an output without ever blocking its callers. Lines above the rate limit, or for which the queue is full,
+// are dropped and counted, and the count is logged in a line of its own. It is safe for concurrent use.
 type BoundedWriter struct {
 	out     io.Writer
 	limiter *rate.Limiter
 	lines   chan []byte
-	leftOut atomic.Int64
-	total   atomic.Int64
+	// unreported counts the lines dropped since the last report, totalLeftOut all dropped lines.
+	unreported   atomic.Int64
+	totalLeftOut atomic.Int64
 
-	closing sync.Once
-	stop    chan struct{}
-	done    chan struct{}
+	closeOnce sync.Once
+	stop      chan struct{}
+	done      chan struct{}
 }
 
-// NewBoundedWriter returns a writer to out with the usual bounds; Close ends it.
+// NewBoundedWriter returns a writer to out with the limits above. It must be closed.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	writer := &BoundedWriter{
-		out: out, limiter: rate.NewLimiter(linesPerSecond, lineBurst), lines: make(chan []byte, queuedLines),
+		out: out, limiter: rate.NewLimiter(linesPerSecond, lineBurst), lines: make(chan []byte, queueLines),
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	go writer.run()
 	return writer
 }
 
-// Write queues one line, or leaves it out.
+// Write queues or drops one line; it never returns an error.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	if w.limiter.Allow() {
 		select {
@@ -55,20 +56,20 @@
 		default:
 		}
 	}
-	w.leftOut.Add(1)
-	w.total.Add(1)
+	w.unreported.Add(1)
+	w.totalLeftOut.Add(1)
 	return len(line), nil
 }
 
-// LeftOut returns how many lines were left out since the start.
-func (w *BoundedWriter) LeftOut() int64 { return w.total.Load() }
+// LeftOut returns the number of lines dropped since the writer was created.
+func (w *BoundedWriter) LeftOut() int64 { return w.totalLeftOut.Load() }
 
-// Close writes what waits, as far as the output takes it soon.
+// Close writes the queued lines, as far as the output accepts them within closeTimeout.
 func (w *BoundedWriter) Close() {
-	w.closing.Do(func() { close(w.stop) })
+	w.closeOnce.Do(func() { close(w.stop) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -101,9 +102,9 @@
 	}
 }
 
-// report tells how many lines were left out since the last report.
+// report logs the number of lines dropped since the last report, if there are any.
 func (w *BoundedWriter) report() {
-	if count := w.leftOut.Swap(0); count > 0 {
+	if count := w.unreported.Swap(0); count > 0 {
 		_, _ = fmt.Fprintf(w.out, "time=%s level=warn message=log_lines_left_out count=%d\n", timestamp(time.Now()), count)
 	}
 }
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -10,43 +10,43 @@
 	"time"
 )
 
-// stuckOutput takes nothing until it is released.
-type stuckOutput struct {
+// blockedOutput blocks writes until it is released.
+type blockedOutput struct {
 	released chan struct{}
 	mutex    sync.Mutex
 	written  bytes.Buffer
 }
 
-func (o *stuckOutput) Write(line []byte) (int, error) {
+func (o *blockedOutput) Write(line []byte) (int, error) {
 	<-o.released
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.written.Write(line)
 }
 
-func (o *stuckOutput) String() string {
+func (o *blockedOutput) String() string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.written.String()
 }
 
-// TestWritingNeverWaitsForTheOutput: with an output that does not drain each write returns, in virtual time at once, and the lines that
-// do not fit are counted in a line of their own.
+// TestWritingNeverWaitsForTheOutput: if the output blocks, each write still returns at once, in virtual time, and the number of lines
+// that do not fit is logged.
 func TestWritingNeverWaitsForTheOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		output := &stuckOutput{released: make(chan struct{})}
+		output := &blockedOutput{released: make(chan struct{})}
 		writer := NewBoundedWriter(output)
-		began := time.Now()
+		start := time.Now()
 		const lines = 10_000
 		for number := range lines {
 			if _, err := fmt.Fprintf(writer, "line=%d\n", number); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if took := time.Since(began); took != 0 {
+		if took := time.Since(start); took != 0 {
 			t.Errorf("writing took %s of virtual time", took)
 		}
-		if left := writer.LeftOut(); left < lines-lineBurst-queuedLines || left >= lines {
+		if left := writer.LeftOut(); left < lines-lineBurst-queueLines || left >= lines {
 			t.Errorf("%d lines were left out", left)
 		}
 		close(output.released)
@@ -60,7 +60,7 @@
 
 func TestRateOfLinesIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		output := &stuckOutput{released: make(chan struct{})}
+		output := &blockedOutput{released: make(chan struct{})}
 		close(output.released)
 		writer := NewBoundedWriter(output)
 		const seconds = 10
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,3 +1,3 @@
-// Package logging sets up zerolog so that each event is one line of key=value
-// pairs, and names the fields that several slices log.
+// Package logging configures zerolog to write each event as one line of key=value
+// pairs, and defines the names of fields logged by several slices.
 package logging
--- a/internal/logging/fields.go
+++ b/internal/logging/fields.go
@@ -1,7 +1,7 @@
 package logging
 
-// Names of log fields that more than one slice uses. A slice's own fields are
-// constants of that slice.
+// Names of log fields used by more than one slice. Other fields are constants of
+// their slice.
 const (
 	FieldNode      = "node"
 	FieldZone      = "zone"
@@ -15,6 +15,6 @@
 	FieldOutcome   = "outcome"
 	FieldReason    = "reason"
 	FieldPeer      = "peer"
-	// FieldPrefix is the prefix of keys of the key-value service.
+	// FieldPrefix is a key prefix of the key-value service.
 	FieldPrefix = "prefix"
 )
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -31,16 +31,16 @@
 
 func timestamp(now time.Time) string { return now.UTC().Format("2006-01-02T15:04:05.000Z07:00") }
 
-// pairWriter turns zerolog's JSON events into key=value lines.
+// pairWriter converts zerolog's JSON events to key=value lines.
 type pairWriter struct {
 	mutex sync.Mutex
 	out   io.Writer
 }
 
-// leadingFields are written first, in this order; all others follow sorted by name.
+// leadingFields are written first, in this order; the others follow sorted by name.
 var leadingFields = []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName}
 
-// Write takes one JSON event. It reports the length of the event, as io.Writer asks.
+// Write writes one JSON event as a line. It returns the length of the event, as io.Writer requires.
 func (w *pairWriter) Write(event []byte) (int, error) {
 	decoder := json.NewDecoder(bytes.NewReader(event))
 	decoder.UseNumber()
@@ -101,5 +101,5 @@
 	}
 }
 
-// Discard returns a standard logger that writes nothing, for servers that would log each broken connection.
+// Discard returns a standard logger that writes nothing, for servers that would otherwise log each broken connection.
 func Discard() *log.Logger { return log.New(io.Discard, "", 0) }
