--- a/internal/platform/adaptive_timeout_test.go
+++ b/internal/platform/adaptive_timeout_test.go
@@ -51,14 +51,14 @@
 		service := &slowNetwork{}
 		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
 		read := func() (time.Duration, error) {
-			began := time.Now()
+			start := time.Now()
 			_, _, err := exchanger.Read(t.Context(), http.MethodGet, "/")
-			return time.Since(began), err
+			return time.Since(start), err
 		}
 		service.silent.Store(true)
 		for _, want := range []time.Duration{minAnswerTimeout, 2 * minAnswerTimeout, 4 * minAnswerTimeout} {
 			if took, err := read(); took != want || !errorx.IsOfType(err, KindUnavailable) {
-				t.Errorf("gave up after %s with %v, want %s", took, err, want)
+				t.Errorf("timed out after %s with %v, want %s", took, err, want)
 			}
 		}
 		service.silent.Store(false)
@@ -68,11 +68,11 @@
 		}
 		service.latency.Store(int64(2 * time.Second))
 		if _, err := read(); err != nil {
-			t.Errorf("an answer that is slower than the last: %v", err)
+			t.Errorf("an answer slower than the last: %v", err)
 		}
 		service.latency.Store(int64(time.Millisecond))
 		if _, err := read(); err != nil || exchanger.timeout.current() != minAnswerTimeout {
-			t.Errorf("after a quick answer: %v, %s", err, exchanger.timeout.current())
+			t.Errorf("after a fast answer: error %v, timeout %s", err, exchanger.timeout.current())
 		}
 		exchanger.Close()
 	})
@@ -117,17 +117,17 @@
 		long := &partsNetwork{parts: parts, silentFrom: parts, interval: interval}
 		exchanger := NewExchanger(long, netip.MustParseAddrPort("127.0.0.1:1"))
 		if _, body, err := exchanger.Read(t.Context(), http.MethodGet, "/"); err != nil || len(body) != parts || long.answers.Load() != 1 {
-			t.Errorf("%d bytes of %d, %v, after %d calls", len(body), parts, err, long.answers.Load())
+			t.Errorf("read %d bytes of %d, error %v, after %d calls", len(body), parts, err, long.answers.Load())
 		}
 		exchanger.Close()
 		broken := &partsNetwork{parts: parts, silentFrom: 2, interval: interval}
 		exchanger = NewExchanger(broken, netip.MustParseAddrPort("127.0.0.1:1"))
-		began := time.Now()
+		start := time.Now()
 		if _, _, err := exchanger.Read(t.Context(), http.MethodGet, "/"); !errorx.IsOfType(err, KindUnavailable) {
-			t.Errorf("an answer that breaks off: %v", err)
+			t.Errorf("incomplete answer: %v", err)
 		}
-		if took := time.Since(began); took != 2*interval+minAnswerTimeout {
-			t.Errorf("given up after %s, want %s", took, 2*interval+minAnswerTimeout)
+		if took := time.Since(start); took != 2*interval+minAnswerTimeout {
+			t.Errorf("timed out after %s, want %s", took, 2*interval+minAnswerTimeout)
 		}
 		exchanger.Close()
 	})
@@ -139,13 +139,13 @@
 		service := &slowNetwork{}
 		service.latency.Store(int64(20 * time.Second))
 		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
-		if _, _, err := exchanger.ReadHeld(t.Context(), http.MethodGet, "/", 20*time.Second); err != nil {
+		if _, _, err := exchanger.ReadLongPoll(t.Context(), http.MethodGet, "/", 20*time.Second); err != nil {
 			t.Error(err)
 		}
 		service.latency.Store(int64(time.Minute))
-		began := time.Now()
-		if _, _, err := exchanger.ReadHeld(t.Context(), http.MethodGet, "/", 20*time.Second); err == nil || time.Since(began) > 25*time.Second {
-			t.Errorf("%v after %s", err, time.Since(began))
+		start := time.Now()
+		if _, _, err := exchanger.ReadLongPoll(t.Context(), http.MethodGet, "/", 20*time.Second); err == nil || time.Since(start) > 25*time.Second {
+			t.Errorf("error %v after %s", err, time.Since(start))
 		}
 		exchanger.Close()
 		time.Sleep(time.Minute)
@@ -161,22 +161,22 @@
 		service.silent.Store(true)
 		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
 		held := func() time.Duration {
-			began := time.Now()
-			_, _, _ = exchanger.ReadHeld(t.Context(), http.MethodGet, "/", hold)
-			return time.Since(began)
+			start := time.Now()
+			_, _, _ = exchanger.ReadLongPoll(t.Context(), http.MethodGet, "/", hold)
+			return time.Since(start)
 		}
 		if took := held(); took != hold+minAnswerTimeout {
-			t.Errorf("noticed after %s, want %s", took, hold+minAnswerTimeout)
+			t.Errorf("timed out after %s, want %s", took, hold+minAnswerTimeout)
 		}
 		if took := held(); took != hold+2*minAnswerTimeout {
-			t.Errorf("the next was waited for %s, want %s: the service may be slow", took, hold+2*minAnswerTimeout)
+			t.Errorf("the next call timed out after %s, want %s, since the service may be slow", took, hold+2*minAnswerTimeout)
 		}
 		service.silent.Store(false)
 		service.latency.Store(int64(hold))
 		held()
 		service.silent.Store(true)
 		if took := held(); took != hold+minAnswerTimeout {
-			t.Errorf("after an answer, noticed after %s, want %s", took, hold+minAnswerTimeout)
+			t.Errorf("after an answer, timed out after %s, want %s", took, hold+minAnswerTimeout)
 		}
 		exchanger.Close()
 	})
--- a/internal/platform/exchange.go
+++ b/internal/platform/exchange.go
@@ -31,8 +31,8 @@
 	return e.exchange(ctx, method, target, readsOnly, nil)
 }
 
-// ReadHeld is Read of an answer that the service may delay by up to hold, as in long polling.
-func (e *Exchanger) ReadHeld(ctx context.Context, method, target string, hold time.Duration) (status int, body []byte, err error) {
+// ReadLongPoll is Read of an answer that the service may delay by up to hold, as in long polling.
+func (e *Exchanger) ReadLongPoll(ctx context.Context, method, target string, hold time.Duration) (status int, body []byte, err error) {
 	return e.exchangeHeld(ctx, hold, method, target, readsOnly, nil)
 }
 
--- a/internal/platform/limiter_test.go
+++ b/internal/platform/limiter_test.go
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 		if waited := time.Since(before); waited != 0 {
-			t.Errorf("the ledger waited %s for the configuration", waited)
+			t.Errorf("a call for the ledger waited %s for those for the configuration", waited)
 		}
 	})
 }
--- a/internal/platform/registration_test.go
+++ b/internal/platform/registration_test.go
@@ -58,11 +58,11 @@
 			machines.Start()
 			time.Sleep(time.Hour)
 			if store.writes != min(start, 1) || store.stale != start || store.lists != start {
-				t.Errorf("start %d, not listed: %d writes, %d stale reads, %d lists", start, store.writes, store.stale, store.lists)
+				t.Errorf("start %d, before reading the list: %d writes, %d stale reads, %d lists", start, store.writes, store.stale, store.lists)
 			}
 			listing, err := machines.List(t.Context())
 			if err != nil || len(listing.Machines) != 1001 {
-				t.Errorf("%d nodes are listed where they are wanted, %v", len(listing.Machines), err)
+				t.Errorf("listed %d nodes, want 1001; error %v", len(listing.Machines), err)
 			}
 			machines.Stop()
 		}
@@ -88,17 +88,17 @@
 		}
 		listOnce(self)
 		if store.writes != 1 || store.lists != 1 || store.stale != 1 {
-			t.Errorf("first start: %d writes, %d lists, %d stale ones, want one of each", store.writes, store.lists, store.stale)
+			t.Errorf("first start: %d writes, %d lists, %d stale reads, want one of each", store.writes, store.lists, store.stale)
 		}
 		time.Sleep(time.Second)
 		listOnce(self)
 		if store.writes != 1 || store.lists != 1 || store.stale != 2 {
-			t.Errorf("after the second start: %d writes, %d lists, %d stale ones, want one stale more", store.writes, store.lists, store.stale)
+			t.Errorf("after the second start: %d writes, %d lists, %d stale reads, want 1, 1 and 2", store.writes, store.lists, store.stale)
 		}
 		self.Address = netip.MustParseAddrPort("127.0.0.1:2")
 		listOnce(self)
 		if store.writes != 2 {
-			t.Error("a node at another address is not registered anew")
+			t.Error("a node whose address changed was not registered again")
 		}
 	})
 }
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -34,9 +34,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		server, silencer := serveInMemory(t, func(http.ResponseWriter, *http.Request) { time.Sleep(10 * time.Millisecond) })
 		exchanger := NewExchanger(silencer, serviceAddress)
-		const kept = 5
+		const idleConnections = 5
 		var calls sync.WaitGroup
-		for range kept {
+		for range idleConnections {
 			calls.Go(func() {
 				if _, _, err := exchanger.Read(t.Context(), http.MethodGet, "/"); err != nil {
 					t.Error(err)
@@ -44,16 +44,16 @@
 			})
 		}
 		calls.Wait()
-		if silenced := silencer.Silence(); silenced != kept {
-			t.Fatalf("%d connections are kept, want %d", silenced, kept)
+		if silenced := silencer.Silence(); silenced != idleConnections {
+			t.Fatalf("%d idle connections, want %d", silenced, idleConnections)
 		}
-		began := time.Now()
+		start := time.Now()
 		for tries := 1; ; tries++ {
 			if _, _, err := exchanger.Read(t.Context(), http.MethodGet, "/"); err == nil {
 				break
 			}
 			if tries == 2 {
-				t.Fatalf("%d calls in %s got no answer", tries, time.Since(began))
+				t.Fatalf("%d calls in %s got no answer", tries, time.Since(start))
 			}
 		}
 		exchanger.Close()
@@ -71,17 +71,17 @@
 			t.Fatal(err)
 		}
 		if silencer.Silence() != 1 {
-			t.Fatal("no connection is kept")
+			t.Fatal("no idle connection")
 		}
 		const allowed = 2 * time.Second
-		began := time.Now()
+		start := time.Now()
 		for {
 			if _, err := machines.List(t.Context()); err == nil {
 				break
 			}
 		}
-		if took := time.Since(began); took > allowed/2 {
-			t.Errorf("the machine list is known again after %s", took)
+		if took := time.Since(start); took > allowed/2 {
+			t.Errorf("the machine list was read again only after %s", took)
 		}
 		machines.Close()
 		_ = server.Close()
