--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Simulate adds duration to the suspended time until undo is called. It is for package clocktest.
-func Simulate(duration time.Duration) (undo func()) {
+// SimulateSuspension adds duration to the suspended time until undo is called. It is for package clocktest.
+func SimulateSuspension(duration time.Duration) (undo func()) {
 	processClock.suspended.Add(int64(duration))
 	return func() { processClock.suspended.Add(-int64(duration)) }
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,11 +23,11 @@
 	c := newClock(kernel.get)
 	kernel.offset += 3 * time.Second
 	if got := c.suspendedAfter(time.Second, 4*time.Second); got != 3*time.Second {
-		t.Errorf("%s, want 3s", got)
+		t.Errorf("suspended for %s, want 3s", got)
 	}
 	kernel.offset += 2 * time.Second
 	if got := c.suspendedAfter(5*time.Second, 10*time.Second); got != 5*time.Second {
-		t.Errorf("%s, want 5s after the second time", got)
+		t.Errorf("%s after the second suspension, want 5s", got)
 	}
 }
 
@@ -37,7 +37,7 @@
 	c := newClock(kernel.get)
 	for _, step := range []time.Duration{2 * time.Second, -4 * time.Second} {
 		if got := c.suspendedAfter(time.Second, time.Second+step); got != 0 {
-			t.Errorf("%s after a step of %s", got, step)
+			t.Errorf("suspended for %s after a step of %s, want 0", got, step)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		c.suspendedAfter(now.Sub(c.started), time.Duration(now.UnixNano()-c.started.UnixNano()))
 	}
 	if kernel.reads > 2 {
-		t.Errorf("the kernel was asked %d times", kernel.reads)
+		t.Errorf("%d calls to the kernel, want at most 2", kernel.reads)
 	}
 }
 
@@ -65,14 +65,14 @@
 	kernel.offset = time.Second
 	c.updateSuspended()
 	if got := time.Duration(c.suspended.Load()); got != 3*time.Second {
-		t.Errorf("%s, want 3s", got)
+		t.Errorf("suspended for %s after a smaller reading, want 3s", got)
 	}
 }
 
 // TestKernelsClocksAreRead assumes that this machine was not suspended since the process started.
 func TestKernelsClocksAreRead(t *testing.T) {
 	if before, after := bootOffset(), bootOffset(); after-before > time.Second || before-after > time.Second {
-		t.Errorf("%s and %s", before, after)
+		t.Errorf("the offset changed from %s to %s", before, after)
 	}
 	if difference := time.Until(Now()); difference > time.Second || difference < -time.Second {
 		t.Errorf("now is %s ahead", difference)
--- a/internal/clock/clocktest/suspend.go
+++ b/internal/clock/clocktest/suspend.go
@@ -12,5 +12,5 @@
 // not affected.
 func Suspend(t *testing.T, duration time.Duration) {
 	t.Helper()
-	t.Cleanup(clock.Simulate(duration))
+	t.Cleanup(clock.SimulateSuspension(duration))
 }
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -34,7 +34,7 @@
 			}
 			relative := strings.TrimPrefix(filepath.ToSlash(path), "../")
 			if uses := countTimeUses(t, path); uses != allowedUses[relative] {
-				t.Errorf("%s reads the clock of package time %d times, want %d", relative, uses, allowedUses[relative])
+				t.Errorf("%s uses the clock of package time %d times, want %d", relative, uses, allowedUses[relative])
 			}
 			return nil
 		}
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -28,9 +28,9 @@
 	out     io.Writer
 	limiter *rate.Limiter
 	lines   chan []byte
-	// unreported counts the lines dropped since the last report, totalLeftOut all dropped lines.
+	// unreported counts the lines dropped since the last report, totalDropped all dropped lines.
 	unreported   atomic.Int64
-	totalLeftOut atomic.Int64
+	totalDropped atomic.Int64
 
 	closeOnce sync.Once
 	stop      chan struct{}
@@ -57,12 +57,12 @@
 		}
 	}
 	w.unreported.Add(1)
-	w.totalLeftOut.Add(1)
+	w.totalDropped.Add(1)
 	return len(line), nil
 }
 
-// LeftOut returns the number of lines dropped since the writer was created.
-func (w *BoundedWriter) LeftOut() int64 { return w.totalLeftOut.Load() }
+// Dropped returns the number of lines dropped since the writer was created.
+func (w *BoundedWriter) Dropped() int64 { return w.totalDropped.Load() }
 
 // Close writes the queued lines, as far as the output accepts them within closeTimeout.
 func (w *BoundedWriter) Close() {
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -46,14 +46,14 @@
 		if took := time.Since(start); took != 0 {
 			t.Errorf("writing took %s of virtual time", took)
 		}
-		if left := writer.LeftOut(); left < lines-lineBurst-queueLines || left >= lines {
-			t.Errorf("%d lines were left out", left)
+		if left := writer.Dropped(); left < lines-lineBurst-queueLines || left >= lines {
+			t.Errorf("%d lines were dropped", left)
 		}
 		close(output.released)
 		time.Sleep(2 * reportInterval)
 		writer.Close()
 		if text := output.String(); !strings.Contains(text, "message=log_lines_left_out count=") || !strings.HasPrefix(text, "line=0\n") {
-			t.Errorf("output lacks the first line or the count of those left out: %.200s", text)
+			t.Errorf("output lacks the first line or the count of dropped lines: %.200s", text)
 		}
 	})
 }
