--- a/internal/network/severable_test.go
+++ b/internal/network/severable_test.go
@@ -34,7 +34,7 @@
 	severable, _, dialed := connectedPair(t)
 	severable.Sever()
 	if _, err := io.ReadAll(dialed); err == nil {
-		t.Fatal("want a reset, got a clean end")
+		t.Fatal("connection ended cleanly, want a reset")
 	}
 	if _, err := severable.Dial(context.Background(), netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
 		t.Fatal("want an error from a dial on a severed network")
@@ -69,6 +69,6 @@
 	severable, _, _ := connectedPair(t)
 	severable.SetReachable(func(netip.AddrPort) bool { return false })
 	if _, err := severable.Dial(context.Background(), netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
-		t.Fatal("want a refused dial")
+		t.Fatal("dialed an unreachable peer, want an error")
 	}
 }
--- a/internal/region/topology.go
+++ b/internal/region/topology.go
@@ -25,11 +25,11 @@
 
 // Between returns the distance between two zones. A zone whose region is unknown, as when the settings name no regions, counts as being in
 // the same region as every other zone.
-func (t Topology) Between(one, other string) Distance {
-	if one == other {
+func (t Topology) Between(zone, other string) Distance {
+	if zone == other {
 		return SameZone
 	}
-	first, second := t.regionOf[one], t.regionOf[other]
+	first, second := t.regionOf[zone], t.regionOf[other]
 	if first == "" || second == "" || first == second {
 		return SameRegion
 	}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -16,11 +16,11 @@
 			name = found.Name
 		}
 		if name != want {
-			t.Errorf("key %q is held by %q, want %q", key, name, want)
+			t.Errorf("key %q belongs to %q, want %q", key, name, want)
 		}
 	}
 	if directory.ByKey("k1").Limit.Unlimited() || !directory.ByKey("k3").Limit.Unlimited() {
-		t.Error("limits are mixed up")
+		t.Error("a limit was assigned to the wrong tenant")
 	}
 }
 
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -92,9 +92,9 @@
 		t.Fatalf("got %v", err)
 	}
 	if reader.largest > maxInitialAllocationBytes {
-		t.Fatalf("a read buffer of %d bytes before the data arrived", reader.largest)
+		t.Fatalf("allocated a buffer of %d bytes before the data arrived", reader.largest)
 	}
 	if body, err := readBody(&fillReader{count: MaxFrameBytes}, MaxFrameBytes); err != nil || len(body) != MaxFrameBytes {
-		t.Fatalf("a whole frame: %d bytes, %v", len(body), err)
+		t.Fatalf("complete frame: read %d bytes, error %v", len(body), err)
 	}
 }
--- a/internal/transport/memory/network_test.go
+++ b/internal/transport/memory/network_test.go
@@ -53,12 +53,12 @@
 		network := NewNetwork(1)
 		network.SetConditions(func(netip.AddrPort, netip.AddrPort) Conditions { return Conditions{Delay: 20 * time.Millisecond} })
 		caller, _, served := newPair(t, network)
-		began := time.Now()
+		start := time.Now()
 		if err := call(t, caller, time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took != 40*time.Millisecond {
-			t.Errorf("took %s", took)
+		if took := time.Since(start); took != 40*time.Millisecond {
+			t.Errorf("call took %s, want 40ms", took)
 		}
 		if got := <-served; got != addressA.String()+" x" {
 			t.Errorf("served %q", got)
@@ -106,7 +106,7 @@
 			t.Errorf("paused: %v", err)
 		}
 		if len(served) != 0 {
-			t.Error("a paused node served")
+			t.Error("a paused node served a request")
 		}
 		network.Resume(addressB)
 		synctest.Wait()
--- a/internal/transport/silence_test.go
+++ b/internal/transport/silence_test.go
@@ -51,7 +51,7 @@
 				if noted.Load() != 1 || silencer.Silence() != 1 {
 					t.Fatal("no connection to silence")
 				}
-				for began := time.Now(); time.Since(began) < 2500*time.Millisecond; time.Sleep(200 * time.Millisecond) {
+				for start := time.Now(); time.Since(start) < 2500*time.Millisecond; time.Sleep(200 * time.Millisecond) {
 					test.send(t, client)
 				}
 				before := noted.Load()
--- a/internal/transport/tcp_test.go
+++ b/internal/transport/tcp_test.go
@@ -205,10 +205,10 @@
 		accepted++
 	}
 	if accepted != queueBytes/MaxFrameBytes {
-		t.Fatalf("queue took %d frames", accepted)
+		t.Fatalf("queue accepted %d frames", accepted)
 	}
 	queue.failAll(context.Canceled)
 	if err := queue.put(expiredContext, loopback, frame); err != nil {
-		t.Fatalf("an emptied queue refuses: %v", err)
+		t.Fatalf("an emptied queue refused a frame: %v", err)
 	}
 }
