--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -12,14 +12,14 @@
 	"github.com/sloelift/sloelift/internal/network/networktest"
 )
 
-// servedAt is the address of serveInMemory.
-var servedAt = netip.MustParseAddrPort("127.0.0.1:1")
+// serviceAddress is the address on which serveInMemory serves.
+var serviceAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-// serveInMemory serves at servedAt, over a network whose connections can go silent. The server must be closed.
+// serveInMemory serves on serviceAddress, over a network whose connections can be silenced. The caller must close the server.
 func serveInMemory(t *testing.T, handler http.HandlerFunc) (*http.Server, *networktest.Silencer) {
 	t.Helper()
 	wires := networktest.NewPipes()
-	listener, err := wires.Listen(t.Context(), servedAt)
+	listener, err := wires.Listen(t.Context(), serviceAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,15 +28,15 @@
 	return server, networktest.NewSilencer(wires)
 }
 
-// TestSilentConnectionsToTheServiceAreGivenUp: all kept connections to the key-value service go silent without a reset. The first call that
-// gets no answer shows it, and the next one takes a new connection.
+// TestSilentConnectionsToTheServiceAreGivenUp: all idle connections to the key-value service go silent without a reset. After the first
+// call that times out, all of them are closed, and the next call uses a new connection.
 func TestSilentConnectionsToTheServiceAreGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, silencer := serveInMemory(t, func(http.ResponseWriter, *http.Request) { time.Sleep(10 * time.Millisecond) })
-		exchanger := NewExchanger(silencer, servedAt)
-		const kept = 5
+		exchanger := NewExchanger(silencer, serviceAddress)
+		const idleConnections = 5
 		var calls sync.WaitGroup
-		for range kept {
+		for range idleConnections {
 			calls.Go(func() {
 				if _, _, err := exchanger.Read(t.Context(), http.MethodGet, "/"); err != nil {
 					t.Error(err)
@@ -44,16 +44,16 @@
 			})
 		}
 		calls.Wait()
-		if silenced := silencer.Silence(); silenced != kept {
-			t.Fatalf("%d connections are kept, want %d", silenced, kept)
+		if silenced := silencer.Silence(); silenced != idleConnections {
+			t.Fatalf("%d idle connections, want %d", silenced, idleConnections)
 		}
-		began := time.Now()
+		start := time.Now()
 		for tries := 1; ; tries++ {
 			if _, _, err := exchanger.Read(t.Context(), http.MethodGet, "/"); err == nil {
 				break
 			}
 			if tries == 2 {
-				t.Fatalf("%d calls in %s got no answer", tries, time.Since(began))
+				t.Fatalf("%d calls in %s got no answer", tries, time.Since(start))
 			}
 		}
 		exchanger.Close()
@@ -61,27 +61,27 @@
 	})
 }
 
-// TestSilentConnectionToTheMachineListIsGivenUp: the machine list is known again within the time in which a leaving replica must get no more
-// work.
+// TestSilentConnectionToTheMachineListIsGivenUp: if the connection to the machine list goes silent, the list is read again well within
+// the 2 s after which a leaving replica must get no more work.
 func TestSilentConnectionToTheMachineListIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, silencer := serveInMemory(t, func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "{}") })
-		machines := NewMachineListHTTP(silencer, servedAt)
+		machines := NewMachineListHTTP(silencer, serviceAddress)
 		if _, err := machines.List(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if silencer.Silence() != 1 {
-			t.Fatal("no connection is kept")
+			t.Fatal("no idle connection")
 		}
 		const allowed = 2 * time.Second
-		began := time.Now()
+		start := time.Now()
 		for {
 			if _, err := machines.List(t.Context()); err == nil {
 				break
 			}
 		}
-		if took := time.Since(began); took > allowed/2 {
-			t.Errorf("the machine list is known again after %s", took)
+		if took := time.Since(start); took > allowed/2 {
+			t.Errorf("the machine list was read again only after %s", took)
 		}
 		machines.Close()
 		_ = server.Close()
