--- a/lab/roles/check.go
+++ b/lab/roles/check.go
@@ -7,211 +7,215 @@
 )
 
 const (
-	// repeatsOfItem times a route's attempts bounds the answers of 500 that an item may have got when it is sent again; rejectionsOfItem
-	// bounds those of 422. The platform's page names both.
-	repeatsOfItem    = 3
-	rejectionsOfItem = 3
-	// deadlineSlack is what a send's deadline may allow beyond the caller's, in milliseconds.
-	deadlineSlack = 500
-	// endedByOneItem is the most replicas that may end under one item.
-	endedByOneItem = 3
+	// maxItemAttemptRounds times the route's attempts is the maximum number of 500 responses to one item, including those after the item was
+	// sent again; maxItemRejections is the maximum number of 422 responses. Both bounds come from the platform's documentation.
+	maxItemAttemptRounds = 3
+	maxItemRejections    = 3
+	// deadlineSlackMillis, in milliseconds, is how far the deadline sent to a replica may exceed the caller's.
+	deadlineSlackMillis = 500
+	// maxReplicasEndedByItem is the maximum number of replicas that one item may end.
+	maxReplicasEndedByItem = 3
 )
 
-// Counts are what callers asked for and what the replicas saw.
+// Counts holds what callers requested and what replicas saw.
 type Counts struct {
-	// OnlineSent and OnlineServed are requests with their retries, Jobs, Items and ItemsDone those of accepted jobs that were not ended.
+	// OnlineSent and OnlineServed count requests; a request and its retries count once. Jobs counts accepted jobs; Items and ItemsDone
+	// count the items of accepted jobs that were not cancelled.
 	OnlineSent   int `json:"online_sent"`
 	OnlineServed int `json:"online_served"`
 	Jobs         int `json:"jobs"`
 	Items        int `json:"items"`
 	ItemsDone    int `json:"items_done"`
-	// MostReplicas is the largest number of replicas on which one attempt of a caller ran, MostFailures and MostRejections the most
-	// answers of 500 and of 422 that one item got; OverAttempts are the items with more answers of 500 than their route's attempts.
+	// MostReplicas is the maximum number of replicas that ran one attempt of a caller; MostFailures and MostRejections are the maximum
+	// numbers of 500 and 422 responses to one item. OverAttempts counts the items with more 500 responses than their route's attempts.
 	MostReplicas   int `json:"most_replicas"`
 	MostFailures   int `json:"most_failures"`
 	MostRejections int `json:"most_rejections"`
 	OverAttempts   int `json:"over_attempts"`
-	// MostSends is the largest number of sends of one item, for whatever reason.
+	// MostSends is the maximum number of sends of one item, for any reason.
 	MostSends int `json:"most_sends"`
-	// MostEnded is the largest number of replicas that one item ended.
+	// MostEnded is the maximum number of replicas that one item ended.
 	MostEnded int `json:"most_ended"`
-	// MostCrashed is the largest number of replicas that one online request crashed.
+	// MostCrashed is the maximum number of replicas that one online request crashed.
 	MostCrashed int `json:"most_crashed"`
-	// LongDeadlines are the sends with a deadline over the caller's own.
+	// LongDeadlines counts the sends without a deadline or with one beyond the caller's plus deadlineSlackMillis.
 	LongDeadlines int `json:"long_deadlines"`
-	// KilledAfterGrace are the planned stops that took longer than the platform's grace.
+	// KilledAfterGrace counts the planned stops that exceeded the platform's grace period.
 	KilledAfterGrace int `json:"killed_after_grace"`
 }
 
-// verdict gathers what was counted and what broke.
+// verdict collects the counts and the violated guarantees of a run.
 type verdict struct {
-	counts Counts
-	broken []string
+	counts     Counts
+	violations []string
 }
 
-func (v *verdict) breaks(format string, arguments ...any) {
-	v.broken = append(v.broken, fmt.Sprintf(format, arguments...))
+func (v *verdict) addViolation(format string, arguments ...any) {
+	v.violations = append(v.violations, fmt.Sprintf(format, arguments...))
 }
 
-// judge compares what callers got with what the replicas saw.
-func judge(seen *record, asked *callers) verdict {
-	var found verdict
-	found.counts.OnlineSent, found.counts.OnlineServed = asked.sent, asked.served
-	for _, each := range asked.attempts {
-		found.judgeAttempt(each, seen.of(each.id))
+// judge checks the callers' results against the runs that the replicas recorded.
+func judge(received *record, clients *callers) verdict {
+	var result verdict
+	result.counts.OnlineSent, result.counts.OnlineServed = clients.sent, clients.served
+	for _, attempt := range clients.attempts {
+		result.judgeAttempt(attempt, received.runsOf(attempt.id))
 	}
-	for _, each := range asked.jobs {
-		found.judgeJob(each, seen)
+	for _, job := range clients.jobs {
+		result.judgeJob(job, received)
 	}
-	return found
+	return result
 }
 
-func (v *verdict) judgeAttempt(went *onlineAttempt, runs []sentRun) {
+func (v *verdict) judgeAttempt(attempt *onlineAttempt, runs []sentRun) {
 	ran, whole := countedRuns(runs)
 	v.counts.MostReplicas = max(v.counts.MostReplicas, ran)
-	if went.fault != "" {
-		v.breaks("request %s at %s: %s", went.id, went.edge, went.fault)
+	if attempt.violation != "" {
+		v.addViolation("request %s at %s: %s", attempt.id, attempt.edge, attempt.violation)
 	}
-	if ran > attemptsOf[went.path] {
-		v.breaks("request %s at %s ran on %d replicas, %d allowed: %s", went.id, went.edge, ran, attemptsOf[went.path], describe(runs))
+	if ran > maxAttempts[attempt.path] {
+		v.addViolation("request %s at %s ran on %d replicas, %d allowed: %s", attempt.id, attempt.edge, ran, maxAttempts[attempt.path], describeRuns(runs))
 	}
-	if whole > 1 && (went.path == pathChange || went.path == pathDigest) {
-		v.breaks("request %s at %s, not to be repeated, ran %d times: %s", went.id, went.edge, whole, describe(runs))
+	if whole > 1 && (attempt.path == pathChange || attempt.path == pathDigest) {
+		v.addViolation("request %s at %s, not to be repeated, ran %d times: %s", attempt.id, attempt.edge, whole, describeRuns(runs))
 	}
-	if whole > 0 && promises(went.status) {
-		v.breaks("request %s at %s was refused with %d, and ran: %s", went.id, went.edge, went.status, describe(runs))
+	if whole > 0 && guaranteesNotRun(attempt.status) {
+		v.addViolation("request %s at %s was refused with %d, and ran: %s", attempt.id, attempt.edge, attempt.status, describeRuns(runs))
 	}
-	for _, each := range runs {
-		if each.deadlineMillis <= 0 || each.deadlineMillis > patience.Milliseconds()+deadlineSlack {
+	for _, run := range runs {
+		if run.deadlineMillis <= 0 || run.deadlineMillis > callerTimeout.Milliseconds()+deadlineSlackMillis {
 			v.counts.LongDeadlines++
 		}
 	}
 }
 
-// countedRuns returns on how many replicas a request ran, without those that had ended before it was last sent on, and on how many with those.
+// countedRuns returns the number of replicas that ran a request: counted leaves out replicas that had ended before the last send, all
+// includes them.
 func countedRuns(runs []sentRun) (counted, all int) {
 	if len(runs) == 0 {
 		return 0, 0
 	}
-	last := runs[len(runs)-1].at
-	var without, with []*replica
-	for _, each := range runs {
-		if !each.began {
+	lastSentAt := runs[len(runs)-1].arrivedAt
+	var live, distinct []*replica
+	for _, run := range runs {
+		if !run.started {
 			continue
 		}
-		if !slices.Contains(with, each.replica) {
-			with = append(with, each.replica)
+		if !slices.Contains(distinct, run.replica) {
+			distinct = append(distinct, run.replica)
 		}
-		ended := each.replica.endedAt.Load()
-		if (ended == nil || ended.After(last)) && !slices.Contains(without, each.replica) {
-			without = append(without, each.replica)
+		ended := run.replica.endedAt.Load()
+		if (ended == nil || ended.After(lastSentAt)) && !slices.Contains(live, run.replica) {
+			live = append(live, run.replica)
 		}
 	}
-	return len(without), len(with)
+	return len(live), len(distinct)
 }
 
-// describe lists runs for a person.
-func describe(runs []sentRun) string {
+// describeRuns formats runs for a violation message.
+func describeRuns(runs []sentRun) string {
 	text := ""
-	for _, each := range runs {
+	for _, run := range runs {
 		state := "lives"
-		if !each.replica.lives() {
+		if !run.replica.lives() {
 			state = "ended"
 		}
-		text += fmt.Sprintf("[%s %s (%s) behind %q deadline %d began %t status %d]", each.at.Format("05.000"), each.replica.id, state, each.lastEvent, each.deadlineMillis, each.began, each.status)
+		text += fmt.Sprintf("[%s %s (%s) behind %q deadline %d began %t status %d]",
+			run.arrivedAt.Format("05.000"), run.replica.id, state, run.lastEvent, run.deadlineMillis, run.started, run.status)
 	}
 	return text
 }
 
-func (v *verdict) judgeJob(of *job, seen *record) {
-	for _, each := range of.items {
-		v.judgeRepeats(of, each, seen.of(each.id))
+func (v *verdict) judgeJob(batchJob *job, received *record) {
+	for _, item := range batchJob.items {
+		v.judgeItemSends(batchJob, item, received.runsOf(item.id))
 	}
-	if !of.accepted {
+	if !batchJob.accepted {
 		return
 	}
 	v.counts.Jobs++
-	if of.fault != "" {
-		v.breaks("job %s: %s", of.id, of.fault)
+	if batchJob.violation != "" {
+		v.addViolation("job %s: %s", batchJob.id, batchJob.violation)
 	}
-	if of.ended {
+	if batchJob.cancelled {
 		return
 	}
-	v.counts.Items += len(of.items)
-	v.counts.ItemsDone += len(of.results)
-	if unlisted := of.unlisted(); len(unlisted) > 0 {
-		v.breaks("job %s: %d of %d items are listed at the end%s", of.id, len(of.results), len(of.items), describeItems(unlisted, seen))
+	v.counts.Items += len(batchJob.items)
+	v.counts.ItemsDone += len(batchJob.results)
+	if unlisted := batchJob.missingItems(); len(unlisted) > 0 {
+		v.addViolation("job %s: %d of %d items are listed at the end%s", batchJob.id, len(batchJob.results), len(batchJob.items), describeItems(unlisted, received))
 	}
-	v.judgeResults(of, seen)
+	v.judgeResults(batchJob, received)
 }
 
-func (v *verdict) judgeResults(of *job, seen *record) {
+func (v *verdict) judgeResults(batchJob *job, received *record) {
 	listed := map[string]bool{}
-	for _, result := range of.results {
-		at := slices.IndexFunc(of.items, func(each item) bool { return each.id == result.ID })
-		if at < 0 || listed[result.ID] {
-			v.breaks("job %s: item %s is not of the job, or listed twice", of.id, result.ID)
+	for _, result := range batchJob.results {
+		index := slices.IndexFunc(batchJob.items, func(candidate item) bool { return candidate.id == result.ID })
+		if index < 0 || listed[result.ID] {
+			v.addViolation("job %s: item %s is not of the job, or listed twice", batchJob.id, result.ID)
 			continue
 		}
 		listed[result.ID] = true
-		given := of.items[at]
+		submitted := batchJob.items[index]
 		switch {
-		case result.State == "succeeded" && result.Text != given.work.text():
-			v.breaks("job %s: item %s has another text than its own", of.id, result.ID)
-		case result.State != "succeeded" && given.work.Fail == 0 && answered(seen.of(result.ID), http.StatusInternalServerError) < attemptsOf[pathJobs]:
-			v.breaks("job %s: item %s is given up without %d failures", of.id, result.ID, attemptsOf[pathJobs])
+		case result.State == "succeeded" && result.Text != submitted.work.text():
+			v.addViolation("job %s: item %s has another text than its own", batchJob.id, result.ID)
+		case result.State != "succeeded" && submitted.work.Fail == 0 && countStatus(received.runsOf(result.ID), http.StatusInternalServerError) < maxAttempts[pathJobs]:
+			v.addViolation("job %s: item %s is given up without %d failures", batchJob.id, result.ID, maxAttempts[pathJobs])
 		}
 	}
 }
 
-// describeItems lists what replicas saw of items.
-func describeItems(items []item, seen *record) string {
+// describeItems formats the recorded runs of items for a violation message.
+func describeItems(items []item, received *record) string {
 	text := ""
-	for _, each := range items {
-		text += fmt.Sprintf("; item %s: %s", each.id, describe(seen.of(each.id)))
+	for _, jobItem := range items {
+		text += fmt.Sprintf("; item %s: %s", jobItem.id, describeRuns(received.runsOf(jobItem.id)))
 	}
 	return text
 }
 
-// judgeEnds counts the replicas that each item ended; the marks in others are those of requests.
-func (v *verdict) judgeEnds(replicas []*replica, others []string) {
+// judgeEndedReplicas counts the replicas that each item ended. Marks in excluded belong to online requests and are left out.
+func (v *verdict) judgeEndedReplicas(replicas []*replica, excluded []string) {
 	ended := map[string]int{}
-	for _, each := range replicas {
-		if by := each.endedBy.Load(); by != nil && !slices.Contains(others, *by) {
-			ended[*by]++
+	for _, candidate := range replicas {
+		if endedBy := candidate.endedBy.Load(); endedBy != nil && !slices.Contains(excluded, *endedBy) {
+			ended[*endedBy]++
 		}
 	}
-	for id, count := range ended {
+	for mark, count := range ended {
 		v.counts.MostEnded = max(v.counts.MostEnded, count)
-		if count > endedByOneItem {
-			v.breaks("item %s ended %d replicas", id, count)
+		if count > maxReplicasEndedByItem {
+			v.addViolation("item %s ended %d replicas", mark, count)
 		}
 	}
 }
 
-func answered(runs []sentRun, status int) int {
+// countStatus counts the runs that were answered with status.
+func countStatus(runs []sentRun, status int) int {
 	count := 0
-	for _, each := range runs {
-		if each.status == status {
+	for _, run := range runs {
+		if run.status == status {
 			count++
 		}
 	}
 	return count
 }
 
-// judgeRepeats counts how often an item was answered with a failure before it was sent again.
-func (v *verdict) judgeRepeats(of *job, each item, runs []sentRun) {
-	failures, rejections := answered(runs, http.StatusInternalServerError), answered(runs, http.StatusUnprocessableEntity)
+// judgeItemSends checks the number of failure responses to an item over all its sends.
+func (v *verdict) judgeItemSends(batchJob *job, jobItem item, runs []sentRun) {
+	failures, rejections := countStatus(runs, http.StatusInternalServerError), countStatus(runs, http.StatusUnprocessableEntity)
 	v.counts.MostFailures = max(v.counts.MostFailures, failures)
 	v.counts.MostRejections = max(v.counts.MostRejections, rejections)
 	v.counts.MostSends = max(v.counts.MostSends, len(runs))
-	if failures > attemptsOf[pathJobs] {
+	if failures > maxAttempts[pathJobs] {
 		v.counts.OverAttempts++
 	}
-	if failures > repeatsOfItem*attemptsOf[pathJobs] || rejections > rejectionsOfItem {
-		v.breaks("item %s of job %s was answered %d times with 500 and %d times with 422: %s", each.id, of.id, failures, rejections, describe(runs))
+	if failures > maxItemAttemptRounds*maxAttempts[pathJobs] || rejections > maxItemRejections {
+		v.addViolation("item %s of job %s was answered %d times with 500 and %d times with 422: %s", jobItem.id, batchJob.id, failures, rejections, describeRuns(runs))
 	}
-	if of.refusedOnly && slices.ContainsFunc(runs, func(run sentRun) bool { return run.began }) {
-		v.breaks("item %s of job %s ran, though the job was refused", each.id, of.id)
+	if batchJob.refusedOnly && slices.ContainsFunc(runs, func(run sentRun) bool { return run.started }) {
+		v.addViolation("item %s of job %s ran, though the job was refused", jobItem.id, batchJob.id)
 	}
 }
--- a/lab/roles/check_test.go
+++ b/lab/roles/check_test.go
@@ -10,19 +10,19 @@
 	wire "github.com/sloelift/sloelift/platform"
 )
 
-// runAt is a run at a replica with a status; began as it stands.
-func runAt(at *replica, second int, status int, began bool) *sentRun {
-	return &sentRun{replica: at, at: time.Unix(int64(second), 0), deadlineMillis: 1000, status: status, began: began}
+// runAt returns a run on a replica that arrived at the given Unix second.
+func runAt(target *replica, second int, status int, began bool) *sentRun {
+	return &sentRun{replica: target, arrivedAt: time.Unix(int64(second), 0), deadlineMillis: 1000, status: status, started: began}
 }
 
-func endedReplica(id string, second int) *replica {
-	made := &replica{id: id}
-	at := time.Unix(int64(second), 0)
-	made.endedAt.Store(&at)
-	return made
+func endedReplica(id string, endedAtSecond int) *replica {
+	ended := &replica{id: id}
+	at := time.Unix(int64(endedAtSecond), 0)
+	ended.endedAt.Store(&at)
+	return ended
 }
 
-// TestEachBrokenPromiseIsFound: every check finds what it is for, and nothing where all is kept.
+// TestEachBrokenPromiseIsFound guards that every check reports its violation and reports nothing for a correct run.
 func TestEachBrokenPromiseIsFound(t *testing.T) {
 	a, b, c := &replica{id: "a"}, &replica{id: "b"}, &replica{id: "c"}
 	good := work{Events: 2, Mark: "m"}
@@ -35,8 +35,8 @@
 	}
 	done := wire.JobResult{ID: "i", State: "succeeded", Text: good.text()}
 	dead := wire.JobResult{ID: "i", State: "dead_letter"}
-	jobOf := func(of work, results ...wire.JobResult) *job {
-		return &job{id: "j", accepted: true, items: []item{{id: "i", work: of}}, results: results}
+	jobOf := func(payload work, results ...wire.JobResult) *job {
+		return &job{id: "j", accepted: true, items: []item{{id: "i", work: payload}}, results: results}
 	}
 	for name, test := range map[string]struct {
 		attempt *onlineAttempt
@@ -52,7 +52,7 @@
 		"not to be repeated, twice":     {attempt: &onlineAttempt{id: "i", path: pathChange}, runs: []*sentRun{runAt(endedReplica("x", 2), 1, 0, true), runAt(b, 2, 200, true)}, broken: "not to be repeated, ran 2"},
 		"refused and ran":               {attempt: &onlineAttempt{id: "i", path: pathAsk, status: 503}, runs: []*sentRun{runAt(a, 1, 0, true)}, broken: "was refused with 503"},
 		"refused":                       {attempt: &onlineAttempt{id: "i", path: pathAsk, status: 503}, runs: []*sentRun{runAt(a, 1, 503, false)}},
-		"wrong answer":                  {attempt: &onlineAttempt{id: "i", path: pathAsk, fault: "event 2 follows event 0"}, broken: "event 2 follows"},
+		"wrong answer":                  {attempt: &onlineAttempt{id: "i", path: pathAsk, violation: "event 2 follows event 0"}, broken: "event 2 follows"},
 		"item done":                     {job: jobOf(good, done), runs: times(1, 200)},
 		"item fails as often as it may": {job: jobOf(poison, dead), runs: times(9, 500)},
 		"item fails too often":          {job: jobOf(poison, dead), runs: times(10, 500), broken: "10 times with 500"},
@@ -62,20 +62,20 @@
 		"item lost":                     {job: jobOf(good), broken: "0 of 1 items"},
 		"item listed twice":             {job: &job{id: "j", accepted: true, items: []item{{id: "i", work: good}, {id: "k", work: good}}, results: []wire.JobResult{done, done}}, broken: "listed twice"},
 		"item of a refused job ran":     {job: &job{id: "j", refusedOnly: true, items: []item{{id: "i", work: good}}}, runs: times(1, 200), broken: "though the job was refused"},
-		"results that changed":          {job: &job{id: "j", accepted: true, fault: "position 0 holds another result than before"}, broken: "position 0"},
+		"results that changed":          {job: &job{id: "j", accepted: true, violation: "position 0 holds another result than before"}, broken: "position 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seen, asked := newRecord(), &callers{}
+			received, clients := newRecord(), &callers{}
 			for _, run := range test.runs {
-				seen.add("i", run)
+				received.add("i", run)
 			}
 			if test.attempt != nil {
-				asked.attempts = append(asked.attempts, test.attempt)
+				clients.attempts = append(clients.attempts, test.attempt)
 			}
 			if test.job != nil {
-				asked.jobs = append(asked.jobs, test.job)
+				clients.jobs = append(clients.jobs, test.job)
 			}
-			broken := strings.Join(judge(seen, asked).broken, "\n")
+			broken := strings.Join(judge(received, clients).violations, "\n")
 			if (broken != "") != (test.broken != "") || !strings.Contains(broken, test.broken) {
 				t.Errorf("broken is %q, want %q in it", broken, test.broken)
 			}
@@ -83,24 +83,25 @@
 	}
 }
 
-// TestItemThatEndsTooManyReplicasIsFound: three replicas may end by one item, and ends that no work caused are nobody's.
+// TestItemThatEndsTooManyReplicasIsFound: one item may end up to three replicas; replicas that ended for another reason are not counted.
 func TestItemThatEndsTooManyReplicasIsFound(t *testing.T) {
 	for ended, broken := range map[int]bool{0: false, 3: false, 4: true} {
 		replicas := []*replica{{}, {}}
 		for range ended {
-			by, one := "i", &replica{}
-			one.endedBy.Store(&by)
-			replicas = append(replicas, one)
+			mark, endedByItem := "i", &replica{}
+			endedByItem.endedBy.Store(&mark)
+			replicas = append(replicas, endedByItem)
 		}
-		var found verdict
-		found.judgeEnds(replicas, nil)
-		if found.counts.MostEnded != ended || len(found.broken) > 0 != broken {
-			t.Errorf("%d replicas ended by one item: %d counted, broken: %v", ended, found.counts.MostEnded, found.broken)
+		var result verdict
+		result.judgeEndedReplicas(replicas, nil)
+		if result.counts.MostEnded != ended || len(result.violations) > 0 != broken {
+			t.Errorf("%d replicas ended by one item: %d counted, broken: %v", ended, result.counts.MostEnded, result.violations)
 		}
 	}
 }
 
-// TestUnlistedItemIsFoundBesideOneThatIsKept: an item that ends its replicas need not be listed, and does not stand in for one that must be.
+// TestUnlistedItemIsFoundBesideOneThatIsKept: an item that ends its replicas may be missing from the results, but a result for it must
+// not make up for another item that is missing.
 func TestUnlistedItemIsFoundBesideOneThatIsKept(t *testing.T) {
 	kept, plain := item{id: "kept", work: work{EndsReplicaAt: 1}}, item{id: "plain"}
 	for name, test := range map[string]struct {
@@ -109,14 +110,15 @@
 	}{
 		"neither": {nil, 1}, "the kept one": {[]wire.JobResult{{ID: "kept"}}, 1}, "the plain one": {[]wire.JobResult{{ID: "plain"}}, 0},
 	} {
-		of := &job{items: []item{kept, plain}, results: test.listed}
-		if got := len(of.unlisted()); got != test.want || of.done() != (test.want == 0) {
+		submitted := &job{items: []item{kept, plain}, results: test.listed}
+		if got := len(submitted.missingItems()); got != test.want || submitted.done() != (test.want == 0) {
 			t.Errorf("%s is listed: %d are missing, want %d", name, got, test.want)
 		}
 	}
 }
 
-// TestRequestThatCrashesMoreReplicasIsFound: three attempts may reach a replica later than the platform's contact time after the third crash.
+// TestRequestThatCrashesMoreReplicasIsFound: up to three attempts may reach a replica later than the platform's contact time after the
+// third crash; attempts at an edge that was started shortly before are not counted.
 func TestRequestThatCrashesMoreReplicasIsFound(t *testing.T) {
 	began := time.Now()
 	mark := "m"
@@ -124,30 +126,30 @@
 		late   int
 		edge   string
 		broken bool
-	}{{0, "e", false}, {retriesAfterThird, "e", false}, {retriesAfterThird + 1, "e", true}, {retriesAfterThird + 1, "started", false}} {
+	}{{0, "e", false}, {maxLateAttempts, "e", false}, {maxLateAttempts + 1, "e", true}, {maxLateAttempts + 1, "started", false}} {
 		late, broken := test.late, test.broken
-		seen, asked := newRecord(), &callers{crashing: []work{{Mark: mark, EndsReplicaAt: 1}}}
+		received, clients := newRecord(), &callers{crashing: []work{{Mark: mark, EndsReplicaAt: 1}}}
 		var replicas []*replica
-		send := func(at time.Duration) {
-			sent, ended := began.Add(at), began.Add(at+50*time.Millisecond)
+		send := func(after time.Duration) {
+			sent, ended := began.Add(after), began.Add(after+50*time.Millisecond)
 			crashed := &replica{}
 			crashed.endedBy.Store(&mark)
 			crashed.endedAt.Store(&ended)
 			replicas = append(replicas, crashed)
-			went := &onlineAttempt{id: fmt.Sprint(at), path: pathAsk, mark: mark, edge: test.edge}
-			asked.attempts = append(asked.attempts, went)
-			seen.add(went.id, &sentRun{replica: crashed, at: sent, began: true})
+			attempt := &onlineAttempt{id: fmt.Sprint(after), path: pathAsk, mark: mark, edge: test.edge}
+			clients.attempts = append(clients.attempts, attempt)
+			received.add(attempt.id, &sentRun{replica: crashed, arrivedAt: sent, started: true})
 		}
-		for number := range crashedByOneRequest + 2 {
+		for number := range maxCrashesPerRequest + 2 {
 			send(time.Duration(number) * 500 * time.Millisecond)
 		}
 		for number := range late {
 			send(10*time.Second + time.Duration(number)*time.Second)
 		}
-		var found verdict
-		found.judgeCrashing(asked, seen, replicas, func(edge string, _ time.Time) bool { return edge == "started" })
-		if len(found.broken) > 0 != broken || found.counts.MostCrashed != crashedByOneRequest+2+late {
-			t.Errorf("%d late attempts: broken %v, %d replicas counted", late, found.broken, found.counts.MostCrashed)
+		var result verdict
+		result.judgeCrashing(clients, received, replicas, func(edge string, _ time.Time) bool { return edge == "started" })
+		if len(result.violations) > 0 != broken || result.counts.MostCrashed != maxCrashesPerRequest+2+late {
+			t.Errorf("%d late attempts: broken %v, %d replicas counted", late, result.violations, result.counts.MostCrashed)
 		}
 	}
 }
--- a/lab/roles/configuration.go
+++ b/lab/roles/configuration.go
@@ -8,7 +8,8 @@
 	wire "github.com/sloelift/sloelift/platform"
 )
 
-// Hosts and paths of the routes.
+// Hosts and paths of the routes: pathAsk streams and can be resumed, pathDigest streams and cannot, pathLook is idempotent and
+// pathChange is not.
 const (
 	hostOnline  = "online.example"
 	hostJobs    = "jobs.example"
@@ -21,10 +22,10 @@
 	acceptWhole = "application/octet-stream"
 )
 
-// attemptsOf are the routes' bounds, by path.
-var attemptsOf = map[string]int{pathAsk: 2, pathDigest: 1, pathLook: 2, pathChange: 1, pathJobs: 3}
+// maxAttempts is the maximum number of attempts of each route, by path.
+var maxAttempts = map[string]int{pathAsk: 2, pathDigest: 1, pathLook: 2, pathChange: 1, pathJobs: 3}
 
-// changeConfiguration writes the next version, in which nothing but the version and one idle route differ.
+// changeConfiguration writes the next configuration version. It differs from the previous one only in the version and an unused route.
 func (f *fleet) changeConfiguration(ctx context.Context) error {
 	f.mutex.Lock()
 	f.version++
@@ -32,7 +33,7 @@
 	f.mutex.Unlock()
 	online := func(path, kind string, resumable bool) wire.RouteEntry {
 		return wire.RouteEntry{
-			Name: "r" + path, Host: hostOnline, Prefix: path, Type: kind, Service: service, Attempts: attemptsOf[path], TimeoutMs: 5000, ObjectiveMs: 400,
+			Name: "r" + path, Host: hostOnline, Prefix: path, Type: kind, Service: service, Attempts: maxAttempts[path], TimeoutMs: 5000, ObjectiveMs: 400,
 			GapMs: 300, Resumable: resumable,
 		}
 	}
@@ -42,7 +43,7 @@
 		Routes: []wire.RouteEntry{
 			online(pathAsk, "streaming", true), online(pathDigest, "streaming", false), online(pathLook, "idempotent", false), online(pathChange, "non_idempotent", false), idle,
 			{
-				Name: "jobs", Host: hostJobs, Prefix: pathJobs, Type: "batch", Service: service, Attempts: attemptsOf[pathJobs], TimeoutMs: 30000, ObjectiveMs: 400,
+				Name: "jobs", Host: hostJobs, Prefix: pathJobs, Type: "batch", Service: service, Attempts: maxAttempts[pathJobs], TimeoutMs: 30000, ObjectiveMs: 400,
 				Priority: 2, Resumable: true, CompletionMs: 20000, RetentionS: 600, MaxQueued: 1_600_000,
 			},
 		},
--- a/lab/roles/crashing.go
+++ b/lab/roles/crashing.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// crashingPerSecond is how often a request comes that crashes each replica on which it runs.
+	// crashingPerSecond is the rate of requests that crash every replica that runs them.
 	crashingPerSecond = 4
-	// crashedByOneRequest is the number of replicas that a request may crash, retriesAfterThird the number of attempts that may reach a replica later than
-	// contactTime after that. The platform's page names all three.
-	crashedByOneRequest = 3
-	retriesAfterThird   = 3
-	contactTime         = 3 * time.Second
+	// maxCrashesPerRequest is the number of replicas that a request may crash; maxLateAttempts is the number of attempts that may still
+	// reach a replica more than contactTimeout after that. All three come from the platform's documentation.
+	maxCrashesPerRequest = 3
+	maxLateAttempts      = 3
+	contactTimeout       = 3 * time.Second
 )
 
-// newCrashingWorks draws the bodies of requests that crash each replica on which they run.
-func newCrashingWorks(random *rand.Rand, count int) []work {
+// newCrashingRequests draws the bodies of requests that crash every replica that runs them.
+func newCrashingRequests(random *rand.Rand, count int) []work {
 	var drawn []work
 	for range count {
 		drawn = append(drawn, work{Events: 5, EndsReplicaAt: 1, Mark: newID(random)})
@@ -28,66 +28,68 @@
 	return drawn
 }
 
-// askCrashing sends one of the crashing requests, and sends it again where the answer allows: path and body are those of the attempts before.
-func (c *callers) askCrashing(ctx context.Context) {
-	asked := c.crashing[draw(c, func(random *rand.Rand) int { return random.IntN(len(c.crashing)) })]
-	deadline := time.Now().Add(patience)
-	for range retries + 1 {
-		went, after := c.attempt(ctx, c.fresh, pathAsk, asked, deadline)
-		if !mayComeBack(pathLook, went.status) || time.Until(deadline) < after {
+// sendCrashing sends one of the crashing requests and its retries, all with the same path and body.
+func (c *callers) sendCrashing(ctx context.Context) {
+	payload := c.crashing[draw(c, func(random *rand.Rand) int { return random.IntN(len(c.crashing)) })]
+	deadline := time.Now().Add(callerTimeout)
+	for range maxRetries + 1 {
+		sent, retryAfter := c.attempt(ctx, c.fresh, pathAsk, payload, deadline)
+		if !mayRetry(pathLook, sent.status) || time.Until(deadline) < retryAfter {
 			return
 		}
 	}
 }
 
-// promptParts names the parts of a prompt of which the last is the attempt's own.
+// promptParts returns a prompt-parts header whose first part is shared by all attempts and whose last part is unique to one attempt.
 func (c *callers) promptParts() string {
-	return "5c1e07a2:800," + draw(c, newID) + ":" + strconv.Itoa(itemsOfJob)
+	return "5c1e07a2:800," + draw(c, newID) + ":" + strconv.Itoa(maxItemsPerJob)
 }
 
-// judgeCrashing counts the attempts at each crashing request that reached a replica although it had crashed three long enough before. Those at an edge
-// that was started within contactTime before are not counted: the platform's page holds it for out of touch.
-func (v *verdict) judgeCrashing(asked *callers, seen *record, replicas []*replica, started func(edge string, before time.Time) bool) {
-	for _, each := range asked.crashing {
-		ends := endsOf(each.Mark, replicas)
-		v.counts.MostCrashed = max(v.counts.MostCrashed, len(ends))
-		if len(ends) < crashedByOneRequest {
+// judgeCrashing counts, for each crashing request, the attempts that reached a replica more than contactTimeout after its third crash.
+// Attempts at an edge that was started less than contactTimeout earlier are not counted: the platform's documentation treats such an edge as
+// out of contact.
+func (v *verdict) judgeCrashing(clients *callers, received *record, replicas []*replica, startedShortlyBefore func(edge string, before time.Time) bool) {
+	for _, request := range clients.crashing {
+		crashes := crashTimes(request.Mark, replicas)
+		v.counts.MostCrashed = max(v.counts.MostCrashed, len(crashes))
+		if len(crashes) < maxCrashesPerRequest {
 			continue
 		}
 		late, listed := 0, ""
-		for _, went := range asked.attempts {
-			runs := seen.of(went.id)
-			if went.mark != each.Mark || len(runs) == 0 || !runs[0].at.After(ends[crashedByOneRequest-1].Add(contactTime)) {
+		for _, attempt := range clients.attempts {
+			runs := received.runsOf(attempt.id)
+			if attempt.mark != request.Mark || len(runs) == 0 || !runs[0].arrivedAt.After(crashes[maxCrashesPerRequest-1].Add(contactTimeout)) {
 				continue
 			}
-			if !started(went.edge, runs[0].at) {
+			if !startedShortlyBefore(attempt.edge, runs[0].arrivedAt) {
 				late++
-				listed += fmt.Sprintf("; %s at %s: %s", went.id, went.edge, describe(runs))
+				listed += fmt.Sprintf("; %s at %s: %s", attempt.id, attempt.edge, describeRuns(runs))
 			}
 		}
-		if late > retriesAfterThird {
-			v.breaks("request %s crashed %d replicas; %d attempts reached replicas later than %s after the third%s", each.Mark, len(ends), late, contactTime, listed)
+		if late > maxLateAttempts {
+			v.addViolation("request %s crashed %d replicas; %d attempts reached replicas later than %s after the third%s",
+				request.Mark, len(crashes), late, contactTimeout, listed)
 		}
 	}
 }
 
-// endsOf returns when replicas crashed under the work with that mark, in order.
-func endsOf(mark string, replicas []*replica) []time.Time {
-	var ends []time.Time
-	for _, each := range replicas {
-		if by := each.endedBy.Load(); by != nil && *by == mark {
-			ends = append(ends, *each.endedAt.Load())
+// crashTimes returns the times, in order, at which replicas crashed because of the work with the given mark.
+func crashTimes(mark string, replicas []*replica) []time.Time {
+	var crashes []time.Time
+	for _, candidate := range replicas {
+		if endedBy := candidate.endedBy.Load(); endedBy != nil && *endedBy == mark {
+			crashes = append(crashes, *candidate.endedAt.Load())
 		}
 	}
-	slices.SortFunc(ends, time.Time.Compare)
-	return ends
+	slices.SortFunc(crashes, time.Time.Compare)
+	return crashes
 }
 
-// crashingMarks are the marks of the crashing requests.
+// crashingMarks returns the marks of the crashing requests.
 func (c *callers) crashingMarks() []string {
 	var marks []string
-	for _, each := range c.crashing {
-		marks = append(marks, each.Mark)
+	for _, request := range c.crashing {
+		marks = append(marks, request.Mark)
 	}
 	return marks
 }
--- a/lab/roles/draw.go
+++ b/lab/roles/draw.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// faultKind says what a fault does.
+// faultKind is the kind of a fault, as named in options and output.
 type faultKind string
 
 // Kinds of faults.
@@ -47,15 +47,16 @@
 	breakStreams   faultKind = "replicas_break_streams"
 )
 
-// drawnKind is a kind as it is drawn: how long it lasts, and how often at most in a run, 0 for any number.
-type drawnKind struct {
+// kindRange describes how a kind of fault is drawn: the range of its duration and its maximum number in a run, 0 for no limit.
+type kindRange struct {
 	kind              faultKind
 	shortest, longest time.Duration
-	most              int
+	maxPerRun         int
 }
 
-// Disks are lost once in a run: the deployment survives the loss of one at a time.
-var drawnKinds = []drawnKind{
+// defaultKinds are the kinds that are drawn by default. At most one disk is lost in a run, since the deployment tolerates the loss of one
+// disk at a time.
+var defaultKinds = []kindRange{
 	{killNode, 300 * time.Millisecond, 3 * time.Second, 0},
 	{killStores, 300 * time.Millisecond, 900 * time.Millisecond, 2},
 	{killInTurn, 4 * time.Second, 10 * time.Second, 1},
@@ -87,71 +88,71 @@
 	{breakStreams, time.Second, 6 * time.Second, 0},
 }
 
-// namedKinds are drawn only where they are named: the faults of a seed among all kinds stay as they are.
-var namedKinds = []drawnKind{
+// explicitKinds are drawn only if the options name them, so that adding kinds here does not change the faults of existing seeds.
+var explicitKinds = []kindRange{
 	{crashInTurn, 5 * time.Second, 12 * time.Second, 2},
 	{killAll, 300 * time.Millisecond, 900 * time.Millisecond, 5},
 }
 
-// fault is one fault of a run.
+// fault is one fault of a run: it begins at Start, counted from the start of the run, and lasts for Duration.
 type fault struct {
-	Kind faultKind
-	At   time.Duration
-	For  time.Duration
-	// Pick chooses whom it strikes, modulo the number of those; Share is how strong it is, from 0 to 1.
-	Pick  int
-	Share float64
+	Kind     faultKind
+	Start    time.Duration
+	Duration time.Duration
+	// Target selects among the candidates, modulo their number; Strength is the strength of the fault, from 0 to 1.
+	Target   int
+	Strength float64
 }
 
-// String returns the fault as it stands in the line of a run.
+// String formats the fault for the output line of a run.
 func (f fault) String() string {
-	return fmt.Sprintf("%s#%d@%s+%s", f.Kind, f.Pick, f.At, f.For)
+	return fmt.Sprintf("%s#%d@%s+%s", f.Kind, f.Target, f.Start, f.Duration)
 }
 
-// kindsAmong returns the kinds with the given names, all where none is given.
-func kindsAmong(names []string) ([]drawnKind, error) {
+// selectKinds returns the kinds with the given names, or the default kinds if names is empty.
+func selectKinds(names []string) ([]kindRange, error) {
 	if len(names) == 0 {
-		return drawnKinds, nil
+		return defaultKinds, nil
 	}
-	var among []drawnKind
-	known := slices.Concat(drawnKinds, namedKinds)
+	var selected []kindRange
+	known := slices.Concat(defaultKinds, explicitKinds)
 	for _, name := range names {
-		at := slices.IndexFunc(known, func(each drawnKind) bool { return string(each.kind) == name })
-		if at < 0 {
+		index := slices.IndexFunc(known, func(kind kindRange) bool { return string(kind.kind) == name })
+		if index < 0 {
 			return nil, fmt.Errorf("no fault is named %q", name)
 		}
-		among = append(among, known[at])
+		selected = append(selected, known[index])
 	}
-	return among, nil
+	return selected, nil
 }
 
 const (
-	// leastDrawn and mostDrawn bound the faults of a run.
-	leastDrawn, mostDrawn = 3, 8
-	// drawsTried bounds the draws, of which those of a kind that is used up are in vain.
-	drawsTried = 100
+	// minFaults and maxFaults bound the number of faults in a run.
+	minFaults, maxFaults = 3, 8
+	// maxDraws bounds the number of draws: a draw is discarded if its kind has reached its maximum.
+	maxDraws = 100
 )
 
-// drawFaults returns the faults of a seed among kinds, in order: alone, in series and overlapping.
-func drawFaults(seed uint64, length time.Duration, kinds []drawnKind) []fault {
+// drawFaults returns the faults that seed draws from kinds, ordered by start; they may overlap.
+func drawFaults(seed uint64, length time.Duration, kinds []kindRange) []fault {
 	random := rand.New(rand.NewPCG(seed, 0xfa17))
-	count := leastDrawn + random.IntN(mostDrawn-leastDrawn+1)
-	times := map[faultKind]int{}
+	count := minFaults + random.IntN(maxFaults-minFaults+1)
+	counts := map[faultKind]int{}
 	var faults []fault
-	for draws := 0; len(faults) < count && draws < drawsTried; draws++ {
+	for draws := 0; len(faults) < count && draws < maxDraws; draws++ {
 		drawn := kinds[random.IntN(len(kinds))]
-		if drawn.most > 0 && times[drawn.kind] >= drawn.most {
+		if drawn.maxPerRun > 0 && counts[drawn.kind] >= drawn.maxPerRun {
 			continue
 		}
-		times[drawn.kind]++
+		counts[drawn.kind]++
 		span := float64(drawn.longest - drawn.shortest)
 		faults = append(faults, fault{
-			Kind: drawn.kind, Pick: random.IntN(1 << 16), Share: random.Float64(),
-			For: (drawn.shortest + time.Duration(random.Float64()*span)).Round(10 * time.Millisecond),
-			// The last quarter shows that the system goes on.
-			At: time.Duration(random.Float64() * 0.75 * float64(length)).Round(10 * time.Millisecond),
+			Kind: drawn.kind, Target: random.IntN(1 << 16), Strength: random.Float64(),
+			Duration: (drawn.shortest + time.Duration(random.Float64()*span)).Round(10 * time.Millisecond),
+			// No fault begins in the last quarter, which shows that the system recovers.
+			Start: time.Duration(random.Float64() * 0.75 * float64(length)).Round(10 * time.Millisecond),
 		})
 	}
-	slices.SortFunc(faults, func(one, other fault) int { return int(one.At - other.At) })
+	slices.SortFunc(faults, func(a, b fault) int { return int(a.Start - b.Start) })
 	return faults
 }
--- a/lab/roles/fault.go
+++ b/lab/roles/fault.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// storeDelay is what the slow store adds to a call, lostShare the share of changes whose answers are lost.
-	storeDelay = 400 * time.Millisecond
-	lostShare  = 0.4
-	// busyFactor is how many busy processes there are for each core.
-	busyFactor = 3
-	// throttledShare is the least part of the time that a throttled process runs.
-	throttledShare = 0.04
-	// frozenInTurn is how long one of several stores is frozen before the next.
-	frozenInTurn = 700 * time.Millisecond
-	// downInTurn is how long one of several stores that are ended in turn is down, upInTurn how long all are up before the next.
-	downInTurn = 300 * time.Millisecond
-	upInTurn   = 1500 * time.Millisecond
-	// upgradedWithin is the part of a run in which the machines are replaced by those of another build.
-	upgradedWithin = 0.75
-	// flapPause is how long a replica that flaps is down, and up, each time.
-	flapPause = 400 * time.Millisecond
-	// crashedInTurn is the share of the replicas that crash together in a series, downOfSeries how long their places are empty, and upOfSeries the
-	// longest time until the next ones crash.
-	crashedInTurn = 0.2
-	downOfSeries  = 400 * time.Millisecond
-	upOfSeries    = 1500 * time.Millisecond
-	// configurationPause is the time between two configurations of a series.
-	configurationPause = 150 * time.Millisecond
+	// storeDelay is the delay that the slow store adds to a call; lostResponseShare is the share of changes whose responses are lost.
+	storeDelay        = 400 * time.Millisecond
+	lostResponseShare = 0.4
+	// busyProcessesPerCore is the number of busy processes per core.
+	busyProcessesPerCore = 3
+	// minThrottledShare is the minimum share of the time that a throttled process runs.
+	minThrottledShare = 0.04
+	// minSerialFreeze is the minimum time that each store is frozen when stores are frozen one after the other.
+	minSerialFreeze = 700 * time.Millisecond
+	// serialDowntime is how long a node is down when nodes are ended one after the other; serialInterval is how long all are up before the
+	// next one is ended.
+	serialDowntime = 300 * time.Millisecond
+	serialInterval = 1500 * time.Millisecond
+	// upgradeShare is the share of a run within which all machines are upgraded to the other build.
+	upgradeShare = 0.75
+	// flapInterval is how long a flapping replica is down, and then up, in each cycle.
+	flapInterval = 400 * time.Millisecond
+	// serialCrashShare is the share of the replicas that crash together in a series of crashes, replacementDelay the delay before their
+	// replacements start, and maxCrashInterval the maximum time until the next crash.
+	serialCrashShare = 0.2
+	replacementDelay = 400 * time.Millisecond
+	maxCrashInterval = 1500 * time.Millisecond
+	// configurationInterval is the interval between the configurations of a series.
+	configurationInterval = 150 * time.Millisecond
 )
 
-// faults carries faults out. Its methods may be called from several goroutines.
-type faults struct {
+// injector injects the faults of a run. It is safe for concurrent use.
+type injector struct {
 	fleet *fleet
 
 	// mutex guards failures.
@@ -49,70 +50,70 @@
 	failures []string
 }
 
-// play carries out all faults at their times and returns once all are over.
-func (f *faults) play(ctx context.Context, drawn []fault) {
+// play injects all faults at their times and returns when all of them have ended.
+func (f *injector) play(ctx context.Context, drawn []fault) {
 	began := time.Now()
 	var playing sync.WaitGroup
-	for _, each := range drawn {
+	for _, next := range drawn {
 		playing.Go(func() {
-			pause.Sleep(ctx, each.At-time.Since(began))
+			pause.Sleep(ctx, next.Start-time.Since(began))
 			if ctx.Err() != nil {
 				return
 			}
-			f.note(each, f.carryOut(ctx, each))
+			f.noteFailure(next, f.inject(ctx, next))
 		})
 	}
 	playing.Wait()
 }
 
-// note keeps why something could not be carried out; nil is no failure.
-func (f *faults) note(what fmt.Stringer, err error) {
+// noteFailure records that an operation failed with err; a nil err is ignored.
+func (f *injector) noteFailure(operation fmt.Stringer, err error) {
 	if err == nil {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.failures = append(f.failures, fmt.Sprintf("%s: %s", what, err))
+	f.failures = append(f.failures, fmt.Sprintf("%s: %s", operation, err))
 }
 
-func picked[Value any](from []Value, number int) Value { return from[number%len(from)] }
+func pick[Value any](candidates []Value, number int) Value { return candidates[number%len(candidates)] }
 
-func (f *faults) carryOut(ctx context.Context, each fault) error {
-	switch each.Kind {
+func (f *injector) inject(ctx context.Context, drawn fault) error {
+	switch drawn.Kind {
 	case killNode, stopNode, loseDisk, killStores, killAll, killInTurn, stopInTurn, rollNodes:
-		return f.endMachines(ctx, each)
+		return f.endMachines(ctx, drawn)
 	case freezeNode, freezeStores, throttleNode, throttleStores, throttleAll, busyMachine:
-		return f.holdBack(ctx, each)
+		return f.limitProcessor(ctx, drawn)
 	case storeRefuses, storeSilent, storeSlow, storeLoses, storeForgets, cutFromStore, configuration:
-		return f.disturbStore(ctx, each)
+		return f.disturbStore(ctx, drawn)
 	default:
-		return f.disturbReplicas(ctx, each)
+		return f.disturbReplicas(ctx, drawn)
 	}
 }
 
-func (f *faults) endMachines(ctx context.Context, each fault) error {
-	machine := picked(f.fleet.machines, each.Pick)
-	switch each.Kind {
+func (f *injector) endMachines(ctx context.Context, drawn fault) error {
+	machine := pick(f.fleet.machines, drawn.Target)
+	switch drawn.Kind {
 	case killNode:
 		machine.kill()
-		return f.startAfter(ctx, each.For, machine)
+		return f.startAfter(ctx, drawn.Duration, machine)
 	case stopNode:
-		return f.restart(ctx, machine, each.For)
+		return f.restart(ctx, machine, drawn.Duration)
 	case loseDisk:
-		machine = picked(f.fleet.of(classStorage), each.Pick)
+		machine = pick(f.fleet.machinesOf(classStorage), drawn.Target)
 		if err := machine.loseDisk(); err != nil {
 			return err
 		}
-		return f.startAfter(ctx, each.For, machine)
+		return f.startAfter(ctx, drawn.Duration, machine)
 	case killStores:
-		return f.killTogether(ctx, each.For, f.fleet.of(classStorage))
+		return f.killTogether(ctx, drawn.Duration, f.fleet.machinesOf(classStorage))
 	case killAll:
-		return f.killTogether(ctx, each.For, f.fleet.machines)
+		return f.killTogether(ctx, drawn.Duration, f.fleet.machines)
 	case killInTurn, stopInTurn:
-		return f.endInTurn(ctx, each)
+		return f.endInTurn(ctx, drawn)
 	default:
-		for _, one := range f.fleet.machines {
-			if err := f.restart(ctx, one, each.For); err != nil {
+		for _, each := range f.fleet.machines {
+			if err := f.restart(ctx, each, drawn.Duration); err != nil {
 				return err
 			}
 		}
@@ -120,115 +121,115 @@
 	}
 }
 
-// killTogether kills machines at one moment and starts them again.
-func (f *faults) killTogether(ctx context.Context, down time.Duration, machines []*machine) error {
+// killTogether kills all machines at the same time and starts them again after down.
+func (f *injector) killTogether(ctx context.Context, down time.Duration, machines []*machine) error {
 	var killing sync.WaitGroup
-	for _, each := range machines {
-		killing.Go(each.kill)
+	for _, target := range machines {
+		killing.Go(target.kill)
 	}
 	killing.Wait()
 	return f.startAfter(ctx, down, machines...)
 }
 
-// endInTurn kills or stops one storage node after the other, so that partitions change their owners in series.
-func (f *faults) endInTurn(ctx context.Context, each fault) error {
-	stores := f.fleet.of(classStorage)
-	number := each.Pick
-	for began := time.Now(); time.Since(began) < each.For && ctx.Err() == nil; number++ {
-		store := picked(stores, number)
-		if each.Kind == killInTurn {
+// endInTurn kills or stops one storage node after the other, so that partitions change owners repeatedly.
+func (f *injector) endInTurn(ctx context.Context, drawn fault) error {
+	stores := f.fleet.machinesOf(classStorage)
+	number := drawn.Target
+	for began := time.Now(); time.Since(began) < drawn.Duration && ctx.Err() == nil; number++ {
+		store := pick(stores, number)
+		if drawn.Kind == killInTurn {
 			store.kill()
 		} else if err := store.stop(ctx); err != nil {
 			return err
 		}
-		if err := f.startAfter(ctx, downInTurn, store); err != nil {
+		if err := f.startAfter(ctx, serialDowntime, store); err != nil {
 			return err
 		}
-		pause.Sleep(ctx, upInTurn)
+		pause.Sleep(ctx, serialInterval)
 	}
 	return nil
 }
 
-func (f *faults) startAfter(ctx context.Context, wait time.Duration, machines ...*machine) error {
+func (f *injector) startAfter(ctx context.Context, wait time.Duration, machines ...*machine) error {
 	pause.Sleep(ctx, wait)
-	for _, each := range machines {
-		if err := each.start(); err != nil {
+	for _, target := range machines {
+		if err := target.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// upgradeInTurn replaces the build on one machine after the other within length: both run side by side meanwhile.
-func (f *faults) upgradeInTurn(ctx context.Context, length time.Duration) {
-	wait := time.Duration(float64(length) * upgradedWithin / float64(len(f.fleet.machines)))
-	for _, each := range f.fleet.machines {
+// upgradeInTurn upgrades one machine after the other, so that both builds run side by side for most of length.
+func (f *injector) upgradeInTurn(ctx context.Context, duration time.Duration) {
+	wait := time.Duration(float64(duration) * upgradeShare / float64(len(f.fleet.machines)))
+	for _, machine := range f.fleet.machines {
 		pause.Sleep(ctx, wait)
-		each.upgrade(f.fleet.options.Program)
-		f.note(each, f.restart(ctx, each, downInTurn))
+		machine.upgrade(f.fleet.options.Program)
+		f.noteFailure(machine, f.restart(ctx, machine, serialDowntime))
 	}
 }
 
-// restart stops a machine's process and starts it again.
-func (f *faults) restart(ctx context.Context, of *machine, down time.Duration) error {
-	if err := of.stop(ctx); err != nil {
+// restart stops a machine's process and starts it again after down.
+func (f *injector) restart(ctx context.Context, target *machine, down time.Duration) error {
+	if err := target.stop(ctx); err != nil {
 		return err
 	}
-	return f.startAfter(ctx, down, of)
+	return f.startAfter(ctx, down, target)
 }
 
-// holdBack takes processor time from processes.
-func (f *faults) holdBack(ctx context.Context, each fault) error {
-	bounded, cancel := context.WithTimeout(ctx, each.For)
+// limitProcessor injects a fault that takes processor time from processes.
+func (f *injector) limitProcessor(ctx context.Context, drawn fault) error {
+	bounded, cancel := context.WithTimeout(ctx, drawn.Duration)
 	defer cancel()
-	share := throttledShare + each.Share*each.Share*(0.5-throttledShare)
-	switch each.Kind {
+	share := minThrottledShare + drawn.Strength*drawn.Strength*(0.5-minThrottledShare)
+	switch drawn.Kind {
 	case freezeNode:
-		f.freeze(bounded, picked(f.fleet.machines, each.Pick), each.For)
+		f.freeze(bounded, pick(f.fleet.machines, drawn.Target), drawn.Duration)
 	case freezeStores:
-		stores := f.fleet.of(classStorage)
-		for number := each.Pick; bounded.Err() == nil; number++ {
-			f.freeze(bounded, picked(stores, number), frozenInTurn+time.Duration(each.Share*float64(2*time.Second)))
+		stores := f.fleet.machinesOf(classStorage)
+		for number := drawn.Target; bounded.Err() == nil; number++ {
+			f.freeze(bounded, pick(stores, number), minSerialFreeze+time.Duration(drawn.Strength*float64(2*time.Second)))
 		}
 	case throttleNode:
-		picked(f.fleet.machines, each.Pick).throttle(bounded, share)
+		pick(f.fleet.machines, drawn.Target).throttle(bounded, share)
 	case throttleStores:
-		throttleTogether(bounded, f.fleet.of(classStorage), share)
+		throttleTogether(bounded, f.fleet.machinesOf(classStorage), share)
 	case throttleAll:
 		throttleTogether(bounded, f.fleet.machines, share)
 	default:
-		return f.occupy(bounded)
+		return f.occupyProcessors(bounded)
 	}
 	return nil
 }
 
-func (f *faults) freeze(ctx context.Context, of *machine, length time.Duration) {
-	of.pause(true)
-	defer of.pause(false)
-	pause.Sleep(ctx, length)
+func (f *injector) freeze(ctx context.Context, target *machine, duration time.Duration) {
+	target.pause(true)
+	defer target.pause(false)
+	pause.Sleep(ctx, duration)
 }
 
 func throttleTogether(ctx context.Context, machines []*machine, share float64) {
 	var throttling sync.WaitGroup
-	for _, each := range machines {
-		throttling.Go(func() { each.throttle(ctx, share) })
+	for _, target := range machines {
+		throttling.Go(func() { target.throttle(ctx, share) })
 	}
 	throttling.Wait()
 }
 
-// occupy runs more busy processes than there are cores, at ordinary priority.
-func (f *faults) occupy(ctx context.Context) error {
+// occupyProcessors runs busyProcessesPerCore busy processes per core at normal priority until ctx ends.
+func (f *injector) occupyProcessors(ctx context.Context) error {
 	var busy []*process.Process
 	defer func() {
-		for _, each := range busy {
-			each.Kill()
+		for _, running := range busy {
+			running.Kill()
 		}
 	}()
 	command := f.fleet.options.Busy
 	if len(command) == 0 {
 		return nil
 	}
-	for range busyFactor * runtime.NumCPU() {
+	for range busyProcessesPerCore * runtime.NumCPU() {
 		started, err := process.Start(command[0], f.fleet.folder+"/busy.log", command[1:]...)
 		if err != nil {
 			return err
@@ -239,98 +240,98 @@
 	return nil
 }
 
-func (f *faults) disturbStore(ctx context.Context, each fault) error {
-	switched := labplatform.Fault{Service: labplatform.KeyValue}
-	switch each.Kind {
+func (f *injector) disturbStore(ctx context.Context, drawn fault) error {
+	storeFault := labplatform.Fault{Service: labplatform.KeyValue}
+	switch drawn.Kind {
 	case storeRefuses:
-		switched.Outage = labplatform.OutageRefuses
+		storeFault.Outage = labplatform.OutageRefuses
 	case storeSilent:
-		switched.Outage = labplatform.OutageHangs
+		storeFault.Outage = labplatform.OutageHangs
 	case storeSlow:
-		switched.DelayMilliseconds = storeDelay.Milliseconds()
+		storeFault.DelayMilliseconds = storeDelay.Milliseconds()
 	case storeLoses:
-		switched.LoseAnswer = lostShare
+		storeFault.LoseAnswer = lostResponseShare
 	case cutFromStore:
-		switched.Zone, switched.Outage = picked(f.fleet.machines, each.Pick).name, labplatform.OutageHangs
+		storeFault.Zone, storeFault.Outage = pick(f.fleet.machines, drawn.Target).name, labplatform.OutageHangs
 	case storeForgets:
 		f.fleet.platform.Compact(math.MaxInt64)
 		return nil
 	default:
-		f.changeConfigurations(ctx, each.For)
+		f.changeConfigurations(ctx, drawn.Duration)
 		return nil
 	}
-	f.fleet.platform.Faults().Set(switched)
-	pause.Sleep(ctx, each.For)
-	f.fleet.platform.Faults().Clear(switched.Zone, switched.Service)
+	f.fleet.platform.Faults().Set(storeFault)
+	pause.Sleep(ctx, drawn.Duration)
+	f.fleet.platform.Faults().Clear(storeFault.Zone, storeFault.Service)
 	return nil
 }
 
-// changeConfigurations writes one version after the other; the store may turn some away.
-func (f *faults) changeConfigurations(ctx context.Context, length time.Duration) {
-	for began := time.Now(); time.Since(began) < length && ctx.Err() == nil; pause.Sleep(ctx, configurationPause) {
-		// Errors are those of the store's outages: the version is passed over.
+// changeConfigurations writes one configuration version after the other for length.
+func (f *injector) changeConfigurations(ctx context.Context, duration time.Duration) {
+	for began := time.Now(); time.Since(began) < duration && ctx.Err() == nil; pause.Sleep(ctx, configurationInterval) {
+		// An error means that the store has an outage; this version is skipped.
 		_ = f.fleet.changeConfiguration(ctx)
 	}
 }
 
-func (f *faults) disturbReplicas(ctx context.Context, each fault) error {
+func (f *injector) disturbReplicas(ctx context.Context, drawn fault) error {
 	living := f.fleet.living()
 	if len(living) == 0 {
 		return nil
 	}
-	struck := picked(living, each.Pick)
-	switch each.Kind {
+	target := pick(living, drawn.Target)
+	switch drawn.Kind {
 	case crashInTurn:
-		return f.crashInTurn(ctx, each)
+		return f.crashInTurn(ctx, drawn)
 	case crashReplica:
-		return f.replaceReplica(ctx, struck, "", anyAddress, each.For)
+		return f.replaceReplica(ctx, target, "", anyAddress, drawn.Duration)
 	case restartReplica:
-		return f.replaceReplica(ctx, struck, "", struck.address.String(), each.For)
+		return f.replaceReplica(ctx, target, "", target.address.String(), drawn.Duration)
 	case restartSameID:
-		return f.replaceReplica(ctx, struck, struck.id, struck.address.String(), each.For)
+		return f.replaceReplica(ctx, target, target.id, target.address.String(), drawn.Duration)
 	case spoilEntry:
-		f.spoilEntry(ctx, struck, each)
+		f.spoilEntry(ctx, target, drawn)
 		return nil
 	case flapReplica:
-		return f.flap(ctx, struck, each.For)
+		return f.flap(ctx, target, drawn.Duration)
 	}
-	as := manner{hang: each.Kind == hangReplica}
-	for _, one := range f.struckReplicas(living, each) {
-		switch each.Kind {
+	next := misbehavior{hang: drawn.Kind == hangReplica}
+	for _, replica := range f.affectedReplicas(living, drawn) {
+		switch drawn.Kind {
 		case failReplicas:
-			as.fail = 0.2 + 0.8*each.Share
+			next.fail = 0.2 + 0.8*drawn.Strength
 		case loseAnswers:
-			as.loseAnswer = 0.1 + 0.5*each.Share
+			next.loseAnswer = 0.1 + 0.5*drawn.Strength
 		case breakStreams:
-			as.breakOff = 0.1 + 0.5*each.Share
+			next.breakOff = 0.1 + 0.5*drawn.Strength
 		}
-		one.behave(as)
-		defer one.behave(manner{})
+		replica.setMisbehavior(next)
+		defer replica.setMisbehavior(misbehavior{})
 	}
-	pause.Sleep(ctx, each.For)
+	pause.Sleep(ctx, drawn.Duration)
 	return nil
 }
 
-// replaceReplica crashes a replica and starts another one a while later, under a new id where none is given.
-func (f *faults) replaceReplica(ctx context.Context, struck *replica, id, address string, down time.Duration) error {
-	f.fleet.crashReplica(struck)
+// replaceReplica crashes a replica and starts another one after down. An empty id stands for a new one.
+func (f *injector) replaceReplica(ctx context.Context, target *replica, id, address string, down time.Duration) error {
+	f.fleet.crashReplica(target)
 	pause.Sleep(ctx, down)
-	return f.fleet.addReplica(id, address, struck.zone)
+	return f.fleet.addReplica(id, address, target.zone)
 }
 
-// crashInTurn crashes some of the replicas together, again and again; others come in their places.
-func (f *faults) crashInTurn(ctx context.Context, each fault) error {
-	up := time.Duration((0.3 + 0.7*each.Share) * float64(upOfSeries))
-	number := each.Pick
-	for began := time.Now(); time.Since(began) < each.For && ctx.Err() == nil; {
+// crashInTurn repeatedly crashes a share of the replicas at once and replaces them.
+func (f *injector) crashInTurn(ctx context.Context, drawn fault) error {
+	up := time.Duration((0.3 + 0.7*drawn.Strength) * float64(maxCrashInterval))
+	number := drawn.Target
+	for began := time.Now(); time.Since(began) < drawn.Duration && ctx.Err() == nil; {
 		living := f.fleet.living()
-		count := min(len(living), max(1, int(crashedInTurn*float64(len(living)))))
+		count := min(len(living), max(1, int(serialCrashShare*float64(len(living)))))
 		var crashing sync.WaitGroup
 		failures := make([]error, count)
 		for index := range failures {
 			number++
-			struck := picked(living, number)
-			crashing.Go(func() { failures[index] = f.replaceReplica(ctx, struck, "", anyAddress, downOfSeries) })
+			target := pick(living, number)
+			crashing.Go(func() { failures[index] = f.replaceReplica(ctx, target, "", anyAddress, replacementDelay) })
 		}
 		crashing.Wait()
 		if err := errors.Join(failures...); err != nil {
@@ -341,37 +342,42 @@
 	return nil
 }
 
-// spoiledEntries are what other writers leave.
+// spoiledEntries are invalid replica entries.
 var spoiledEntries = []string{
-	`{"service":"chat"}`, `{"service":"chat","address":7}`, `not an entry`, "\xff\x00", `{"service":"chat","address":"127.0.0.1:1","zone":"zone-1","slots":4,"state":"resting"}`,
+	`{"service":"chat"}`,
+	`{"service":"chat","address":7}`,
+	`not an entry`,
+	"\xff\x00",
+	`{"service":"chat","address":"127.0.0.1:1","zone":"zone-1","slots":4,"state":"resting"}`,
 }
 
-// spoilEntry has another writer's entry stand in place of a replica's for a while. Errors are those of the store's outages.
-func (f *faults) spoilEntry(ctx context.Context, struck *replica, each fault) {
-	_ = f.fleet.spoilEntry(ctx, struck, []byte(picked(spoiledEntries, each.Pick)))
-	pause.Sleep(ctx, each.For)
-	if struck.lives() {
-		_ = f.fleet.spoilEntry(ctx, struck, nil)
+// spoilEntry overwrites a replica's entry with an invalid one, as if by another writer, and restores it when the fault ends. Errors mean
+// that the store has an outage and are ignored.
+func (f *injector) spoilEntry(ctx context.Context, target *replica, drawn fault) {
+	_ = f.fleet.spoilEntry(ctx, target, []byte(pick(spoiledEntries, drawn.Target)))
+	pause.Sleep(ctx, drawn.Duration)
+	if target.lives() {
+		_ = f.fleet.spoilEntry(ctx, target, nil)
 	}
 }
 
-// struckReplicas is one that hangs, or half of all.
-func (f *faults) struckReplicas(living []*replica, each fault) []*replica {
-	if each.Kind == hangReplica {
-		return []*replica{picked(living, each.Pick)}
+// affectedReplicas returns the replicas that a fault affects: one for a hang, otherwise half of the living ones.
+func (f *injector) affectedReplicas(living []*replica, drawn fault) []*replica {
+	if drawn.Kind == hangReplica {
+		return []*replica{pick(living, drawn.Target)}
 	}
 	return living[:(len(living)+1)/2]
 }
 
-// flap crashes a replica and its successors at the same address again and again.
-func (f *faults) flap(ctx context.Context, struck *replica, length time.Duration) error {
-	for began := time.Now(); time.Since(began) < length && ctx.Err() == nil; {
-		if err := f.replaceReplica(ctx, struck, struck.id, struck.address.String(), flapPause); err != nil {
+// flap repeatedly crashes a replica and starts its successor under the same id and address.
+func (f *injector) flap(ctx context.Context, target *replica, duration time.Duration) error {
+	for began := time.Now(); time.Since(began) < duration && ctx.Err() == nil; {
+		if err := f.replaceReplica(ctx, target, target.id, target.address.String(), flapInterval); err != nil {
 			return err
 		}
-		pause.Sleep(ctx, flapPause)
+		pause.Sleep(ctx, flapInterval)
 		living := f.fleet.living()
-		struck = living[len(living)-1]
+		target = living[len(living)-1]
 	}
 	return nil
 }
--- a/lab/roles/fleet.go
+++ b/lab/roles/fleet.go
@@ -22,19 +22,19 @@
 )
 
 const (
-	// grace is the time from SIGTERM to SIGKILL.
-	grace = 8 * time.Second
-	// heartbeat is how often replicas renew their entries, which go after three of silence.
-	heartbeat = 1200 * time.Millisecond
-	// readyWithin bounds the wait for a new deployment, far beyond what a busy machine needs.
-	readyWithin = 3 * time.Minute
-	region      = "region-1"
-	service     = "chat"
-	// platformZone is from where replicas and the operator call the store.
+	// gracePeriod is the time from SIGTERM to SIGKILL.
+	gracePeriod = 8 * time.Second
+	// heartbeatInterval is the interval at which replicas renew their leases; a lease expires after three intervals.
+	heartbeatInterval = 1200 * time.Millisecond
+	// readyTimeout is the timeout for a new deployment to become ready, far more than a busy machine needs.
+	readyTimeout = 3 * time.Minute
+	region       = "region-1"
+	service      = "chat"
+	// platformZone is the zone from which replicas and the operator call the store.
 	platformZone = "platform"
 )
 
-// fleet is a running deployment. Its methods may be called from several goroutines.
+// fleet is a running deployment. It is safe for concurrent use.
 type fleet struct {
 	options  Options
 	folder   string
@@ -45,7 +45,7 @@
 	machines []*machine
 	ready    *readiness
 
-	// mutex guards the replicas, those that have ended among them, their leases, and the number of the next.
+	// mutex guards replicas, which includes those that have ended, leases, nextReplica and version.
 	mutex       sync.Mutex
 	replicas    []*replica
 	leases      map[*replica]context.CancelFunc
@@ -57,23 +57,25 @@
 	cancel      context.CancelFunc
 }
 
-// startFleet brings all up and waits until each edge is ready. On an error nothing is left running.
+// startFleet starts the whole deployment and waits until every edge is ready. On an error it leaves nothing running.
 func startFleet(ctx context.Context, options Options, folder string) (*fleet, error) {
 	template, err := readTemplate(options.Template)
 	if err != nil {
 		return nil, err
 	}
-	started := &fleet{options: options, folder: folder, template: template, record: newRecord(), leases: map[*replica]context.CancelFunc{}}
+	started := &fleet{
+		options: options, folder: folder, template: template, record: newRecord(), leases: map[*replica]context.CancelFunc{},
+	}
 	started.ctx, started.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	started.planMachines()
-	started.platform = labplatform.NewServer(labplatform.Options{Seed: options.Seed, Zones: started.callersOfStore()})
+	started.platform = labplatform.NewServer(labplatform.Options{Seed: options.Seed, Zones: started.storeZones()})
 	if err := started.platform.Start(); err != nil {
 		started.cancel()
 		return nil, err
 	}
 	started.store = started.platform.KeyValue(platformZone)
-	started.ready = newReadiness(started.of(classEdge))
-	started.background.Go(func() { started.ready.follow(started.ctx) })
+	started.ready = newReadiness(started.machinesOf(classEdge))
+	started.background.Go(func() { started.ready.probe(started.ctx) })
 	err = errors.Join(started.startReplicas(), started.changeConfiguration(ctx))
 	if err == nil {
 		err = started.startMachines(ctx)
@@ -88,28 +90,30 @@
 func readTemplate(path string) (string, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return "", fmt.Errorf("template of the settings: %w", err)
+		return "", fmt.Errorf("read settings template: %w", err)
 	}
 	return string(content), nil
 }
 
-// callersOfStore names those who call the store at an address of their own, so that a fault can strike one of them.
-func (f *fleet) callersOfStore() []string {
+// storeZones returns the zones of the store stand-in: one for each machine, so that a fault can target a single machine, and one for
+// the platform.
+func (f *fleet) storeZones() []string {
 	names := []string{platformZone}
-	for _, each := range f.machines {
-		names = append(names, each.name)
+	for _, machine := range f.machines {
+		names = append(names, machine.name)
 	}
 	return names
 }
 
 func (f *fleet) planMachines() {
 	add := func(class string, number int) {
-		each := &machine{
-			name: fmt.Sprintf("%s-%d", class, number+1), class: class, zone: f.options.zone(number), ip: loopback(len(f.machines)), program: cmp.Or(f.options.Before, f.options.Program),
+		planned := &machine{
+			name: fmt.Sprintf("%s-%d", class, number+1), class: class, zone: f.options.zone(number),
+			ip: loopback(len(f.machines)), program: cmp.Or(f.options.Before, f.options.Program),
 		}
-		each.paths(f.folder)
-		each.writeSettings = func() error { return f.writeSettings(each) }
-		f.machines = append(f.machines, each)
+		planned.setPaths(f.folder)
+		planned.writeSettings = func() error { return f.writeSettings(planned) }
+		f.machines = append(f.machines, planned)
 	}
 	for number := range f.options.Stores {
 		add(classStorage, number)
@@ -119,64 +123,65 @@
 	}
 }
 
-func (f *fleet) of(class string) []*machine {
+// machinesOf returns the machines of a class.
+func (f *fleet) machinesOf(class string) []*machine {
 	return slices.Collect(func(yield func(*machine) bool) {
-		for _, each := range f.machines {
-			if each.class == class && !yield(each) {
+		for _, candidate := range f.machines {
+			if candidate.class == class && !yield(candidate) {
 				return
 			}
 		}
 	})
 }
 
-// writeSettings fills the template with the fields of a machine.
-func (f *fleet) writeSettings(of *machine) error {
+// writeSettings renders the settings template for a machine.
+func (f *fleet) writeSettings(target *machine) error {
 	zones := map[string]any{}
 	for number := range f.options.Zones {
 		zones[f.options.zone(number)] = region
 	}
 	var seeds []string
-	for _, each := range f.of(classStorage)[:min(3, f.options.Stores)] {
-		seeds = append(seeds, each.at(portAdmin).String())
+	for _, store := range f.machinesOf(classStorage)[:min(3, f.options.Stores)] {
+		seeds = append(seeds, store.address(portAdmin).String())
 	}
 	fields := map[string]any{
-		"node": of.name, "machine_class": of.class, "region": region, "zone": of.zone, "ip": of.ip.String(), "zones": zones, "seeds": seeds,
+		"node": target.name, "machine_class": target.class, "region": region, "zone": target.zone, "ip": target.ip.String(), "zones": zones, "seeds": seeds,
 		"ephemeral_ports": []string{fmt.Sprint(portPeers), fmt.Sprint(portMetrics)},
-		"platform":        map[string]any{"address": f.platform.Address(of.name).String()},
+		"platform":        map[string]any{"address": f.platform.Address(target.name).String()},
 		"limits":          map[string]any{"memory_mb": 300, "disk_mb": 0, "max_fds": 4096},
 		"fault_tolerance": map[string]any{"machines": 1, "zones": 0},
 		"bounds": map[string]any{
-			"contact_ms": 3000, "grace_s": int(grace / time.Second), "cancel_ms": 3000, "sync_s": 4.8, "poll_s": 120, "quota_burst": 0.1,
+			"contact_ms": 3000, "grace_s": int(gracePeriod / time.Second), "cancel_ms": 3000, "sync_s": 4.8, "poll_s": 120, "quota_burst": 0.1,
 		},
 	}
-	if of.class == classEdge {
-		fields["bind"] = map[string]any{"http": of.at(portCallers).String(), "readiness": of.at(portReadiness).String()}
+	if target.class == classEdge {
+		fields["bind"] = map[string]any{"http": target.address(portCallers).String(), "readiness": target.address(portReadiness).String()}
 	} else {
-		fields["data_dir"] = of.dataFolder
+		fields["data_dir"] = target.dataFolder
 	}
 	content, err := fillTemplate(f.template, fields)
 	if err != nil {
-		return fmt.Errorf("template of the settings: %w", err)
+		return fmt.Errorf("fill settings template: %w", err)
 	}
-	return os.WriteFile(of.settingsPath, []byte(content), 0o644)
+	return os.WriteFile(target.settingsPath, []byte(content), 0o644)
 }
 
 func (f *fleet) startMachines(ctx context.Context) error {
-	for _, each := range f.machines {
-		if each.dataFolder != "" {
-			if err := os.MkdirAll(each.dataFolder, 0o755); err != nil {
+	for _, machine := range f.machines {
+		if machine.dataFolder != "" {
+			if err := os.MkdirAll(machine.dataFolder, 0o755); err != nil {
 				return err
 			}
 		}
-		if err := each.start(); err != nil {
+		if err := machine.start(); err != nil {
 			return err
 		}
 	}
-	bounded, cancel := context.WithTimeout(ctx, readyWithin)
+	bounded, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for !f.ready.all() {
+	for !f.ready.allReady() {
 		if bounded.Err() != nil {
-			return fmt.Errorf("the edges are not ready after %s; logs in %s", readyWithin, f.folder)
+			return fmt.Errorf("edges are not ready after %s; logs are in %s", readyTimeout, f.folder)
 		}
 		pause.Sleep(bounded, 50*time.Millisecond)
 	}
@@ -192,10 +197,10 @@
 	return nil
 }
 
-// anyAddress is a free port.
+// anyAddress lets a replica listen on any free loopback port.
 const anyAddress = "127.0.0.1:0"
 
-// addReplica starts a replica, under a new id where none is given, and keeps its entry.
+// addReplica starts a replica and keeps its entry in the store. An empty id stands for a new one.
 func (f *fleet) addReplica(id, address, zone string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -212,49 +217,49 @@
 	f.leases[added] = cancel
 	f.background.Go(func() { f.keepEntry(ctx, added) })
 	if f.options.EndingItems > 0 || f.options.CrashingRequests > 0 {
-		f.background.Go(func() { f.replaceWhereWorkEndsIt(added) })
+		f.background.Go(func() { f.replaceIfEndedByWork(added) })
 	}
 	return nil
 }
 
-// replaceWhereWorkEndsIt has another replica come in the place of one that ends by its work.
-func (f *fleet) replaceWhereWorkEndsIt(of *replica) {
+// replaceIfEndedByWork waits until the replica ends and starts a replacement if work ended it.
+func (f *fleet) replaceIfEndedByWork(watched *replica) {
 	select {
-	case <-of.ended:
+	case <-watched.ended:
 	case <-f.ctx.Done():
 		return
 	}
-	if of.endedBy.Load() == nil {
+	if watched.endedBy.Load() == nil {
 		return
 	}
-	pause.Sleep(f.ctx, downOfSeries)
+	pause.Sleep(f.ctx, replacementDelay)
 	if f.ctx.Err() == nil {
-		// Without it there is a replica less; the callers' promises are judged all the same.
-		_ = f.addReplica("", anyAddress, of.zone)
+		// On an error the fleet goes on with one replica fewer; the guarantees to callers are judged all the same.
+		_ = f.addReplica("", anyAddress, watched.zone)
 	}
 }
 
-// keepEntry writes a replica's entry and renews it until the replica ends; a crash says nothing, and the entry lapses.
-func (f *fleet) keepEntry(ctx context.Context, of *replica) {
+// keepEntry writes a replica's entry and renews its lease until the replica ends. After a crash the entry stays until the lease expires.
+func (f *fleet) keepEntry(ctx context.Context, owner *replica) {
 	var lease port.LeaseID
 	written := ""
-	for ctx.Err() == nil && of.lives() {
+	for ctx.Err() == nil && owner.lives() {
 		if lease == 0 {
-			// Errors are those of the store's outages; the next round tries again.
-			lease, _ = f.store.GrantLease(ctx, 3*heartbeat)
+			// An error means that the store has an outage; the next iteration retries.
+			lease, _ = f.store.GrantLease(ctx, 3*heartbeatInterval)
 			written = ""
 		} else if _, err := f.store.KeepAlive(ctx, lease); errorx.IsOfType(err, port.KindLeaseNotFound) {
 			lease = 0
 			continue
 		}
-		if entry := string(of.entry()); lease != 0 && entry != written {
-			if err := f.put(ctx, wire.Translator{}.ReplicaPrefix()+of.id, []byte(entry), lease); err == nil {
+		if entry := string(owner.entry()); lease != 0 && entry != written {
+			if err := f.put(ctx, wire.Translator{}.ReplicaPrefix()+owner.id, []byte(entry), lease); err == nil {
 				written = entry
 			} else {
 				lease = 0
 			}
 		}
-		pause.Sleep(ctx, heartbeat)
+		pause.Sleep(ctx, heartbeatInterval)
 	}
 }
 
@@ -262,82 +267,84 @@
 func (f *fleet) living() []*replica {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return slices.DeleteFunc(slices.Clone(f.replicas), func(each *replica) bool { return !each.lives() })
+	return slices.DeleteFunc(slices.Clone(f.replicas), func(candidate *replica) bool { return !candidate.lives() })
 }
 
-// replicasSoFar returns all replicas that there were.
-func (f *fleet) replicasSoFar() []*replica {
+// allReplicas returns all replicas ever started, including those that have ended.
+func (f *fleet) allReplicas() []*replica {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return slices.Clone(f.replicas)
 }
 
-// crashReplica ends a replica without a word; its entry lapses.
-func (f *fleet) crashReplica(of *replica) {
-	of.crash()
+// crashReplica ends a replica without notice; its entry stays until the lease expires.
+func (f *fleet) crashReplica(target *replica) {
+	target.crash()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.leases[of]()
+	f.leases[target]()
 }
 
-// spoilEntry puts content in place of a replica's entry, as another writer does; nil puts the replica's own back.
-func (f *fleet) spoilEntry(ctx context.Context, of *replica, content []byte) error {
-	key := wire.Translator{}.ReplicaPrefix() + of.id
+// spoilEntry overwrites a replica's entry with content, as if by another writer; nil restores the replica's own entry.
+func (f *fleet) spoilEntry(ctx context.Context, target *replica, content []byte) error {
+	key := wire.Translator{}.ReplicaPrefix() + target.id
 	present, err := f.store.Get(ctx, key)
 	if err != nil || present.ModRevision == 0 {
 		return err
 	}
 	if content == nil {
-		content = of.entry()
+		content = target.entry()
 	}
 	return f.put(ctx, key, content, present.LeaseID)
 }
 
-// put writes a key, whatever stands there.
+// put writes a key unconditionally.
 func (f *fleet) put(ctx context.Context, key string, value []byte, lease port.LeaseID) error {
 	change := port.Change{Key: key, Value: value, LeaseID: lease}
 	_, err := f.store.Commit(ctx, port.Transaction{Changes: []port.Change{change}})
 	return err
 }
 
-// startedShortlyBefore says that the machine's process was started within contactTime before then.
+// startedShortlyBefore reports whether a process of the named machine was started within contactTimeout before then.
 func (f *fleet) startedShortlyBefore(name string, then time.Time) bool {
-	return slices.ContainsFunc(f.machines, func(each *machine) bool { return each.name == name && each.startedWithin(contactTime, then) })
+	return slices.ContainsFunc(f.machines, func(candidate *machine) bool {
+		return candidate.name == name && candidate.startedWithin(contactTimeout, then)
+	})
 }
 
-// metrics writes the figures of each machine that answers beside its log.
-func (f *fleet) metrics() {
+// saveMetrics saves the metrics of every machine that responds to a file beside its log.
+func (f *fleet) saveMetrics() {
 	client := http.Client{Timeout: time.Second}
-	for _, each := range f.machines {
-		answer, err := client.Get("http://" + each.at(portMetrics).String() + node.MetricsPath)
+	for _, machine := range f.machines {
+		response, err := client.Get("http://" + machine.address(portMetrics).String() + node.MetricsPath)
 		if err != nil {
-			continue // A machine that is down has none.
+			continue // The machine is down.
 		}
-		file, err := os.Create(filepath.Join(f.folder, each.name+".metrics"))
+		file, err := os.Create(filepath.Join(f.folder, machine.name+".metrics"))
 		if err == nil {
-			_, err = file.ReadFrom(answer.Body)
+			_, err = file.ReadFrom(response.Body)
 			err = errors.Join(err, file.Close())
 		}
 		if err != nil {
-			fmt.Fprintln(os.Stderr, "figures of", each.name, "not kept:", err)
+			fmt.Fprintln(os.Stderr, "metrics of", machine.name, "not saved:", err)
 		}
-		// All was read, so that an error of the end is of no matter.
-		_ = answer.Body.Close()
+		// The body has been read, so an error on closing it can be ignored.
+		_ = response.Body.Close()
 	}
 }
 
-// close ends all processes and stand-ins, once.
-func (f *fleet) close() { f.closing.Do(f.endAll) }
+// close ends all processes and simulated services; later calls do nothing.
+func (f *fleet) close() { f.closing.Do(f.shutDown) }
 
-func (f *fleet) endAll() {
+func (f *fleet) shutDown() {
 	f.cancel()
 	var wait sync.WaitGroup
-	for _, each := range f.machines {
-		wait.Go(each.kill)
+	for _, machine := range f.machines {
+		wait.Go(machine.kill)
 	}
 	wait.Wait()
-	for _, each := range f.living() {
-		each.crash()
+	for _, replica := range f.living() {
+		replica.crash()
 	}
 	f.background.Wait()
 	f.platform.Stop()
--- a/lab/roles/job.go
+++ b/lab/roles/job.go
@@ -18,104 +18,116 @@
 )
 
 const (
-	// submitWithin is how long a caller tries to hand a job in, pauseOfReads the time between its reads.
-	submitWithin = 20 * time.Second
-	pauseOfReads = 500 * time.Millisecond
-	callWithin   = 3 * time.Second
-	// itemsOfJob is the largest number of items of a job, eventsOfItem the most events of one, itemPadding makes a body as long as real ones.
-	itemsOfJob   = 14
-	eventsOfItem = 45
-	itemPadding  = 30 << 10
-	// failing500 and failing422 are the shares of items that fail so at each run, ending the share of jobs that are ended by their callers.
-	failing500 = 0.06
-	failing422 = 0.04
-	ending     = 0.1
+	// submitTimeout is how long a caller retries a job's submission; jobPollInterval is the delay between submissions and between reads of
+	// results; callTimeout is the timeout of each call.
+	submitTimeout   = 20 * time.Second
+	jobPollInterval = 500 * time.Millisecond
+	callTimeout     = 3 * time.Second
+	// maxItemsPerJob is the maximum number of items of a job, defaultMaxItemEvents the default maximum number of events of an item, and itemPaddingBytes
+	// the number of bytes that make an item's body as long as real ones.
+	maxItemsPerJob       = 14
+	defaultMaxItemEvents = 45
+	itemPaddingBytes     = 30 << 10
+	// share500 and share422 are the shares of items that fail with that status in every run; cancelShare is the share of jobs that their
+	// callers cancel.
+	share500    = 0.06
+	share422    = 0.04
+	cancelShare = 0.1
 )
 
-// item is one item as its caller knows it.
+// item is one item of a batch job.
 type item struct {
 	id   string
 	work work
 }
 
-// job is one batch job as its caller knows it.
+// job is one batch job and what its caller saw of it.
 type job struct {
 	id    string
 	items []item
-	// accepted says that a 202 came, refusedOnly that only refusals came.
+	// accepted is set after a 202; refusedOnly is set while every response was a refusal that guarantees that the job does not run.
 	accepted, refusedOnly bool
-	ended                 bool
-	// results are those read so far, in order; fault is what was wrong with them.
-	results []wire.JobResult
-	fault   string
+	// cancelled is set once the caller has sent a cancel.
+	cancelled bool
+	// results are the results read so far, in order; fault describes what was wrong with them.
+	results   []wire.JobResult
+	violation string
 }
 
-func (j *job) done() bool { return j.ended || len(j.unlisted()) == 0 }
+func (j *job) done() bool { return j.cancelled || len(j.missingItems()) == 0 }
 
-// unlisted returns the items that are to be listed and are not: one that ends its replicas is kept from them, and is not given up before its route's retention.
-func (j *job) unlisted() []item {
+// missingItems returns the items whose results are still missing. Items that end their replicas are left out: they are quarantined and get no
+// result before the retention of their route is over.
+func (j *job) missingItems() []item {
 	listed := map[string]bool{}
 	for _, result := range j.results {
 		listed[result.ID] = true
 	}
-	return slices.DeleteFunc(slices.Clone(j.items), func(each item) bool { return listed[each.id] || each.work.EndsReplicaAt > 0 })
+	return slices.DeleteFunc(slices.Clone(j.items), func(candidate item) bool {
+		return listed[candidate.id] || candidate.work.EndsReplicaAt > 0
+	})
 }
 
-// newJob draws a job of items with up to mostEvents events, of which a share ends its replicas.
-func newJob(random *rand.Rand, mostEvents int, ends float64) *job {
-	made := &job{id: newID(random), refusedOnly: true}
-	for range 2 + random.IntN(itemsOfJob-1) {
-		each := item{id: newID(random), work: work{Events: 10 + random.IntN(mostEvents-9), Mark: newID(random), Padding: strings.Repeat("p", itemPadding)}}
+// newJob draws a job whose items have 10 to maxEvents events; endsReplicaShare is the share of items that end their replicas.
+func newJob(random *rand.Rand, maxEvents int, endsReplicaShare float64) *job {
+	created := &job{id: newID(random), refusedOnly: true}
+	for range 2 + random.IntN(maxItemsPerJob-1) {
+		next := item{
+			id:   newID(random),
+			work: work{Events: 10 + random.IntN(maxEvents-9), Mark: newID(random), Padding: strings.Repeat("p", itemPaddingBytes)},
+		}
 		switch drawn := random.Float64(); {
-		case drawn < failing500:
-			each.work.Fail = http.StatusInternalServerError
-		case drawn < failing500+failing422:
-			each.work.Fail = http.StatusUnprocessableEntity
-		case drawn > 1-ends:
-			each.work.EndsReplicaAt = 1 + random.IntN(each.work.Events)
+		case drawn < share500:
+			next.work.Fail = http.StatusInternalServerError
+		case drawn < share500+share422:
+			next.work.Fail = http.StatusUnprocessableEntity
+		case drawn > 1-endsReplicaShare:
+			next.work.EndsReplicaAt = 1 + random.IntN(next.work.Events)
 		}
-		made.items = append(made.items, each)
+		created.items = append(created.items, next)
 	}
-	return made
+	return created
 }
 
 func (j *job) body() []byte {
 	var body wire.JobBody
-	for _, each := range j.items {
-		body.Items = append(body.Items, wire.JobItem{ID: each.id, Path: itemsPath + each.id, Body: each.work.encode(), Tokens: int64(20 * each.work.Events)})
+	for _, item := range j.items {
+		body.Items = append(body.Items, wire.JobItem{
+			ID: item.id, Path: itemsPath + item.id, Body: item.work.encode(), Tokens: int64(20 * item.work.Events),
+		})
 	}
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic("encode a job: " + err.Error())
+		panic("encode job: " + err.Error())
 	}
 	return encoded
 }
 
-// submit hands a job in, reads its results until ctx ends, and ends some.
+// submit submits a random job and reads its results until it is done or ctx ends; it cancels a share of the jobs.
 func (c *callers) submit(ctx context.Context) {
 	submitted := draw(c, func(random *rand.Rand) *job {
-		return newJob(random, cmp.Or(c.fleet.options.ItemEvents, eventsOfItem), c.fleet.options.EndingItems)
+		return newJob(random, cmp.Or(c.fleet.options.ItemEvents, defaultMaxItemEvents), c.fleet.options.EndingItems)
 	})
-	ends := draw(c, func(random *rand.Rand) bool { return random.Float64() < ending })
-	c.note(func() { c.jobs = append(c.jobs, submitted) })
+	cancels := draw(c, func(random *rand.Rand) bool { return random.Float64() < cancelShare })
+	c.update(func() { c.jobs = append(c.jobs, submitted) })
 	body := submitted.body()
-	for began := time.Now(); ctx.Err() == nil && !submitted.accepted && time.Since(began) < submitWithin; {
+	for began := time.Now(); ctx.Err() == nil && !submitted.accepted && time.Since(began) < submitTimeout; {
 		status, _, err := c.call(ctx, http.MethodPost, pathJobs+submitted.id, submitted.id, body)
 		switch {
 		case err == nil && status == http.StatusAccepted:
 			submitted.accepted, submitted.refusedOnly = true, false
-		case err != nil || !promises(status):
+		case err != nil || !guaranteesNotRun(status):
 			submitted.refusedOnly = false
 		}
 		if !submitted.accepted {
-			pause.Sleep(ctx, pauseOfReads)
+			pause.Sleep(ctx, jobPollInterval)
 		}
 	}
 	for reads := 0; ctx.Err() == nil && submitted.accepted && !submitted.done(); reads++ {
-		pause.Sleep(ctx, pauseOfReads)
-		if ends && reads == 2 {
-			// An end whose answer was lost may have been done all the same: nothing more has to be listed once it was sent.
-			submitted.ended = true
+		pause.Sleep(ctx, jobPollInterval)
+		if cancels && reads == 2 {
+			// A cancel may take effect even if its response is lost, so no further results are expected once it was sent.
+			submitted.cancelled = true
 			_, _, _ = c.call(ctx, http.MethodDelete, wire.PathLots+submitted.id, submitted.id, nil)
 			continue
 		}
@@ -123,70 +135,70 @@
 	}
 }
 
-// read reads a job's results from a position on and checks those that were read before.
-func (c *callers) read(ctx context.Context, of *job, since int) {
-	status, content, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s%s?%s=%d", wire.PathLots, of.id, wire.QueryFrom, since), of.id, nil)
+// read reads a job's results from position since on and checks that results read before are unchanged.
+func (c *callers) read(ctx context.Context, target *job, since int) {
+	status, content, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s%s?%s=%d", wire.PathLots, target.id, wire.QueryFrom, since), target.id, nil)
 	if err != nil || status != http.StatusOK {
 		return
 	}
 	var answer wire.JobResults
 	if err := json.Unmarshal(content, &answer); err != nil {
-		of.fault = "results cannot be decoded: " + err.Error()
+		target.violation = "results cannot be decoded: " + err.Error()
 		return
 	}
-	if int(answer.Total) != len(of.items) {
-		of.fault = fmt.Sprintf("total is %d of %d", answer.Total, len(of.items))
+	if int(answer.Total) != len(target.items) {
+		target.violation = fmt.Sprintf("total is %d of %d", answer.Total, len(target.items))
 	}
-	for index, each := range answer.Results {
+	for index, result := range answer.Results {
 		position := since + index
-		if position < len(of.results) {
-			if of.results[position] != each {
-				of.fault = fmt.Sprintf("position %d holds another result than before", position)
+		if position < len(target.results) {
+			if target.results[position] != result {
+				target.violation = fmt.Sprintf("position %d holds another result than before", position)
 			}
 			continue
 		}
-		of.results = append(of.results, each)
+		target.results = append(target.results, result)
 	}
 }
 
-// call makes one call about a job on a connection of its own, at an edge that is drawn.
+// call sends one request about a job to a random edge on a new connection.
 func (c *callers) call(ctx context.Context, method, path, id string, body []byte) (status int, content []byte, err error) {
 	edge := draw(c, c.fleet.ready.pick)
-	bounded, cancel := context.WithTimeout(ctx, callWithin)
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, method, "http://"+edge.at(portCallers).String()+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(bounded, method, "http://"+edge.address(portCallers).String()+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	request.Host = hostJobs
 	request.Header.Set(wire.Headers.RequestID, id)
-	answer, err := c.fresh.Do(request)
+	response, err := c.fresh.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer answer.Body.Close()
-	content, err = io.ReadAll(answer.Body)
-	return answer.StatusCode, content, err
+	defer response.Body.Close()
+	content, err = io.ReadAll(response.Body)
+	return response.StatusCode, content, err
 }
 
-// finishJobs reads all accepted jobs until they are done or ctx ends, then each once more from its start.
+// finishJobs reads the results of all accepted jobs until they are done or ctx ends, then reads each job once more from its first result.
 func (c *callers) finishJobs(ctx context.Context) {
 	for ctx.Err() == nil {
 		open := false
-		for _, each := range c.jobs {
-			if each.accepted && !each.done() {
-				c.read(ctx, each, len(each.results))
+		for _, job := range c.jobs {
+			if job.accepted && !job.done() {
+				c.read(ctx, job, len(job.results))
 				open = true
 			}
 		}
 		if !open {
 			break
 		}
-		pause.Sleep(ctx, pauseOfReads/2)
+		pause.Sleep(ctx, jobPollInterval/2)
 	}
-	for _, each := range c.jobs {
-		if each.accepted && ctx.Err() == nil {
-			c.read(ctx, each, 0)
+	for _, job := range c.jobs {
+		if job.accepted && ctx.Err() == nil {
+			c.read(ctx, job, 0)
 		}
 	}
 }
--- a/lab/roles/machine.go
+++ b/lab/roles/machine.go
@@ -16,7 +16,7 @@
 	"github.com/sloelift/sloelift/lab/process"
 )
 
-// Ports of a machine; they are alike on all.
+// Ports of a machine, the same on every machine.
 const (
 	portCallers   = 8161
 	portReadiness = 8162
@@ -25,13 +25,13 @@
 	portMetrics   = 7735
 )
 
-// Classes of machines, as the settings name them.
+// Classes of machines, with the values that the settings use.
 const (
 	classEdge    = "edge"
 	classStorage = "storage"
 )
 
-// machine is a place with one process of the program.
+// machine has an address of its own and runs at most one process of the program.
 type machine struct {
 	name, class, zone string
 	ip                netip.Addr
@@ -41,25 +41,27 @@
 	// dataFolder is empty on edges.
 	dataFolder string
 
-	// changing is held while the process is started or ended, so that faults that overlap follow each other and never meet on a port.
-	changing sync.Mutex
-	// mutex guards the process; it is nil while the machine is down. It is taken after changing.
-	mutex   sync.Mutex
+	// lifecycle is held while the process is started or ended, so that overlapping faults are serialized and two processes never compete
+	// for a port.
+	lifecycle sync.Mutex
+	// mutex guards program, running and startTimes. Lock order: lifecycle before mutex.
+	mutex sync.Mutex
+	// running is nil while the machine is down.
 	running *process.Process
-	// starts are when processes were started.
-	starts []time.Time
-	// killedAfterGrace counts the planned stops that took longer than the platform's grace.
+	// startTimes are the times at which processes were started.
+	startTimes []time.Time
+	// killedAfterGrace counts the planned stops that exceeded the platform's grace period.
 	killedAfterGrace atomic.Int32
-	// writeSettings is called before each start, since the settings may differ by then.
+	// writeSettings is called before each start, since the settings may have changed since the last one.
 	writeSettings func() error
 }
 
-func (m *machine) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
+func (m *machine) address(port uint16) netip.AddrPort { return netip.AddrPortFrom(m.ip, port) }
 
-// start starts the process unless it runs.
+// start starts the process unless it is running.
 func (m *machine) start() error {
-	m.changing.Lock()
-	defer m.changing.Unlock()
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running != nil {
@@ -73,28 +75,29 @@
 		return fmt.Errorf("start %s: %w", m.name, err)
 	}
 	m.running = started
-	m.starts = append(m.starts, time.Now())
+	m.startTimes = append(m.startTimes, time.Now())
 	return nil
 }
 
-// startedWithin says that a process was started within span before then.
+// startedWithin reports whether a process was started within span before then.
 func (m *machine) startedWithin(span time.Duration, then time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return slices.ContainsFunc(m.starts, func(at time.Time) bool { return at.Before(then) && then.Sub(at) < span })
+	return slices.ContainsFunc(m.startTimes, func(at time.Time) bool { return at.Before(then) && then.Sub(at) < span })
 }
 
 // String returns the machine's name.
 func (m *machine) String() string { return m.name }
 
-// upgrade has the next start run another program.
+// upgrade sets the program for the next start.
 func (m *machine) upgrade(program string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.program = program
 }
 
-func (m *machine) take() *process.Process {
+// detach marks the machine as down and returns its process, nil if there is none.
+func (m *machine) detach() *process.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	taken := m.running
@@ -102,35 +105,35 @@
 	return taken
 }
 
-// kill ends the process without a word.
+// kill ends the process with SIGKILL.
 func (m *machine) kill() {
-	m.changing.Lock()
-	defer m.changing.Unlock()
-	m.killHeld()
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	m.killLocked()
 }
 
-// killHeld is kill for those who hold changing.
-func (m *machine) killHeld() {
-	if taken := m.take(); taken != nil {
-		taken.Kill()
+// killLocked is kill for callers that hold lifecycle.
+func (m *machine) killLocked() {
+	if detached := m.detach(); detached != nil {
+		detached.Kill()
 	}
 }
 
-// stop is the planned stop, with the platform's grace.
+// stop is a planned stop: SIGTERM, then SIGKILL after the platform's grace period.
 func (m *machine) stop(ctx context.Context) error {
-	m.changing.Lock()
-	defer m.changing.Unlock()
-	taken := m.take()
-	if taken == nil {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	detached := m.detach()
+	if detached == nil {
 		return nil
 	}
-	bounded, cancel := context.WithTimeout(ctx, grace)
+	bounded, cancel := context.WithTimeout(ctx, gracePeriod)
 	defer cancel()
-	// A fault that holds the process back no longer finds it here to let it go on.
-	taken.Pause(false)
-	err := taken.Stop(bounded)
+	// A fault that has paused the process can no longer resume it, since the machine no longer refers to it.
+	detached.Pause(false)
+	err := detached.Stop(bounded)
 	if errors.Is(err, process.ErrKilled) && ctx.Err() == nil {
-		// The platform does the same to a process that needs longer than its grace; on a busy machine it may.
+		// Not an error: the platform kills a process that exceeds its grace period as well, and on a busy machine a process may.
 		m.killedAfterGrace.Add(1)
 		return nil
 	}
@@ -145,8 +148,8 @@
 	}
 }
 
-// ownEnd says that the process ended though nobody here ended it.
-func (m *machine) ownEnd() bool {
+// exitedByItself reports whether the process exited without having been stopped or killed here.
+func (m *machine) exitedByItself() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running == nil {
@@ -162,16 +165,16 @@
 
 // loseDisk kills the process and empties the data folder.
 func (m *machine) loseDisk() error {
-	m.changing.Lock()
-	defer m.changing.Unlock()
-	m.killHeld()
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	m.killLocked()
 	if err := os.RemoveAll(m.dataFolder); err != nil {
 		return err
 	}
 	return os.MkdirAll(m.dataFolder, 0o755)
 }
 
-// throttle lets the process run for only a share of each period, until ctx ends, as a quota of processor time does.
+// throttle lets the process run for only a share of each period until ctx ends, like a CPU quota.
 func (m *machine) throttle(ctx context.Context, share float64) {
 	const period = 100 * time.Millisecond
 	running := time.Duration(share * float64(period))
@@ -184,13 +187,15 @@
 	}
 }
 
-// loopback returns the loopback address of a machine; deployments of different processes do not share one.
+// loopback returns the loopback address of a machine. It depends on the process id, so that deployments of different processes do not
+// share addresses.
 func loopback(number int) netip.Addr {
-	process := os.Getpid()
-	return netip.AddrFrom4([4]byte{127, 64 + byte(process>>8&0x3f), byte(process), byte(number + 1)})
+	pid := os.Getpid()
+	return netip.AddrFrom4([4]byte{127, 64 + byte(pid>>8&0x3f), byte(pid), byte(number + 1)})
 }
 
-func (m *machine) paths(folder string) {
+// setPaths sets the machine's file paths below folder.
+func (m *machine) setPaths(folder string) {
 	m.settingsPath = filepath.Join(folder, m.name+".conf")
 	m.logPath = filepath.Join(folder, m.name+".log")
 	if m.class == classStorage {
--- a/lab/roles/readiness.go
+++ b/lab/roles/readiness.go
@@ -12,80 +12,82 @@
 )
 
 const (
-	// readyInterval is how often machines are asked; one that misses missesOut times takes no new connections until it answers again.
-	readyInterval = time.Second
-	missesOut     = 2
+	// probeInterval is the interval between readiness probes; an edge that fails maxMisses probes in a row gets no new connections until
+	// a probe succeeds.
+	probeInterval = time.Second
+	maxMisses     = 2
 )
 
-// readiness is the platform's view of which edges take connections.
+// readiness simulates the platform's load balancer: it probes the edges and selects those that get new connections.
 type readiness struct {
 	edges []*machine
 
-	// mutex guards misses, which starts at missesOut for each edge.
+	// mutex guards misses, the failed probes in a row, which starts at maxMisses for each edge.
 	mutex  sync.Mutex
 	misses map[*machine]int
 }
 
 func newReadiness(edges []*machine) *readiness {
-	made := &readiness{edges: edges, misses: map[*machine]int{}}
-	for _, each := range edges {
-		made.misses[each] = missesOut
+	created := &readiness{edges: edges, misses: map[*machine]int{}}
+	for _, edge := range edges {
+		created.misses[edge] = maxMisses
 	}
-	return made
+	return created
 }
 
-// follow asks all edges until ctx ends.
-func (r *readiness) follow(ctx context.Context) {
-	client := &http.Client{Timeout: readyInterval, Transport: &http.Transport{DisableKeepAlives: true}}
+// probe probes all edges until ctx ends.
+func (r *readiness) probe(ctx context.Context) {
+	client := &http.Client{Timeout: probeInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		var wait sync.WaitGroup
-		for _, each := range r.edges {
+		for _, edge := range r.edges {
 			wait.Go(func() {
-				answer, err := client.Get("http://" + each.at(portReadiness).String() + wire.PathReady)
-				good := err == nil && answer.StatusCode == http.StatusOK
+				response, err := client.Get("http://" + edge.address(portReadiness).String() + wire.PathReady)
+				ready := err == nil && response.StatusCode == http.StatusOK
 				if err == nil {
-					// Nothing more is read of it, so that an error of the end is of no matter.
-					_ = answer.Body.Close()
+					// The body is not read, so an error on closing it can be ignored.
+					_ = response.Body.Close()
 				}
-				r.note(each, good)
+				r.noteProbe(edge, ready)
 			})
 		}
-		pause.Sleep(ctx, readyInterval)
+		pause.Sleep(ctx, probeInterval)
 		wait.Wait()
 	}
 }
 
-func (r *readiness) note(of *machine, good bool) {
+func (r *readiness) noteProbe(edge *machine, ready bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if good {
-		r.misses[of] = 0
+	if ready {
+		r.misses[edge] = 0
 	} else {
-		r.misses[of]++
+		r.misses[edge]++
 	}
 }
 
-// in returns the edges that take connections, all where none does.
-func (r *readiness) in() []*machine {
+// inService returns the edges that get new connections, or all edges if none is ready.
+func (r *readiness) inService() []*machine {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var taking []*machine
-	for _, each := range r.edges {
-		if r.misses[each] < missesOut {
-			taking = append(taking, each)
+	var serving []*machine
+	for _, edge := range r.edges {
+		if r.misses[edge] < maxMisses {
+			serving = append(serving, edge)
 		}
 	}
-	if len(taking) == 0 {
+	if len(serving) == 0 {
 		return r.edges
 	}
-	return taking
+	return serving
 }
 
-func (r *readiness) all() bool {
+// allReady reports whether the last probe of every edge succeeded.
+func (r *readiness) allReady() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, each := range r.edges {
-		if r.misses[each] > 0 {
+	for _, edge := range r.edges {
+		if r.misses[edge] > 0 {
 			return false
 		}
 	}
@@ -94,6 +96,6 @@
 
 // pick returns an edge for a new connection.
 func (r *readiness) pick(random *rand.Rand) *machine {
-	taking := r.in()
-	return taking[random.IntN(len(taking))]
+	serving := r.inService()
+	return serving[random.IntN(len(serving))]
 }
--- a/lab/roles/record.go
+++ b/lab/roles/record.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// sentRun is one request or item as a replica got it.
+// sentRun is one request or item that a replica received.
 type sentRun struct {
-	replica *replica
-	at      time.Time
-	// deadlineMillis is what the send allowed; 0 where it named none.
+	replica   *replica
+	arrivedAt time.Time
+	// deadlineMillis is the deadline header's value, 0 if there was none.
 	deadlineMillis int64
 	lastEvent      string
-	// began says that the replica worked on it, status is what it answered, 0 where no answer was written.
-	began  bool
-	status int
+	// started is set once the replica has started to work on it; status is the response's status, 0 if none was written.
+	started bool
+	status  int
 }
 
-// record is what the replicas saw, by request id. It is safe for concurrent use.
+// record holds the runs that replicas received, by request id. It is safe for concurrent use.
 type record struct {
 	mutex sync.Mutex
 	runs  map[string][]*sentRun
@@ -32,20 +32,20 @@
 	r.runs[id] = append(r.runs[id], run)
 }
 
-func (r *record) note(change func()) {
+func (r *record) update(change func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change()
 }
 
-// of returns copies of the runs of a request in the order of their arrival.
-func (r *record) of(id string) []sentRun {
+// runsOf returns copies of the runs of a request, ordered by arrival.
+func (r *record) runsOf(id string) []sentRun {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var copied []sentRun
-	for _, each := range r.runs[id] {
-		copied = append(copied, *each)
+	for _, run := range r.runs[id] {
+		copied = append(copied, *run)
 	}
-	slices.SortStableFunc(copied, func(one, other sentRun) int { return one.at.Compare(other.at) })
+	slices.SortStableFunc(copied, func(a, b sentRun) int { return a.arrivedAt.Compare(b.arrivedAt) })
 	return copied
 }
--- a/lab/roles/replica.go
+++ b/lab/roles/replica.go
@@ -17,131 +17,136 @@
 )
 
 const (
-	// promptTime is what a replica needs for a prompt, eventTime for an event, where it is empty; each run beside it adds a share.
+	// promptTime and eventTime are the times that an idle replica takes for a prompt and for an event; concurrent runs add to them.
 	promptTime = 15 * time.Millisecond
 	eventTime  = 4 * time.Millisecond
-	// slots is how many requests a replica works on, queued how many more it takes.
-	slots  = 17
-	queued = 64
-	// maxWorkBytes bounds a body.
+	// slots is the number of requests that a replica runs at a time; queued is the number that may wait for a slot.
+	slots         = 17
+	queueCapacity = 64
+	// maxWorkBytes is the maximum size of a request body.
 	maxWorkBytes = 1 << 20
 )
 
-// manner is how a replica misbehaves at present. Shares are of its answers.
-type manner struct {
-	// loseAnswer runs the request and closes the connection without an answer, breakOff ends a stream within, fail answers 500.
+// misbehavior is how a replica misbehaves. The numbers are shares of its responses.
+type misbehavior struct {
+	// loseAnswer closes the connection after the run without a response, breakOff cuts a stream halfway, fail responds with 500.
 	loseAnswer, breakOff, fail float64
-	// hang holds all work back.
+	// hang blocks all requests.
 	hang bool
 }
 
-// replica is one life of a stand-in replica; a new life is a new replica, also at the same address.
+// replica is one incarnation of a simulated replica; a restart makes a new replica, even at the same address.
 type replica struct {
 	id, service, zone string
 	address           netip.AddrPort
-	// born is when this life started, in Unix milliseconds; lives of one id differ in it.
-	born   int64
-	record *record
+	// startedMillis is the start time in Unix milliseconds, which distinguishes the incarnations of one id.
+	startedMillis int64
+	record        *record
 
 	server *http.Server
-	// ended is closed when it crashes; endedAt is set before.
+	// ended is closed when the replica crashes, after endedAt has been set.
 	ended   chan struct{}
 	endedAt atomic.Pointer[time.Time]
-	// endedBy is the mark of the work that ended it; nil where none did.
+	// endedBy is the mark of the work that ended the replica, nil if it was not ended by work.
 	endedBy atomic.Pointer[string]
 	leaving atomic.Bool
-	places  chan struct{}
-	waiting atomic.Int32
-	serial  atomic.Int64
+	// occupied holds one element for each occupied slot.
+	occupied chan struct{}
+	waiting  atomic.Int32
+	// decisions counts the calls of occurs.
+	decisions atomic.Int64
 
-	// mutex guards present and thawed, which is closed when a hang ends.
-	mutex   sync.Mutex
-	present manner
-	thawed  chan struct{}
+	// mutex guards current and hangEnded; hangEnded is closed when a hang ends.
+	mutex     sync.Mutex
+	current   misbehavior
+	hangEnded chan struct{}
 }
 
-// startReplica listens at address, port 0 for any.
-func startReplica(id, service, zone, address string, seen *record) (*replica, error) {
+// startReplica starts a replica that listens at address; port 0 picks a free one.
+func startReplica(id, service, zone, address string, received *record) (*replica, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("replica %s: %w", id, err)
 	}
 	started := &replica{
-		id: id, service: service, zone: zone, address: listener.Addr().(*net.TCPAddr).AddrPort(), record: seen,
-		born: time.Now().UnixMilli(), ended: make(chan struct{}), places: make(chan struct{}, slots), thawed: make(chan struct{}),
+		id: id, service: service, zone: zone, address: listener.Addr().(*net.TCPAddr).AddrPort(), record: received,
+		startedMillis: time.Now().UnixMilli(), ended: make(chan struct{}), occupied: make(chan struct{}, slots), hangEnded: make(chan struct{}),
 	}
 	started.server = &http.Server{Handler: started, ReadHeaderTimeout: 10 * time.Second}
 	go func() {
-		// A crash closes the server, at which Serve ends.
+		// Serve returns when a crash closes the server.
 		_ = started.server.Serve(listener)
 	}()
 	return started, nil
 }
 
-// crash ends the replica: all its connections and runs.
+// crash ends the replica and closes all its connections.
 func (r *replica) crash() {
 	now := time.Now()
 	if !r.endedAt.CompareAndSwap(nil, &now) {
 		return
 	}
 	close(r.ended)
-	// Errors of closing connections that have ended are of no matter.
+	// Errors on closing connections can be ignored.
 	_ = r.server.Close()
 }
 
-// crashUnder is a crash by the work with that mark.
-func (r *replica) crashUnder(mark string) {
+// crashBecauseOf crashes the replica and records mark as the work that caused it.
+func (r *replica) crashBecauseOf(mark string) {
 	r.endedBy.CompareAndSwap(nil, &mark)
 	r.crash()
 }
 
-// lives says that the replica has not ended.
+// lives reports whether the replica has not ended.
 func (r *replica) lives() bool { return r.endedAt.Load() == nil }
 
-func (r *replica) behave(as manner) {
+func (r *replica) setMisbehavior(next misbehavior) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.present.hang && !as.hang {
-		close(r.thawed)
-		r.thawed = make(chan struct{})
+	if r.current.hang && !next.hang {
+		close(r.hangEnded)
+		r.hangEnded = make(chan struct{})
 	}
-	r.present = as
+	r.current = next
 }
 
-func (r *replica) manner() (manner, <-chan struct{}) {
+func (r *replica) misbehavior() (misbehavior, <-chan struct{}) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.present, r.thawed
+	return r.current, r.hangEnded
 }
 
-// chance decides by a count, so that a share is met also over few requests.
-func (r *replica) chance(share float64) bool {
+// occurs returns true for share of its calls. It counts calls instead of drawing random numbers, so that the share is met even over few
+// requests.
+func (r *replica) occurs(share float64) bool {
 	if share <= 0 {
 		return false
 	}
-	number := float64(r.serial.Add(1))
+	number := float64(r.decisions.Add(1))
 	return int64(number*share) != int64((number-1)*share)
 }
 
-// entry is what the replica says of itself in the store.
+// entry returns the replica's entry for the store.
 func (r *replica) entry() []byte {
 	state := wire.StateReady
 	if r.leaving.Load() {
 		state = wire.StateDraining
 	}
-	encoded, err := json.Marshal(wire.ReplicaEntry{Service: r.service, Address: r.address.String(), Zone: r.zone, Slots: slots, State: state, Born: r.born})
+	encoded, err := json.Marshal(wire.ReplicaEntry{
+		Service: r.service, Address: r.address.String(), Zone: r.zone, Slots: slots, State: state, Born: r.startedMillis,
+	})
 	if err != nil {
-		panic("encode an entry: " + err.Error())
+		panic("encode replica entry: " + err.Error())
 	}
 	return encoded
 }
 
-// ServeHTTP serves work, the report of the load and the question of health.
+// ServeHTTP runs work; GET requests, which are load reports and health checks, get the load report.
 func (r *replica) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if !r.awaitThaw(request.Context()) {
-		panic(http.ErrAbortHandler) // net/http's way to close the connection without an answer.
+	if !r.waitForHang(request.Context()) {
+		panic(http.ErrAbortHandler) // Closes the connection without a response.
 	}
-	writer.Header().Set(wire.Headers.Load, fmt.Sprintf("%d,%d,%d", len(r.places), r.waiting.Load(), slots))
+	writer.Header().Set(wire.Headers.Load, fmt.Sprintf("%d,%d,%d", len(r.occupied), r.waiting.Load(), slots))
 	if request.Method == http.MethodGet {
 		r.report(writer)
 		return
@@ -151,14 +156,14 @@
 
 func (r *replica) report(writer http.ResponseWriter) {
 	writer.Header().Set("X-Sloelift-Instance-Id", r.id)
-	// The caller has gone where this fails.
-	_ = json.NewEncoder(writer).Encode(wire.ReportEntry{Running: len(r.places), Queued: int(r.waiting.Load()), Born: r.born})
+	// An error means that the caller has disconnected.
+	_ = json.NewEncoder(writer).Encode(wire.ReportEntry{Running: len(r.occupied), Queued: int(r.waiting.Load()), Born: r.startedMillis})
 }
 
 func (r *replica) work(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get(wire.Headers.RequestID)
-	run := &sentRun{replica: r, at: time.Now(), lastEvent: request.Header.Get(wire.Headers.LastEventID)}
-	// A send without a deadline, or with one that is no number, names none.
+	run := &sentRun{replica: r, arrivedAt: time.Now(), lastEvent: request.Header.Get(wire.Headers.LastEventID)}
+	// A missing or invalid deadline counts as none.
 	run.deadlineMillis, _ = strconv.ParseInt(request.Header.Get(wire.Headers.Deadline), 10, 64)
 	writer.Header().Set(wire.Headers.RequestID, id)
 	writer.Header().Set(wire.Headers.Signature, r.id+"."+id)
@@ -166,13 +171,13 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	var asked work
-	if err := json.Unmarshal(body, &asked); err != nil {
-		r.refuse(writer, http.StatusBadRequest)
+	var payload work
+	if err := json.Unmarshal(body, &payload); err != nil {
+		r.reject(writer, http.StatusBadRequest)
 		return
 	}
 	if wanted := request.Header.Get(wire.Headers.ExpectInstance); wanted != "" && wanted != r.id {
-		r.refuse(writer, http.StatusMisdirectedRequest)
+		r.reject(writer, http.StatusMisdirectedRequest)
 		return
 	}
 	ctx, cancel := context.WithCancel(request.Context())
@@ -182,30 +187,30 @@
 		defer cancel()
 	}
 	r.record.add(id, run)
-	if !r.takePlace(ctx) {
-		r.finish(run, http.StatusServiceUnavailable)
-		r.refuse(writer, http.StatusServiceUnavailable)
+	if !r.acquireSlot(ctx) {
+		r.recordStatus(run, http.StatusServiceUnavailable)
+		r.reject(writer, http.StatusServiceUnavailable)
 		return
 	}
-	defer func() { <-r.places }()
-	r.record.note(func() { run.began = true })
-	r.run(ctx, writer, request, run, asked)
+	defer func() { <-r.occupied }()
+	r.record.update(func() { run.started = true })
+	r.run(ctx, writer, request, run, payload)
 }
 
-// takePlace waits for a place among those that run; false where the queue is full or the time is over.
-func (r *replica) takePlace(ctx context.Context) bool {
+// acquireSlot waits for a free slot. It returns false if the queue is full, ctx ends or the replica ends.
+func (r *replica) acquireSlot(ctx context.Context) bool {
 	select {
-	case r.places <- struct{}{}:
+	case r.occupied <- struct{}{}:
 		return true
 	default:
 	}
-	if r.waiting.Add(1) > queued {
+	if r.waiting.Add(1) > queueCapacity {
 		r.waiting.Add(-1)
 		return false
 	}
 	defer r.waiting.Add(-1)
 	select {
-	case r.places <- struct{}{}:
+	case r.occupied <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -214,92 +219,93 @@
 	}
 }
 
-func (r *replica) refuse(writer http.ResponseWriter, status int) {
+func (r *replica) reject(writer http.ResponseWriter, status int) {
 	writer.Header().Set(wire.Headers.NotRun, "1")
 	writer.WriteHeader(status)
 }
 
-func (r *replica) finish(run *sentRun, status int) {
-	r.record.note(func() { run.status = status })
+func (r *replica) recordStatus(run *sentRun, status int) {
+	r.record.update(func() { run.status = status })
 }
 
-// run does the work. A run whose caller left, whose time is over or whose replica ended is broken off.
-func (r *replica) run(ctx context.Context, writer http.ResponseWriter, request *http.Request, run *sentRun, asked work) {
-	if !r.pass(ctx, promptTime) {
-		r.breakOff(ctx, writer, run, false)
+// run does the work. It aborts if the caller disconnects, the deadline expires or the replica ends.
+func (r *replica) run(ctx context.Context, writer http.ResponseWriter, request *http.Request, run *sentRun, payload work) {
+	if !r.simulateWork(ctx, promptTime) {
+		r.abort(ctx, writer, run, false)
 		return
 	}
-	as, _ := r.manner()
-	failing := asked.Fail
-	if failing == 0 && r.chance(as.fail) {
+	current, _ := r.misbehavior()
+	failing := payload.Fail
+	if failing == 0 && r.occurs(current.fail) {
 		failing = http.StatusInternalServerError
 	}
 	switch {
 	case failing != 0:
-		r.finish(run, failing)
+		r.recordStatus(run, failing)
 		writer.WriteHeader(failing)
-	case r.chance(as.loseAnswer):
-		r.breakOff(ctx, writer, run, false)
+	case r.occurs(current.loseAnswer):
+		r.abort(ctx, writer, run, false)
 	case request.Header.Get("Accept") == acceptWhole:
-		r.answerWhole(ctx, writer, run, asked)
+		r.answerWhole(ctx, writer, run, payload)
 	default:
-		r.answerStream(ctx, writer, run, asked, r.chance(as.breakOff))
+		r.answerStream(ctx, writer, run, payload, r.occurs(current.breakOff))
 	}
 }
 
-// answerWhole answers with all that was asked for at once.
-func (r *replica) answerWhole(ctx context.Context, writer http.ResponseWriter, run *sentRun, asked work) {
-	if !r.pass(ctx, time.Duration(asked.Events)*eventTime) {
-		r.breakOff(ctx, writer, run, false)
+// answerWhole sends the whole text as one response.
+func (r *replica) answerWhole(ctx context.Context, writer http.ResponseWriter, run *sentRun, payload work) {
+	if !r.simulateWork(ctx, time.Duration(payload.Events)*eventTime) {
+		r.abort(ctx, writer, run, false)
 		return
 	}
-	r.finish(run, http.StatusOK)
-	// The caller has gone where this fails.
-	_, _ = io.WriteString(writer, asked.text())
+	r.recordStatus(run, http.StatusOK)
+	// An error means that the caller has disconnected.
+	_, _ = io.WriteString(writer, payload.text())
 }
 
-// answerStream answers with the events behind the last one that the request names; with breaksOff it ends halfway.
-func (r *replica) answerStream(ctx context.Context, writer http.ResponseWriter, run *sentRun, asked work, breaksOff bool) {
+// answerStream streams the events after the request's last event id; with truncate it cuts the stream halfway.
+func (r *replica) answerStream(ctx context.Context, writer http.ResponseWriter, run *sentRun, payload work, truncate bool) {
 	first := 1
 	if after, err := strconv.Atoi(run.lastEvent); err == nil {
 		first = after + 1
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(writer)
-	for number := first; number <= asked.Events; number++ {
-		if asked.EndsReplicaAt > 0 && number >= asked.EndsReplicaAt {
-			r.crashUnder(asked.Mark)
+	for number := first; number <= payload.Events; number++ {
+		if payload.EndsReplicaAt > 0 && number >= payload.EndsReplicaAt {
+			r.crashBecauseOf(payload.Mark)
 		}
-		if !r.pass(ctx, eventTime) || breaksOff && number > (first+asked.Events)/2 {
-			r.breakOff(ctx, writer, run, number > first)
+		if !r.simulateWork(ctx, eventTime) || truncate && number > (first+payload.Events)/2 {
+			r.abort(ctx, writer, run, number > first)
 			return
 		}
-		if _, err := fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, asked.event(number)); err != nil || flusher.Flush() != nil {
-			r.breakOff(ctx, writer, run, true)
+		if _, err := fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, payload.event(number)); err != nil || flusher.Flush() != nil {
+			r.abort(ctx, writer, run, true)
 			return
 		}
 	}
-	r.finish(run, http.StatusOK)
+	r.recordStatus(run, http.StatusOK)
 }
 
-// breakOff ends a run without the end of its answer; one whose time is over and that has sent nothing is answered 504.
-func (r *replica) breakOff(ctx context.Context, writer http.ResponseWriter, run *sentRun, headSent bool) {
+// abort aborts a run by closing the connection. If the deadline has expired and nothing was sent, it responds with 504 instead.
+func (r *replica) abort(ctx context.Context, writer http.ResponseWriter, run *sentRun, headSent bool) {
 	if ctx.Err() == context.DeadlineExceeded && !headSent {
-		r.finish(run, http.StatusGatewayTimeout)
+		r.recordStatus(run, http.StatusGatewayTimeout)
 		writer.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
-	panic(http.ErrAbortHandler) // net/http's way to close the connection within an answer.
+	panic(http.ErrAbortHandler) // Closes the connection before the end of the response.
 }
 
-// pass lets the time of some work go by, longer with more runs beside it; false where the run is to end.
-func (r *replica) pass(ctx context.Context, alone time.Duration) bool {
-	share := 1 + float64(len(r.places))/slots
-	timer := time.NewTimer(time.Duration(float64(alone) * share))
+// simulateWork waits for the duration of some work, which is idleDuration on an idle replica and up to twice that with all slots in use.
+// It returns false if the run has to end.
+func (r *replica) simulateWork(ctx context.Context, idleDuration time.Duration) bool {
+	slowdown := 1 + float64(len(r.occupied))/slots
+	timer := time.NewTimer(time.Duration(float64(idleDuration) * slowdown))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return r.awaitThaw(ctx)
+		return r.waitForHang(ctx)
 	case <-ctx.Done():
 		return false
 	case <-r.ended:
@@ -307,15 +313,15 @@
 	}
 }
 
-// awaitThaw waits while the replica hangs; false where the caller left or the replica ended.
-func (r *replica) awaitThaw(ctx context.Context) bool {
+// waitForHang waits while the replica hangs. It returns false if ctx ends or the replica has ended.
+func (r *replica) waitForHang(ctx context.Context) bool {
 	for {
-		as, thawed := r.manner()
-		if !as.hang {
+		current, hangEnded := r.misbehavior()
+		if !current.hang {
 			return r.lives() && ctx.Err() == nil
 		}
 		select {
-		case <-thawed:
+		case <-hangEnded:
 		case <-ctx.Done():
 			return false
 		case <-r.ended:
--- a/lab/roles/run.go
+++ b/lab/roles/run.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	// finishWithin bounds the wait for accepted jobs after the callers and the faults have ended. It is a bound against waiting for ever, far
-	// beyond what a busy machine needs.
-	finishWithin = 4 * time.Minute
+	// finishTimeout is the timeout for accepted jobs after the callers and the faults have ended, far more than a busy machine needs.
+	finishTimeout = 4 * time.Minute
 )
 
 // Options of a soak.
 type Options struct {
-	// Program is the path of the program, Template that of its settings' template, Busy a command that keeps a core busy; without one no
-	// machine is made busy.
+	// Program is the path of the program and Template the path of its settings template. Busy is a command that keeps a core busy; if it
+	// is empty, the busy-machine fault does nothing.
 	Program  string
 	Template string
 	Busy     []string
-	// Seed is the first of Runs seeds; with each, callers come for Each.
+	// Seed is the first of Runs consecutive seeds; Each is how long callers send requests in each run.
 	Seed uint64
 	Runs int
 	Each time.Duration
 	// Zones, Edges, Stores and Replicas are the sizes of the deployment.
 	Zones, Edges, Stores, Replicas int
-	// OnlinePerSecond and JobsPerSecond are what callers bring.
+	// OnlinePerSecond and JobsPerSecond are the mean arrival rates of online requests and jobs.
 	OnlinePerSecond, JobsPerSecond float64
-	// ItemEvents is the most events of an item, 0 for eventsOfItem; EndingItems is the share of items that end each replica on which they run.
+	// ItemEvents is the maximum number of events of an item, 0 for defaultMaxItemEvents; EndingItems is the share of items that end every replica
+	// that runs them.
 	ItemEvents  int
 	EndingItems float64
-	// CrashingRequests is the number of online requests that crash each replica on which they run and come again and again.
+	// CrashingRequests is the number of online requests that crash every replica that runs them; callers send them repeatedly.
 	CrashingRequests int
-	// Before is the path of another build that runs on all machines at first; they are replaced in turn by Program while callers come. Empty for none.
+	// Before is the path of another build that all machines start with; they are upgraded to Program one by one during the run. Empty
+	// means no upgrade.
 	Before string
-	// Only are the names of the kinds of faults to draw from; none for all.
+	// Only names the kinds of faults to draw from; empty means all default kinds.
 	Only []string
-	// Keep keeps the logs of all runs, not only of those that broke.
+	// Keep keeps the logs of all runs, not only those of failed ones.
 	Keep bool
 }
 
-// Check returns why the options cannot be played.
+// Check validates the options.
 func (o Options) Check() error {
 	switch {
 	case o.Zones < 1 || o.Edges < 1 || o.Stores < 1 || o.Replicas < 1 || o.Runs < 1:
-		return fmt.Errorf("wants at least one zone, edge, storage node, replica and run")
+		return fmt.Errorf("at least one zone, edge, storage node, replica and run are required")
 	case o.ItemEvents != 0 && o.ItemEvents < 10:
-		return fmt.Errorf("wants items of at least 10 events")
+		return fmt.Errorf("items must have at least 10 events")
 	case o.Edges+o.Stores > maxMachines:
-		return fmt.Errorf("wants at most %d machines, which have loopback addresses of their own", maxMachines)
+		return fmt.Errorf("at most %d machines are possible, one for each loopback address", maxMachines)
 	}
 	for _, program := range []string{o.Program, cmp.Or(o.Before, o.Program)} {
 		if _, err := os.Stat(program); err != nil {
@@ -63,12 +64,12 @@
 	return nil
 }
 
-// maxMachines have addresses that differ in their last byte.
+// maxMachines is the maximum number of machines, whose addresses differ in the last byte only.
 const maxMachines = 250
 
 func (o Options) zone(number int) string { return fmt.Sprintf("zone-%d", number%o.Zones+1) }
 
-// Report is what a soak found.
+// Report is the result of a soak.
 type Report struct {
 	Runs   int      `json:"runs"`
 	Broken int      `json:"broken"`
@@ -80,7 +81,7 @@
 func (r *Report) add(seed uint64, drawn []fault, found verdict) {
 	r.Runs++
 	r.Faults += len(drawn)
-	if len(found.broken) > 0 {
+	if len(found.violations) > 0 {
 		r.Broken++
 		r.Seeds = append(r.Seeds, seed)
 	}
@@ -101,13 +102,14 @@
 	sum.MostCrashed = max(sum.MostCrashed, run.MostCrashed)
 }
 
-// Run plays the seeds in turn and writes a line on each, what broke, and the folder with the logs of a run that broke.
+// Run plays the seeds one after the other. For each it writes a summary line to output, with the folder of the logs if they were kept, and
+// the violations found.
 func Run(ctx context.Context, options Options, output io.Writer) (Report, error) {
 	var report Report
 	if err := options.Check(); err != nil {
 		return report, err
 	}
-	kinds, err := kindsAmong(options.Only)
+	kinds, err := selectKinds(options.Only)
 	if err != nil {
 		return report, err
 	}
@@ -115,7 +117,7 @@
 	for number := range uint64(options.Runs) {
 		options.Seed = first + number
 		drawn := drawFaults(options.Seed, options.Each, kinds)
-		found, folder, err := play(ctx, options, drawn)
+		found, folder, err := playSeed(ctx, options, drawn)
 		if err != nil {
 			return report, fmt.Errorf("seed %d: %w", options.Seed, err)
 		}
@@ -130,8 +132,8 @@
 	return report, nil
 }
 
-// play plays one seed.
-func play(ctx context.Context, options Options, drawn []fault) (verdict, string, error) {
+// playSeed plays one seed and returns the verdict and the folder with its logs.
+func playSeed(ctx context.Context, options Options, drawn []fault) (verdict, string, error) {
 	folder, err := os.MkdirTemp("", fmt.Sprintf("sloelift-roles-%d-", options.Seed))
 	if err != nil {
 		return verdict{}, "", err
@@ -141,55 +143,55 @@
 		return verdict{}, folder, err
 	}
 	defer running.close()
-	asking := newCallers(running, options.Seed)
-	defer asking.close()
-	playing := &faults{fleet: running}
+	clients := newCallers(running, options.Seed)
+	defer clients.close()
+	faults := &injector{fleet: running}
 	loading, stopLoad := context.WithTimeout(ctx, options.Each)
 	defer stopLoad()
-	var all sync.WaitGroup
-	all.Go(func() { playing.play(ctx, drawn) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { faults.play(ctx, drawn) })
 	if options.Before != "" {
-		all.Go(func() { playing.upgradeInTurn(ctx, options.Each) })
+		tasks.Go(func() { faults.upgradeInTurn(ctx, options.Each) })
 	}
-	all.Go(func() { asking.every(loading, options.OnlinePerSecond, func() { asking.ask(ctx) }) })
-	all.Go(func() { asking.every(loading, options.JobsPerSecond, func() { asking.submit(loading) }) })
-	if len(asking.crashing) > 0 {
-		all.Go(func() { asking.every(loading, crashingPerSecond, func() { asking.askCrashing(ctx) }) })
+	tasks.Go(func() { clients.startAtRate(loading, options.OnlinePerSecond, func() { clients.sendOnline(ctx) }) })
+	tasks.Go(func() { clients.startAtRate(loading, options.JobsPerSecond, func() { clients.submit(loading) }) })
+	if len(clients.crashing) > 0 {
+		tasks.Go(func() { clients.startAtRate(loading, crashingPerSecond, func() { clients.sendCrashing(ctx) }) })
 	}
-	all.Wait()
-	finishing, stopFinish := context.WithTimeout(ctx, finishWithin)
+	tasks.Wait()
+	finishing, stopFinish := context.WithTimeout(ctx, finishTimeout)
 	defer stopFinish()
-	asking.finishJobs(finishing)
+	clients.finishJobs(finishing)
 	if ctx.Err() != nil {
-		// A run that was interrupted is not judged: its jobs had no time to end.
+		// An interrupted run is not judged, since its jobs had no time to finish.
 		return verdict{}, folder, ctx.Err()
 	}
-	found := judge(running.record, asking)
-	found.judgeEnds(running.replicasSoFar(), asking.crashingMarks())
-	found.judgeCrashing(asking, running.record, running.replicasSoFar(), running.startedShortlyBefore)
-	found.broken = append(found.broken, playing.failures...)
-	for _, each := range running.machines {
-		found.counts.KilledAfterGrace += int(each.killedAfterGrace.Load())
-		if each.ownEnd() {
-			found.breaks("the process of %s ended by itself", each.name)
+	result := judge(running.record, clients)
+	result.judgeEndedReplicas(running.allReplicas(), clients.crashingMarks())
+	result.judgeCrashing(clients, running.record, running.allReplicas(), running.startedShortlyBefore)
+	result.violations = append(result.violations, faults.failures...)
+	for _, machine := range running.machines {
+		result.counts.KilledAfterGrace += int(machine.killedAfterGrace.Load())
+		if machine.exitedByItself() {
+			result.addViolation("the process of %s ended by itself", machine.name)
 		}
 	}
-	if len(found.broken) > 0 || options.Keep {
-		running.metrics()
-		return found, folder, nil
+	if len(result.violations) > 0 || options.Keep {
+		running.saveMetrics()
+		return result, folder, nil
 	}
-	// Processes that still run write into the folder while it is removed.
+	// Running processes would write into the folder while it is removed.
 	running.close()
-	return found, folder, os.RemoveAll(folder)
+	return result, folder, os.RemoveAll(folder)
 }
 
 func printRun(output io.Writer, options Options, drawn []fault, found verdict, folder string) error {
 	var texts []string
-	for _, each := range drawn {
-		texts = append(texts, each.String())
+	for _, planned := range drawn {
+		texts = append(texts, planned.String())
 	}
 	state := "kept"
-	if len(found.broken) > 0 {
+	if len(found.violations) > 0 {
 		state = "BROKEN, logs in " + folder
 	} else if options.Keep {
 		state = "kept, logs in " + folder
@@ -198,7 +200,7 @@
 	_, err := fmt.Fprintf(output, "seed %d: %s; online %d of %d, items %d of %d; most replicas of a request %d, of an item: answers of 500 %d, of 422 %d, sends %d; replicas ended by one item %d, crashed by one request %d; %s\n",
 		options.Seed, state, counts.OnlineServed, counts.OnlineSent, counts.ItemsDone, counts.Items, counts.MostReplicas, counts.MostFailures, counts.MostRejections,
 		counts.MostSends, counts.MostEnded, counts.MostCrashed, strings.Join(texts, " "))
-	for _, broken := range found.broken {
+	for _, broken := range found.violations {
 		if err == nil {
 			_, err = fmt.Fprintln(output, "  ", broken)
 		}
--- a/lab/roles/run_test.go
+++ b/lab/roles/run_test.go
@@ -14,25 +14,25 @@
 
 const settingsTemplate = "../../deploy/settings.tmpl"
 
-// planned is a fleet of which nothing runs but the stand-in of the store.
-func planned(t *testing.T) *fleet {
+// newPlannedFleet returns a fleet of which only the platform stand-in runs.
+func newPlannedFleet(t *testing.T) *fleet {
 	t.Helper()
-	made := &fleet{options: Options{Zones: 3, Edges: 3, Stores: 3}, folder: t.TempDir()}
+	planned := &fleet{options: Options{Zones: 3, Edges: 3, Stores: 3}, folder: t.TempDir()}
 	template, err := readTemplate(settingsTemplate)
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.template = template
-	made.planMachines()
-	made.platform = labplatform.NewServer(labplatform.Options{Zones: made.callersOfStore()})
-	if err := made.platform.Start(); err != nil {
+	planned.template = template
+	planned.planMachines()
+	planned.platform = labplatform.NewServer(labplatform.Options{Zones: planned.storeZones()})
+	if err := planned.platform.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(made.platform.Stop)
-	return made
+	t.Cleanup(planned.platform.Stop)
+	return planned
 }
 
-// buildProgram builds what deploy/system.toml runs.
+// buildProgram builds the program that deploy/system.toml runs.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "sloelift")
@@ -42,8 +42,8 @@
 	return program
 }
 
-// playKept plays seeds on a deployment of three edges and three storage nodes; a promise that breaks fails the test.
-func playKept(t *testing.T, options Options) Report {
+// playWithoutViolations plays seeds on a deployment of three edges and three storage nodes and fails the test on any violation.
+func playWithoutViolations(t *testing.T, options Options) Report {
 	t.Helper()
 	options.Template, options.Zones, options.Edges, options.Stores = settingsTemplate, 3, 3, 3
 	var output bytes.Buffer
@@ -58,9 +58,9 @@
 	return report
 }
 
-// TestSeedsOfRealProcessesKeepTheirPromises plays the built program in both roles. What is checked are counts and contents, so that the
-// verdict does not depend on how fast the machine is. The seeds of the first set have partitions change their owners in series, which had
-// items that fail sent again beyond what is allowed; those of the second draw from all faults.
+// TestSeedsOfRealProcessesKeepTheirPromises plays the built program in both roles. Counts and contents are checked, not timings, so that
+// the verdict does not depend on the speed of the machine. The first set makes partitions change owners repeatedly, which once caused
+// failing items to be sent more often than allowed; the second set draws from all faults.
 func TestSeedsOfRealProcessesKeepTheirPromises(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays real processes for a minute")
@@ -72,7 +72,7 @@
 		runs int
 		only []string
 	}{{504, 2, ownersChange}, {100, 3, nil}} {
-		report := playKept(t, Options{
+		report := playWithoutViolations(t, Options{
 			Program: program, Seed: set.seed, Runs: set.runs, Each: 8 * time.Second, Only: set.only, Replicas: 5, OnlinePerSecond: 30, JobsPerSecond: 1,
 		})
 		if report.Counts.OnlineServed == 0 || report.Counts.ItemsDone == 0 || report.Counts.MostFailures == 0 {
@@ -81,7 +81,7 @@
 	}
 }
 
-// namesOf returns the names of kinds of faults, as options name them.
+// namesOf returns the names of fault kinds as used in options.
 func namesOf(kinds []faultKind) []string {
 	var names []string
 	for _, kind := range kinds {
@@ -90,59 +90,62 @@
 	return names
 }
 
-// playLongItems plays a seed with items that run for a second or more, so that one of them meets the end of its replica; endings is the share of items that end
-// each replica on which they run.
-func playLongItems(t *testing.T, seed uint64, only []faultKind, endings float64) {
+// playLongItems plays a seed with items that run for a second or more, so that some are running when their replica ends; endsReplicaShare is the
+// share of items that end every replica that runs them.
+func playLongItems(t *testing.T, seed uint64, only []faultKind, endsReplicaShare float64) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("plays real processes for half a minute")
 	}
-	report := playKept(t, Options{
-		Program: buildProgram(t), Seed: seed, Runs: 1, Each: 15 * time.Second, Only: namesOf(only), ItemEvents: 350, EndingItems: endings,
+	report := playWithoutViolations(t, Options{
+		Program: buildProgram(t), Seed: seed, Runs: 1, Each: 15 * time.Second, Only: namesOf(only), ItemEvents: 350, EndingItems: endsReplicaShare,
 		Replicas: 10, OnlinePerSecond: 40, JobsPerSecond: 2.5,
 	})
-	if report.Counts.ItemsDone == 0 || endings > 0 && report.Counts.MostEnded == 0 {
+	if report.Counts.ItemsDone == 0 || endsReplicaShare > 0 && report.Counts.MostEnded == 0 {
 		t.Errorf("nothing was shown: %+v", report.Counts)
 	}
 }
 
-// TestItemsOutliveReplicasThatCrashInSeries plays the built program beside replicas that crash some at a time, again and again. Before, items that met two or three of these
-// ends by chance were kept from all replicas: four of 309 were not listed four minutes later, each of which had come on with every run ("r-5 (ended) behind \"\"", then
-// "r-16 (ended) behind \"59\"").
+// TestItemsOutliveReplicasThatCrashInSeries plays the built program while groups of replicas crash repeatedly. It guards against
+// quarantining items that were running on two or three crashed replicas by chance although each run made progress ("r-5 (ended) behind
+// \"\"", then "r-16 (ended) behind \"59\""): 4 of 309 items then had no result four minutes later.
 func TestItemsOutliveReplicasThatCrashInSeries(t *testing.T) {
 	playLongItems(t, 8000, []faultKind{crashInTurn}, 0)
 }
 
-// TestItemsThatEndReplicasEndThreeBesideCrashes: of the items that do end their replicas, three replicas at most end by one, also where others crash.
+// TestItemsThatEndReplicasEndThreeBesideCrashes guards that an item that ends its replicas ends at most three, even while other replicas
+// crash.
 func TestItemsThatEndReplicasEndThreeBesideCrashes(t *testing.T) {
 	playLongItems(t, 8200, []faultKind{crashInTurn, crashReplica}, 0.02)
 }
 
-// TestItemsOutliveCrashesBesideOwnersThatChange: the same crashes while storage nodes are killed and frozen in turn. Before, three of 215 items were not listed.
+// TestItemsOutliveCrashesBesideOwnersThatChange repeats the crashes while storage nodes are killed and frozen one after the other. It
+// guards against the same wrong quarantine, which left 3 of 215 items without a result.
 func TestItemsOutliveCrashesBesideOwnersThatChange(t *testing.T) {
 	playLongItems(t, 8100, []faultKind{crashInTurn, freezeStores, killInTurn}, 0)
 }
 
-// playCrashingRequests plays a seed with online requests that crash each replica on which they run, and come again at any edge.
+// playCrashingRequests plays a seed with online requests that crash every replica that runs them and are sent repeatedly, at any edge.
 func playCrashingRequests(t *testing.T, seed uint64, only ...faultKind) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("plays real processes for half a minute")
 	}
-	report := playKept(t, Options{
-		Program: buildProgram(t), Seed: seed, Runs: 1, Each: 20 * time.Second, Only: namesOf(only), CrashingRequests: 2, Replicas: 10, OnlinePerSecond: 30, JobsPerSecond: 0.5,
+	report := playWithoutViolations(t, Options{
+		Program: buildProgram(t), Seed: seed, Runs: 1, Each: 20 * time.Second, Only: namesOf(only), CrashingRequests: 2,
+		Replicas: 10, OnlinePerSecond: 30, JobsPerSecond: 0.5,
 	})
 	if report.Counts.OnlineServed == 0 || report.Counts.MostCrashed == 0 {
 		t.Errorf("nothing was shown: %+v", report.Counts)
 	}
 }
 
-// TestRequestThatCrashesReplicasIsSentNoFurther plays the built program while single edges are killed and replicas crash.
+// TestRequestThatCrashesReplicasIsSentNoFurther plays the built program while single nodes are killed and other replicas crash.
 func TestRequestThatCrashesReplicasIsSentNoFurther(t *testing.T) {
 	playCrashingRequests(t, 9000, killNode, crashReplica)
 }
 
-// TestRequestThatCrashesReplicasIsSentNoFurtherAfterRestarts plays the built program while all processes are killed again and again.
+// TestRequestThatCrashesReplicasIsSentNoFurtherAfterRestarts plays the built program while all processes are killed repeatedly.
 func TestRequestThatCrashesReplicasIsSentNoFurtherAfterRestarts(t *testing.T) {
 	playCrashingRequests(t, 9100, killAll)
 }
@@ -165,31 +168,31 @@
 	}
 }
 
-// TestDrawnFaultsAreSound: a seed gives the same faults each time, each within its bounds, and all kinds are drawn.
+// TestDrawnFaultsAreSound guards that a seed always gives the same faults, all within their bounds, and that every kind is drawn.
 func TestDrawnFaultsAreSound(t *testing.T) {
 	const length = 20 * time.Second
 	seen := map[faultKind]bool{}
 	for seed := range uint64(300) {
-		drawn := drawFaults(seed, length, drawnKinds)
-		if !reflect.DeepEqual(drawn, drawFaults(seed, length, drawnKinds)) {
+		drawn := drawFaults(seed, length, defaultKinds)
+		if !reflect.DeepEqual(drawn, drawFaults(seed, length, defaultKinds)) {
 			t.Fatalf("seed %d gives two series", seed)
 		}
 		disks := 0
-		for _, each := range drawn {
-			seen[each.Kind] = true
-			kind := drawnKinds[slices.IndexFunc(drawnKinds, func(of drawnKind) bool { return of.kind == each.Kind })]
-			if each.At < 0 || each.At > length*3/4 || each.For < kind.shortest-10*time.Millisecond || each.For > kind.longest+10*time.Millisecond {
-				t.Errorf("seed %d: %s", seed, each)
+		for _, fault := range drawn {
+			seen[fault.Kind] = true
+			kind := defaultKinds[slices.IndexFunc(defaultKinds, func(candidate kindRange) bool { return candidate.kind == fault.Kind })]
+			if fault.Start < 0 || fault.Start > length*3/4 || fault.Duration < kind.shortest-10*time.Millisecond || fault.Duration > kind.longest+10*time.Millisecond {
+				t.Errorf("seed %d: %s", seed, fault)
 			}
-			if each.Kind == loseDisk {
+			if fault.Kind == loseDisk {
 				disks++
 			}
 		}
-		if disks > 1 || len(drawn) < leastDrawn || len(drawn) > mostDrawn {
+		if disks > 1 || len(drawn) < minFaults || len(drawn) > maxFaults {
 			t.Errorf("seed %d has %d faults, %d lost disks", seed, len(drawn), disks)
 		}
 	}
-	if len(seen) != len(drawnKinds) {
-		t.Errorf("%d of %d kinds are drawn", len(seen), len(drawnKinds))
+	if len(seen) != len(defaultKinds) {
+		t.Errorf("%d of %d kinds are drawn", len(seen), len(defaultKinds))
 	}
 }
--- a/lab/roles/template.go
+++ b/lab/roles/template.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// fillTemplate fills the gaps of a settings template as the platform does: {{a.b}} is a value, {{#a}} .. {{/a}} stands once for each entry of a
-// list or table or once for another value, {{^a}} .. {{/a}} stands where there is none. Within a section {{.}} is the entry, {{@}} its key or
-// number, and {{,}} a comma unless it is the last.
+// fillTemplate renders a settings template as the platform does. {{a.b}} is a value. {{#a}} .. {{/a}} is rendered once for each entry of a
+// list or table, or once for any other value; {{^a}} .. {{/a}} is rendered if there is no value. Within a section {{.}} is the entry, {{@}}
+// its key or index, and {{,}} a comma unless it is the last entry.
 func fillTemplate(template string, fields map[string]any) (string, error) {
 	parts, rest, err := parseTemplate(template, "")
 	if err == nil && rest != "" {
@@ -23,7 +23,7 @@
 	return filled.String(), nil
 }
 
-// templatePart is text, a value, or a section with its parts.
+// templatePart is plain text, a value, or a section with its parts.
 type templatePart struct {
 	text    string
 	name    string
@@ -32,20 +32,20 @@
 	inside  []templatePart
 }
 
-// parseTemplate reads parts up to the end of the section that is open, and returns what follows.
+// parseTemplate parses up to the end of the section named open, or of the template if open is empty, and returns the rest.
 func parseTemplate(template, open string) (parts []templatePart, rest string, err error) {
 	for {
 		text, tail, found := strings.Cut(template, "{{")
 		parts = append(parts, templatePart{text: text})
 		if !found {
 			if open != "" {
-				return nil, "", fmt.Errorf("section %q has no end", open)
+				return nil, "", fmt.Errorf("section %q is not closed", open)
 			}
 			return parts, "", nil
 		}
 		name, after, closed := strings.Cut(tail, "}}")
 		if !closed {
-			return nil, "", fmt.Errorf("gap %.20q has no end", tail)
+			return nil, "", fmt.Errorf("tag %.20q is not closed", tail)
 		}
 		template = after
 		switch {
@@ -66,7 +66,7 @@
 	}
 }
 
-// scope is where names are looked up: in the entry of the innermost section first.
+// scope resolves names, starting with the entry of the innermost section.
 type scope struct {
 	outer *scope
 	value any
@@ -75,15 +75,15 @@
 }
 
 func (s *scope) find(name string) any {
-	for at := s; at != nil; at = at.outer {
-		if found := fieldOf(at.value, name); found != nil {
+	for current := s; current != nil; current = current.outer {
+		if found := fieldOf(current.value, name); found != nil {
 			return found
 		}
 	}
 	return nil
 }
 
-// fieldOf follows a name such as a.b.0; nil where there is no such value.
+// fieldOf resolves a path such as a.b.0; it returns nil if there is no such value.
 func fieldOf(value any, name string) any {
 	for _, step := range strings.Split(name, ".") {
 		switch within := value.(type) {
@@ -102,38 +102,38 @@
 	return value
 }
 
-func writeParts(filled *strings.Builder, parts []templatePart, at *scope) {
+func writeParts(filled *strings.Builder, parts []templatePart, current *scope) {
 	for _, part := range parts {
 		switch {
 		case part.section:
-			writeSection(filled, part, at)
+			writeSection(filled, part, current)
 		case part.name == ".":
-			filled.WriteString(textOf(at.value))
+			filled.WriteString(textOf(current.value))
 		case part.name == "@":
-			filled.WriteString(at.key)
+			filled.WriteString(current.key)
 		case part.name == ",":
-			if !at.last {
+			if !current.last {
 				filled.WriteString(",")
 			}
 		case part.name != "":
-			filled.WriteString(textOf(at.find(part.name)))
+			filled.WriteString(textOf(current.find(part.name)))
 		default:
 			filled.WriteString(part.text)
 		}
 	}
 }
 
-func writeSection(filled *strings.Builder, part templatePart, at *scope) {
-	value := at.find(part.name)
+func writeSection(filled *strings.Builder, part templatePart, current *scope) {
+	value := current.find(part.name)
 	absent := value == nil || value == false || value == ""
 	switch {
 	case part.absent && absent:
-		writeParts(filled, part.inside, at)
+		writeParts(filled, part.inside, current)
 	case part.absent || absent:
 	default:
 		entries := entriesOf(value)
-		for index, each := range entries {
-			writeParts(filled, part.inside, &scope{outer: at, value: each.value, key: each.key, last: index == len(entries)-1})
+		for index, entry := range entries {
+			writeParts(filled, part.inside, &scope{outer: current, value: entry.value, key: entry.key, last: index == len(entries)-1})
 		}
 	}
 }
@@ -147,13 +147,13 @@
 	var entries []templateEntry
 	switch within := value.(type) {
 	case map[string]any:
-		for key, each := range within {
-			entries = append(entries, templateEntry{key, each})
+		for key, element := range within {
+			entries = append(entries, templateEntry{key, element})
 		}
-		slices.SortFunc(entries, func(one, other templateEntry) int { return strings.Compare(one.key, other.key) })
+		slices.SortFunc(entries, func(a, b templateEntry) int { return strings.Compare(a.key, b.key) })
 	case []string:
-		for number, each := range within {
-			entries = append(entries, templateEntry{fmt.Sprint(number), each})
+		for number, element := range within {
+			entries = append(entries, templateEntry{fmt.Sprint(number), element})
 		}
 	default:
 		entries = append(entries, templateEntry{value: value})
@@ -170,7 +170,7 @@
 	case map[string]any:
 		encoded, err := json.Marshal(plain)
 		if err != nil {
-			panic("encode a table of the settings: " + err.Error())
+			panic("encode settings table: " + err.Error())
 		}
 		return string(encoded)
 	default:
--- a/lab/roles/template_test.go
+++ b/lab/roles/template_test.go
@@ -28,26 +28,26 @@
 	}
 }
 
-// TestSettingsOfBothRolesAreRead: what the template makes of the soak's fields is what the program takes.
+// TestSettingsOfBothRolesAreRead guards that the program accepts the settings rendered for the soak.
 func TestSettingsOfBothRolesAreRead(t *testing.T) {
-	running := planned(t)
-	for _, each := range running.machines {
-		if err := each.writeSettings(); err != nil {
+	running := newPlannedFleet(t)
+	for _, machine := range running.machines {
+		if err := machine.writeSettings(); err != nil {
 			t.Fatal(err)
 		}
-		content, err := os.ReadFile(each.settingsPath)
+		content, err := os.ReadFile(machine.settingsPath)
 		if err != nil {
 			t.Fatal(err)
 		}
 		read, err := settings.Parse(content, settings.Overrides{})
 		if err != nil {
-			t.Fatalf("settings of %s: %v\n%s", each.name, err, content)
+			t.Fatalf("settings of %s: %v\n%s", machine.name, err, content)
 		}
-		if read.Node != each.name || string(read.Role) != each.class || read.PeerAddress != each.at(portPeers) || len(read.Zones) != 3 || len(read.SeedMachines) != 3 {
-			t.Errorf("settings of %s are %+v", each.name, read)
+		if read.Node != machine.name || string(read.Role) != machine.class || read.PeerAddress != machine.address(portPeers) || len(read.Zones) != 3 || len(read.SeedMachines) != 3 {
+			t.Errorf("settings of %s are %+v", machine.name, read)
 		}
 		if strings.Contains(string(content), "{{") {
-			t.Errorf("gaps are left in the settings of %s", each.name)
+			t.Errorf("gaps are left in the settings of %s", machine.name)
 		}
 	}
 }
--- a/lab/roles/work.go
+++ b/lab/roles/work.go
@@ -10,15 +10,16 @@
 	"strings"
 )
 
-// work is the body of a request or of an item: what a replica makes of it follows from it alone, so that each replica makes the same.
+// work is the body of a request or item. The response depends on it alone, so that every replica produces the same one.
 type work struct {
 	// Events is the number of events of the stream.
 	Events int `json:"events"`
-	// Fail is the status that each run is answered with after its work; 0 where it is done.
+	// Fail is the status with which every run fails, 0 if it succeeds.
 	Fail int `json:"fail,omitempty"`
-	// EndsReplicaAt is the number of the event at which each run ends its replica; 0 for none.
-	EndsReplicaAt int    `json:"ends_replica_at,omitempty"`
-	Mark          string `json:"mark"`
+	// EndsReplicaAt is the number of the event at which every run crashes its replica, 0 for none.
+	EndsReplicaAt int `json:"ends_replica_at,omitempty"`
+	// Mark identifies the work and determines the data of its events.
+	Mark string `json:"mark"`
 	// Padding makes the body as long as real ones.
 	Padding string `json:"padding,omitempty"`
 }
@@ -26,19 +27,19 @@
 func (w work) encode() []byte {
 	encoded, err := json.Marshal(w)
 	if err != nil {
-		panic("encode a body: " + err.Error())
+		panic("encode work: " + err.Error())
 	}
 	return encoded
 }
 
-// event returns the data of the event with number, which is 1 or more.
+// event returns the data of an event; numbers start at 1.
 func (w work) event(number int) string {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, w.Mark, "/", number)
 	return hex.EncodeToString(binary.BigEndian.AppendUint64(nil, hash.Sum64()))
 }
 
-// text is all data with line feeds between, as a batch job's result has it.
+// text returns the data of all events joined by line feeds, which is also the text of a batch job's result.
 func (w work) text() string {
 	var parts []string
 	for number := 1; number <= w.Events; number++ {
