--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -8,8 +8,8 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// client is the key-value service as the callers of one zone see it, without a network. The HTTP
-// gateway serves through it, so faults are judged and calls counted in one place.
+// client is the in-process key-value service for the callers of one zone. The HTTP handlers serve
+// through it, so that faults are applied and calls are counted in one place.
 type client struct {
 	server *Server
 	zone   string
@@ -17,28 +17,28 @@
 
 var _ port.KeyValue = (*client)(nil)
 
-// enter judges a call before its effect.
+// enter counts a call and applies the faults to it before it takes effect.
 func (s *Server) enter(ctx context.Context, zone string, service Service, operation Operation) (loseAnswer bool, err error) {
-	decided := s.faults.judge(zone, service)
-	refused := decided.outage != NoOutage || decided.limited
+	effect := s.faults.effectOn(zone, service)
+	refused := effect.outage != NoOutage || effect.limited
 	s.counters.add(operation, refused)
-	if decided.delay > 0 {
-		if !pause.Sleep(ctx, decided.delay) {
+	if effect.delay > 0 {
+		if !pause.Sleep(ctx, effect.delay) {
 			return false, errDropped.Wrap(ctx.Err(), "caller gave up")
 		}
 	}
 	switch {
-	case decided.outage == OutageHangs:
+	case effect.outage == OutageHangs:
 		s.hang(ctx, zone, service)
 		return false, errDropped.New("connection closed after a long time")
-	case decided.outage == OutageDrops:
+	case effect.outage == OutageDrops:
 		return false, errDropped.New("connection closed")
-	case decided.outage == OutageRefuses:
+	case effect.outage == OutageRefuses:
 		return false, port.KindUnavailable.New("no leader")
-	case decided.limited:
+	case effect.limited:
 		return false, port.KindRateLimited.New("too many requests")
 	}
-	return decided.loseAnswer, nil
+	return effect.loseAnswer, nil
 }
 
 // hang waits until the outage is over or the caller gives up.
@@ -56,10 +56,10 @@
 	}
 }
 
-// errDropped is a missing answer: what a caller makes of it depends on the call.
+// errDropped means that the caller gets no response to a change, so that its outcome is unknown.
 var errDropped = port.KindUnknownOutcome.NewSubtype("dropped")
 
-// read judges a call without effect.
+// read applies the faults to a call without side effects.
 func (c *client) read(ctx context.Context, operation Operation) error {
 	return c.server.enterRead(ctx, c.zone, KeyValue, operation)
 }
@@ -84,7 +84,7 @@
 	return c.server.store.list(prefix, false), nil
 }
 
-// Commit makes one transaction.
+// Commit applies one transaction.
 func (c *client) Commit(ctx context.Context, transaction port.Transaction) (port.CommitResult, error) {
 	loseAnswer, err := c.server.enter(ctx, c.zone, KeyValue, OperationCommit)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return result, err
 }
 
-// GrantLease makes a lease.
+// GrantLease creates a lease.
 func (c *client) GrantLease(ctx context.Context, timeToLive time.Duration) (port.LeaseID, error) {
 	loseAnswer, err := c.server.enter(ctx, c.zone, KeyValue, OperationGrant)
 	if err != nil {
--- a/lab/platform/client_lists.go
+++ b/lab/platform/client_lists.go
@@ -6,7 +6,7 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// enterRead judges a call without effect: a missing answer is KindUnavailable.
+// enterRead is enter for calls without side effects: a missing response is KindUnavailable, since no outcome is unknown.
 func (s *Server) enterRead(ctx context.Context, zone string, service Service, operation Operation) error {
 	_, err := s.enter(ctx, zone, service, operation)
 	if err != nil && isDropped(err) {
@@ -15,16 +15,16 @@
 	return err
 }
 
-// errReadDropped is a missing answer to a call without effect.
+// errReadDropped means that the caller gets no response to a call without side effects.
 var errReadDropped = port.KindUnavailable.NewSubtype("dropped")
 
-// machineClient is the machine list as the callers of one zone see it, without a network.
+// machineClient is the in-process machine list for the callers of one zone.
 type machineClient struct {
 	server *Server
 	zone   string
 }
 
-// List returns the listing that shows after the lag.
+// List returns the listing that is visible at the machine list's lag.
 func (c *machineClient) List(ctx context.Context) (port.MachineListing, error) {
 	if err := c.server.enterRead(ctx, c.zone, MachineList, OperationMachines); err != nil {
 		return port.MachineListing{}, err
@@ -32,13 +32,13 @@
 	return c.server.machines.list(), nil
 }
 
-// weightClient is the weight store as the callers of one zone see it, without a network.
+// weightClient is the in-process weight store for the callers of one zone.
 type weightClient struct {
 	server *Server
 	zone   string
 }
 
-// Describe returns one version.
+// Describe returns the description of one version of weights.
 func (c *weightClient) Describe(ctx context.Context, name, version string) (port.Weights, error) {
 	if err := c.server.enterRead(ctx, c.zone, WeightStore, OperationDescribe); err != nil {
 		return port.Weights{}, err
@@ -46,7 +46,7 @@
 	return c.server.weights.describe(name, version)
 }
 
-// ReserveFetch takes one fetch off the rate.
+// ReserveFetch takes one fetch from the rate limit.
 func (c *weightClient) ReserveFetch(ctx context.Context, name, version, _ string) error {
 	if err := c.server.enterRead(ctx, c.zone, WeightStore, OperationReserve); err != nil {
 		return err
--- a/lab/platform/client_watch.go
+++ b/lab/platform/client_watch.go
@@ -8,13 +8,13 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// isDropped says that a caller over a network gets no answer.
+// isDropped reports whether a caller over the network gets no response.
 func isDropped(err error) bool {
 	return errorx.IsOfType(err, errDropped) || errorx.IsOfType(err, errReadDropped)
 }
 
-// Watch delivers changes from fromRevision on; an outage of the zone ends it. fromRevision 0
-// means from the next change on.
+// Watch delivers the changes from fromRevision on, or from the next change on if it is 0. An outage
+// of the zone ends the watch.
 func (c *client) Watch(ctx context.Context, prefix string, fromRevision int64) (<-chan port.WatchEvent, error) {
 	if err := c.read(ctx, OperationWatch); err != nil {
 		return nil, err
@@ -69,16 +69,16 @@
 
 func groupByRevision(changes []change) []port.WatchEvent {
 	var grouped []port.WatchEvent
-	for _, one := range changes {
-		revision := one.entry.ModRevision
+	for _, entryChange := range changes {
+		revision := entryChange.entry.ModRevision
 		if len(grouped) == 0 || grouped[len(grouped)-1].Revision != revision {
 			grouped = append(grouped, port.WatchEvent{Revision: revision})
 		}
 		last := &grouped[len(grouped)-1]
-		if one.deleted {
-			last.Deleted = append(last.Deleted, one.entry.Key)
+		if entryChange.deleted {
+			last.Deleted = append(last.Deleted, entryChange.entry.Key)
 		} else {
-			last.Changed = append(last.Changed, one.entry)
+			last.Changed = append(last.Changed, entryChange.entry)
 		}
 	}
 	return grouped
--- a/lab/platform/control.go
+++ b/lab/platform/control.go
@@ -54,7 +54,7 @@
 	return router
 }
 
-// accept decodes the body and answers 204 after act.
+// accept decodes the request body, calls act with it and responds with 204.
 func accept[Body any](act func(*http.Request, Body)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var body Body
--- a/lab/platform/counters.go
+++ b/lab/platform/counters.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Operation names a counted call.
+// Operation is the name of a counted operation.
 type Operation string
 
-// Operations that are counted.
+// Counted operations.
 const (
 	OperationGet       Operation = "key-value.get"
 	OperationList      Operation = "key-value.list"
@@ -19,7 +19,7 @@
 	OperationReserve   Operation = "weight-store.reserve"
 )
 
-// OperationCount is how often an operation was called, and how often the faults or a rate refused it.
+// OperationCount counts the calls of an operation and those refused by an outage or a rate limit.
 type OperationCount struct {
 	Calls   int64 `json:"calls"`
 	Refused int64 `json:"refused"`
--- a/lab/platform/doc.go
+++ b/lab/platform/doc.go
@@ -1,18 +1,18 @@
-// Package platform is the stand-in for what the operators' platform gives: the
-// key-value service, the machine list and the weight store, with faults.
+// Package platform simulates the services of the operators' platform, with faults: the
+// key-value service, the machine list and the weight store.
 //
-// Each zone has an address of its own that serves all three, so that a fault can meet the
-// callers of one zone only. Tests use the same services in process, without a network and
-// also on virtual time, through KeyValue, MachineList and WeightStore.
+// Each zone has its own address that serves all three services, so that a fault can affect the
+// callers of a single zone. Tests can use the services in process through KeyValue, MachineList
+// and WeightStore, without a network and also in virtual time.
 //
 // The control port serves JSON:
 //
-//	GET    /faults                     the faults that are on
-//	PUT    /faults                     a Fault, in place of that of its zone and service
-//	DELETE /faults?zone=Z&service=S    switch one off; both empty as they were set
+//	GET    /faults                     list the active faults
+//	PUT    /faults                     set a Fault, replacing that of its zone and service
+//	DELETE /faults?zone=Z&service=S    clear the fault set with exactly this zone and service
 //	PUT    /machines                   add or replace a platform.Machine
 //	PUT    /machines/{id}/state        MachineStateChange
-//	DELETE /machines/{id}              take a machine off the list
+//	DELETE /machines/{id}              remove a machine from the list
 //	PUT    /machine-lag                LagChange
 //	POST   /compact                    Compaction of the key-value history
 //	GET    /counters                   OperationCount by Operation
--- a/lab/platform/faults.go
+++ b/lab/platform/faults.go
@@ -8,10 +8,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Service names one of the stand-ins.
+// Service is the name of a simulated service.
 type Service string
 
-// Services of the platform. AnyService in a Fault means all of them.
+// Services of the platform; AnyService in a Fault stands for all of them.
 const (
 	AnyService  Service = ""
 	KeyValue    Service = "key-value"
@@ -19,34 +19,34 @@
 	WeightStore Service = "weight-store"
 )
 
-// AnyZone in a Fault means the callers of all zones.
+// AnyZone in a Fault stands for the callers of all zones.
 const AnyZone = ""
 
-// Outage says how an unavailable service behaves. In all ways the call has no effect.
+// Outage is the way in which a service is unavailable. Calls during an outage have no effect.
 type Outage string
 
 // Outages.
 const (
-	// NoOutage serves.
+	// NoOutage means that the service is available.
 	NoOutage Outage = ""
-	// OutageRefuses answers that there is no leader.
+	// OutageRefuses responds with an error that there is no leader.
 	OutageRefuses Outage = "refuse"
-	// OutageDrops closes the connection without an answer.
+	// OutageDrops closes the connection without a response.
 	OutageDrops Outage = "drop"
-	// OutageHangs gives no answer and keeps the connection; watches that are open fall silent for good.
+	// OutageHangs keeps the connection open without a response; open watches deliver nothing more, also after the outage.
 	OutageHangs Outage = "hang"
 )
 
-// Fault is what is wrong with one service for the callers of one zone.
+// Fault describes how one service misbehaves for the callers of one zone.
 type Fault struct {
 	Zone    string  `json:"zone"`
 	Service Service `json:"service"`
 	Outage  Outage  `json:"outage,omitempty"`
-	// CallsPerSecond limits the rate of calls; 0 is no limit.
+	// CallsPerSecond limits the rate of calls; 0 means no limit.
 	CallsPerSecond float64 `json:"calls_per_second,omitempty"`
-	// DelayMilliseconds is waited before the call takes effect.
+	// DelayMilliseconds is the delay before a call takes effect.
 	DelayMilliseconds int64 `json:"delay_milliseconds,omitempty"`
-	// LoseAnswer is the probability that a change takes effect and its answer is lost.
+	// LoseAnswer is the probability that a change takes effect but its response is lost.
 	LoseAnswer float64 `json:"lose_answer,omitempty"`
 }
 
@@ -60,7 +60,7 @@
 	limiter *rate.Limiter
 }
 
-// Faults holds the faults that are switched on. It is safe for concurrent use.
+// Faults holds the active faults. It is safe for concurrent use.
 type Faults struct {
 	mutex sync.Mutex
 	// random, active and changed are guarded by mutex.
@@ -77,7 +77,7 @@
 	}
 }
 
-// Set switches fault on, in place of the one of the same zone and service.
+// Set activates fault, replacing the one set for the same zone and service.
 func (f *Faults) Set(fault Fault) {
 	entry := &activeFault{Fault: fault}
 	if fault.CallsPerSecond > 0 {
@@ -89,7 +89,7 @@
 	f.signal()
 }
 
-// Clear switches off the fault of zone and service as it was set.
+// Clear removes the fault that was set with exactly this zone and service.
 func (f *Faults) Clear(zone string, service Service) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -97,7 +97,7 @@
 	f.signal()
 }
 
-// List returns the faults that are on.
+// List returns the active faults.
 func (f *Faults) List() []Fault {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -108,25 +108,25 @@
 	return list
 }
 
-// signal wakes the watches, which end in an outage. The caller holds mutex.
+// signal wakes the watches, so that they notice an outage. The caller holds mutex.
 func (f *Faults) signal() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// verdict is what the faults do to one call.
-type verdict struct {
+// faultEffect is the combined effect of the faults on one call.
+type faultEffect struct {
 	outage     Outage
 	limited    bool
 	delay      time.Duration
 	loseAnswer bool
 }
 
-// judge decides on one call from zone to service.
-func (f *Faults) judge(zone string, service Service) verdict {
+// effectOn returns the effect of the faults on one call from zone to service.
+func (f *Faults) effectOn(zone string, service Service) faultEffect {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	var result verdict
+	var result faultEffect
 	for _, entry := range f.matching(zone, service) {
 		if entry.Outage != NoOutage {
 			result.outage = entry.Outage
@@ -142,29 +142,29 @@
 	return result
 }
 
-// outage returns the present outage for zone, and a channel that is closed at the next change.
+// outage returns the current outage of service for zone, and a channel that is closed at the next change of faults.
 func (f *Faults) outage(zone string, service Service) (Outage, <-chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	present := NoOutage
+	current := NoOutage
 	for _, entry := range f.matching(zone, service) {
 		if entry.Outage != NoOutage {
-			present = entry.Outage
+			current = entry.Outage
 		}
 	}
-	return present, f.changed
+	return current, f.changed
 }
 
-// matching returns the faults that concern zone and service. The caller holds mutex.
+// matching returns the faults that apply to zone and service. The caller holds mutex.
 func (f *Faults) matching(zone string, service Service) []*activeFault {
 	zones := []string{AnyZone}
 	if zone != AnyZone {
 		zones = append(zones, zone)
 	}
 	var found []*activeFault
-	for _, ofZone := range zones {
-		for _, ofService := range []Service{AnyService, service} {
-			if entry, present := f.active[faultKey{ofZone, ofService}]; present {
+	for _, candidateZone := range zones {
+		for _, candidateService := range []Service{AnyService, service} {
+			if entry, present := f.active[faultKey{candidateZone, candidateService}]; present {
 				found = append(found, entry)
 			}
 		}
--- a/lab/platform/gateway.go
+++ b/lab/platform/gateway.go
@@ -70,8 +70,8 @@
 	return response, nil
 }
 
-// transactionOf accepts what the product sends: MOD EQUAL conditions, puts and deletes of
-// single keys, and on failure a read of each condition's key.
+// transactionOf converts the kind of transaction that the product sends: MOD EQUAL conditions, puts
+// and deletes of single keys, and on failure a read of each condition's key.
 func transactionOf(request etcdjson.TxnRequest) (port.Transaction, error) {
 	var transaction port.Transaction
 	for _, compare := range request.Compare {
@@ -104,7 +104,7 @@
 func (g *gateway) keepAlive(ctx context.Context, request etcdjson.LeaseRequest) (etcdjson.KeepAliveResponse, error) {
 	timeToLive, err := g.client.KeepAlive(ctx, port.LeaseID(request.ID))
 	if errorx.IsOfType(err, port.KindLeaseNotFound) {
-		err = nil // The gateway reports a lapsed lease as a time to live of 0.
+		err = nil // The gateway reports an expired lease as a time to live of 0.
 	}
 	seconds := int64(timeToLive / time.Second)
 	return etcdjson.KeepAliveResponse{Result: etcdjson.LeaseResponse{
@@ -117,7 +117,7 @@
 	return etcdjson.LeaseResponse{Header: g.header(), ID: request.ID}, err
 }
 
-// watch streams one JSON message a line until the caller goes or the watch ends.
+// watch streams one JSON message per line until the caller disconnects or the watch ends.
 func (g *gateway) watch(writer http.ResponseWriter, request *http.Request) {
 	var decoded etcdjson.WatchRequest
 	if !readBody(writer, request, &decoded) {
@@ -140,7 +140,7 @@
 	}
 	for event := range events {
 		if event.Err != nil && !errorx.IsOfType(event.Err, port.KindCompacted) {
-			panic(http.ErrAbortHandler) // An outage breaks the stream off.
+			panic(http.ErrAbortHandler) // An outage closes the connection in mid-stream.
 		}
 		if !stream.write(watchResponse(event)) {
 			return
@@ -161,7 +161,7 @@
 	response := etcdjson.WatchResponse{Header: etcdjson.Header{Revision: event.Revision}}
 	if event.Err != nil {
 		response.Canceled = true
-		response.CompactRevision = event.Revision + 1 // As etcd: the first revision that can be watched.
+		response.CompactRevision = event.Revision + 1 // As in etcd: the first revision that can be watched.
 		return response
 	}
 	for _, entry := range event.Changed {
--- a/lab/platform/http.go
+++ b/lab/platform/http.go
@@ -12,10 +12,11 @@
 	"github.com/sloelift/sloelift/internal/platform/etcdjson"
 )
 
-// maxRequestBody bounds one request.
+// maxRequestBody is the maximum size of a request body in bytes.
 const maxRequestBody = 16 << 20
 
-// zoneHandler serves the three services to the callers of one zone, the key-value service also in the words of the users' platform.
+// zoneHandler serves the three services to the callers of one zone. The key-value service is served with both the etcd JSON gateway's
+// protocol and that of the users' platform.
 func (s *Server) zoneHandler(zone string) http.Handler {
 	caller := &client{server: s, zone: zone}
 	gateway := &gateway{client: caller}
@@ -34,7 +35,7 @@
 	return router
 }
 
-// post decodes a JSON request, and encodes the answer or the error.
+// post decodes a JSON request, calls serve and encodes its response or error.
 func post[Request, Response any](serve func(context.Context, Request) (Response, error)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var decoded Request
@@ -59,10 +60,10 @@
 	switch {
 	case err == nil:
 		writer.Header().Set("Content-Type", "application/json")
-		// The client has gone where this fails; there is nobody to tell.
+		// An error means that the client has disconnected.
 		_ = json.NewEncoder(writer).Encode(answer)
 	case isDropped(err):
-		panic(http.ErrAbortHandler) // net/http's way to close the connection without an answer.
+		panic(http.ErrAbortHandler) // Closes the connection without a response.
 	default:
 		status, body := errorBody(err)
 		writeError(writer, status, body)
--- a/lab/platform/machines.go
+++ b/lab/platform/machines.go
@@ -8,12 +8,12 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// Machines is the machine list with its lag. It is safe for concurrent use.
+// Machines is the machine list; changes become visible after a lag. It is safe for concurrent use.
 type Machines struct {
 	lag   time.Duration
 	mutex sync.Mutex
-	// versions holds the listing by the time it came to be, oldest first; the first is
-	// the one served. Guarded by mutex.
+	// versions holds the listings by creation time, oldest first; the first one is
+	// served. Guarded by mutex.
 	versions []datedListing
 }
 
@@ -27,14 +27,14 @@
 	return &Machines{lag: lag, versions: []datedListing{first}}
 }
 
-// Set adds machine, or replaces the one of the same ID.
+// Set adds machine, or replaces the one with the same ID.
 func (m *Machines) Set(machine port.Machine) {
 	m.change(func(list []port.Machine) []port.Machine {
 		return append(without(list, machine.ID), machine)
 	})
 }
 
-// SetState changes the state of one machine; an unknown one is left out.
+// SetState changes the state of one machine; an unknown id is ignored.
 func (m *Machines) SetState(id string, state port.MachineState) {
 	m.change(func(list []port.Machine) []port.Machine {
 		for index := range list {
@@ -46,12 +46,12 @@
 	})
 }
 
-// Remove takes a machine off the list.
+// Remove removes a machine from the list.
 func (m *Machines) Remove(id string) {
 	m.change(func(list []port.Machine) []port.Machine { return without(list, id) })
 }
 
-// SetLag changes how late the list is from now on.
+// SetLag changes the lag of the list.
 func (m *Machines) SetLag(lag time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -62,7 +62,7 @@
 	return slices.DeleteFunc(list, func(machine port.Machine) bool { return machine.ID == id })
 }
 
-// change makes the next version; edit gets a copy that it may change.
+// change adds the next version; edit gets a copy of the last one that it may modify.
 func (m *Machines) change(edit func([]port.Machine) []port.Machine) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -71,7 +71,7 @@
 	m.versions = append(m.versions, datedListing{since: time.Now(), listing: next})
 }
 
-// list returns the newest version that is older than the lag.
+// list returns the newest version that is at least as old as the lag.
 func (m *Machines) list() port.MachineListing {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/lab/platform/metadata.go
+++ b/lab/platform/metadata.go
@@ -15,7 +15,7 @@
 	wire "github.com/sloelift/sloelift/platform"
 )
 
-// metadata serves the key-value service in the words of the users' platform, to the callers of one zone.
+// metadata serves the key-value service to the callers of one zone with the protocol of the users' platform.
 type metadata struct{ client *client }
 
 func (m *metadata) register(router *mux.Router) {
@@ -28,17 +28,17 @@
 	router.HandleFunc(wire.PathStoreRevoke+"{id}", m.revoke).Methods(http.MethodDelete)
 }
 
-// answer writes body as JSON, or the status of err; a dropped answer ends the connection.
+// answer writes body as JSON, or the status for err. A dropped response closes the connection.
 func (m *metadata) answer(writer http.ResponseWriter, body any, err error) {
 	if err != nil {
 		if isDropped(err) {
-			panic(http.ErrAbortHandler) // net/http's way to close the connection without an answer.
+			panic(http.ErrAbortHandler) // Closes the connection without a response.
 		}
 		writer.WriteHeader(metadataStatus(err))
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	// The caller has gone where this fails.
+	// An error means that the caller has disconnected.
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
@@ -70,7 +70,7 @@
 	m.answer(writer, itemOf(entry), err)
 }
 
-// list answers the whole range as one page.
+// list responds with the whole range as one page.
 func (m *metadata) list(writer http.ResponseWriter, request *http.Request) {
 	listing, err := m.client.List(request.Context(), request.URL.Query().Get("path_prefix"))
 	page := wire.StorePage{Items: []wire.StoreItem{}, At: listing.Revision}
@@ -80,7 +80,7 @@
 	m.answer(writer, page, err)
 }
 
-// watch answers the changes since a revision, held until there is one or the asked-for time is over.
+// watch is a long poll: it responds with the changes since a revision as soon as there is one or the requested wait is over.
 func (m *metadata) watch(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	since, errSince := strconv.ParseInt(query.Get("since_rev"), 10, 64)
@@ -98,8 +98,8 @@
 }
 
 func (m *metadata) waitForEvents(ctx context.Context, prefix string, since int64, hold time.Duration) (wire.StoreEvents, error) {
-	over := time.NewTimer(hold)
-	defer over.Stop()
+	holdTimer := time.NewTimer(hold)
+	defer holdTimer.Stop()
 	for {
 		outage, faultsChanged := m.client.server.faults.outage(m.client.zone, KeyValue)
 		if outage == OutageHangs {
@@ -114,9 +114,9 @@
 			return wire.StoreEvents{}, err
 		}
 		answer := wire.StoreEvents{Events: []wire.StoreItem{}, At: revision}
-		for _, each := range changes {
-			item := itemOf(each.entry)
-			item.Gone = each.deleted
+		for _, changedKey := range changes {
+			item := itemOf(changedKey.entry)
+			item.Gone = changedKey.deleted
 			answer.Events = append(answer.Events, item)
 		}
 		if len(changes) > 0 {
@@ -125,7 +125,7 @@
 		select {
 		case <-changed:
 		case <-faultsChanged:
-		case <-over.C:
+		case <-holdTimer.C:
 			return answer, nil
 		case <-ctx.Done():
 			return wire.StoreEvents{}, errReadDropped.Wrap(ctx.Err(), "caller gave up")
@@ -138,8 +138,8 @@
 	if !m.decode(writer, request, &sent) {
 		return
 	}
-	if slices.ContainsFunc(sent.Put, func(each wire.StorePut) bool { return len(each.Value) == 0 }) {
-		// The users' platform takes no empty value.
+	if slices.ContainsFunc(sent.Put, func(put wire.StorePut) bool { return len(put.Value) == 0 }) {
+		// The users' platform rejects empty values.
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -153,17 +153,19 @@
 		page.Items = append(page.Items, itemOf(entry))
 	}
 	writer.WriteHeader(http.StatusPreconditionFailed)
-	// The caller has gone where this fails.
+	// An error means that the caller has disconnected.
 	_ = json.NewEncoder(writer).Encode(page)
 }
 
 func transactionFrom(sent wire.StoreTransaction) port.Transaction {
 	var transaction port.Transaction
-	for _, each := range sent.Expected {
-		transaction.Conditions = append(transaction.Conditions, port.Condition{Key: each.Key, ModRevision: each.Revision})
+	for _, condition := range sent.Expected {
+		transaction.Conditions = append(transaction.Conditions, port.Condition{Key: condition.Key, ModRevision: condition.Revision})
 	}
-	for _, each := range sent.Put {
-		transaction.Changes = append(transaction.Changes, port.Change{Key: each.Key, Value: each.Value, LeaseID: port.LeaseID(each.Lease)})
+	for _, put := range sent.Put {
+		transaction.Changes = append(transaction.Changes, port.Change{
+			Key: put.Key, Value: put.Value, LeaseID: port.LeaseID(put.Lease),
+		})
 	}
 	for _, key := range sent.Remove {
 		transaction.Changes = append(transaction.Changes, port.Change{Key: key, Delete: true})
@@ -181,12 +183,12 @@
 }
 
 func (m *metadata) lease(writer http.ResponseWriter, request *http.Request) {
-	var asked wire.StoreLease
-	if !m.decode(writer, request, &asked) {
+	var requested wire.StoreLease
+	if !m.decode(writer, request, &requested) {
 		return
 	}
-	granted, err := m.client.GrantLease(request.Context(), time.Duration(asked.Milliseconds)*time.Millisecond)
-	m.answer(writer, wire.StoreLease{Lease: int64(granted), Milliseconds: asked.Milliseconds}, err)
+	granted, err := m.client.GrantLease(request.Context(), time.Duration(requested.Milliseconds)*time.Millisecond)
+	m.answer(writer, wire.StoreLease{Lease: int64(granted), Milliseconds: requested.Milliseconds}, err)
 }
 
 func (m *metadata) keepAlive(writer http.ResponseWriter, request *http.Request) {
@@ -194,8 +196,8 @@
 	if !ok {
 		return
 	}
-	left, err := m.client.KeepAlive(request.Context(), id)
-	m.answer(writer, wire.StoreLease{Lease: int64(id), Milliseconds: left.Milliseconds()}, err)
+	timeToLive, err := m.client.KeepAlive(request.Context(), id)
+	m.answer(writer, wire.StoreLease{Lease: int64(id), Milliseconds: timeToLive.Milliseconds()}, err)
 }
 
 func (m *metadata) revoke(writer http.ResponseWriter, request *http.Request) {
--- a/lab/platform/metadata_test.go
+++ b/lab/platform/metadata_test.go
@@ -12,7 +12,7 @@
 	wire "github.com/sloelift/sloelift/platform"
 )
 
-// metadataClient is the product's own translation of the platform's store, before the stand-in.
+// metadataClient returns the product's client for the platform's store, connected to the simulated platform.
 func metadataClient(t *testing.T, server *platform.Server) *wire.Store {
 	t.Helper()
 	store := wire.NewStore(port.NewExchanger(network.System{}, server.Address(zone)), func() time.Duration { return time.Second })
@@ -20,7 +20,7 @@
 	return store
 }
 
-// TestMetadataStoreSpeaksThePlatformsWords: the product's translation and the stand-in understand each other, in every call.
+// TestMetadataStoreSpeaksThePlatformsWords guards that the product's client and the simulated platform agree on the protocol of every call.
 func TestMetadataStoreSpeaksThePlatformsWords(t *testing.T) {
 	server := startServer(t, platform.Options{})
 	store, ctx := metadataClient(t, server), t.Context()
--- a/lab/platform/server.go
+++ b/lab/platform/server.go
@@ -15,25 +15,25 @@
 
 // Options of a Server.
 type Options struct {
-	// Seed decides which answers are lost.
+	// Seed determines which responses are lost.
 	Seed uint64
-	// Zones each get an address of their own, which is how a fault finds the callers of one
-	// zone. There is always one for AnyZone.
+	// Zones get an address each, by which faults tell the callers of different zones apart.
+	// AnyZone always has an address as well.
 	Zones []string
-	// ListenAddresses gives the address for a zone; one that is left out is 127.0.0.1 with a free port.
+	// ListenAddresses holds the addresses by zone; the default is a free port on 127.0.0.1.
 	ListenAddresses map[string]netip.AddrPort
-	// ControlAddress serves the control port; the zero value is 127.0.0.1 with a free port.
+	// ControlAddress is the address of the control port; the zero value is a free port on 127.0.0.1.
 	ControlAddress netip.AddrPort
-	// Machines are listed from the start; changes show after MachineListLag.
+	// Machines is the initial machine list; later changes become visible after MachineListLag.
 	Machines       []port.Machine
 	MachineListLag time.Duration
 	Weights        []port.Weights
-	// FetchesPerSecond limits reservations at the weight store; 0 is no limit.
+	// FetchesPerSecond limits reservations at the weight store; 0 means no limit.
 	FetchesPerSecond float64
 }
 
-// Server is the whole stand-in platform. It can be used in process through
-// KeyValue, and over HTTP between Start and Stop.
+// Server simulates the whole platform. It can be used in process through KeyValue,
+// MachineList and WeightStore, and over HTTP between Start and Stop.
 type Server struct {
 	options  Options
 	faults   *Faults
@@ -61,35 +61,35 @@
 	}
 }
 
-// Faults switches faults on and off.
+// Faults returns the server's faults, to set and clear them.
 func (s *Server) Faults() *Faults { return s.faults }
 
-// Machines changes the machine list.
+// Machines returns the machine list, to change it.
 func (s *Server) Machines() *Machines { return s.machines }
 
-// Counters returns the calls so far.
+// Counters returns the number of calls so far.
 func (s *Server) Counters() map[Operation]OperationCount { return s.counters.snapshot() }
 
-// Compact forgets the key-value history up to revision.
+// Compact discards the key-value history up to and including revision.
 func (s *Server) Compact(revision int64) { s.store.compact(revision) }
 
-// KeyValue returns the key-value service as the callers of zone see it, without a network.
+// KeyValue returns the in-process key-value service for the callers of zone.
 func (s *Server) KeyValue(zone string) port.KeyValue { return &client{server: s, zone: zone} }
 
-// MachineList returns the machine list as the callers of zone see it, without a network.
+// MachineList returns the in-process machine list for the callers of zone.
 func (s *Server) MachineList(zone string) port.MachineList {
 	return &machineClient{server: s, zone: zone}
 }
 
-// WeightStore returns the weight store as the callers of zone see it, without a network.
+// WeightStore returns the in-process weight store for the callers of zone.
 func (s *Server) WeightStore(zone string) port.WeightStore {
 	return &weightClient{server: s, zone: zone}
 }
 
-// Address is where the callers of zone find all three services; valid after Start.
+// Address returns the address of all three services for the callers of zone; valid after Start.
 func (s *Server) Address(zone string) netip.AddrPort { return s.addresses[zone] }
 
-// ControlAddress is where the control port is; valid after Start.
+// ControlAddress returns the address of the control port; valid after Start.
 func (s *Server) ControlAddress() netip.AddrPort { return s.control }
 
 // Start listens on all addresses and serves until Stop.
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// anyLoopback listens on a free port.
+// anyLoopback is a free port on 127.0.0.1.
 var anyLoopback = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 
 func (s *Server) serve(address netip.AddrPort, handler http.Handler) (netip.AddrPort, error) {
@@ -126,13 +126,13 @@
 	s.servers = append(s.servers, server)
 	s.serving.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			panic(err) // A listener that breaks by itself is a broken invariant of the lab.
+			panic(err) // Serve must not fail before Stop.
 		}
 	})
 	return listener.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// Stop closes all connections and ends the leases' timers.
+// Stop closes all connections and stops the leases' timers.
 func (s *Server) Stop() {
 	for _, server := range s.servers {
 		_ = server.Close()
--- a/lab/platform/server_test.go
+++ b/lab/platform/server_test.go
@@ -30,7 +30,7 @@
 	return server
 }
 
-// forEachClient runs test with the client in process and with the product's adapter over HTTP.
+// forEachClient runs test with the in-process client and with the product's adapter over HTTP.
 func forEachClient(t *testing.T, test func(t *testing.T, server *platform.Server, client port.KeyValue)) {
 	t.Run("in process", func(t *testing.T) {
 		server := startServer(t, platform.Options{})
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -9,7 +9,7 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// change is one changed key in the store's history. A deleted key has Deleted set.
+// change is one changed or deleted key in the store's history.
 type change struct {
 	entry   port.Entry
 	deleted bool
@@ -21,7 +21,7 @@
 	timer      *time.Timer
 }
 
-// store is the key-value service's state: the present keys, the history that
+// store is the state of the key-value service: the current keys, the history that
 // watches read, and the leases. It is safe for concurrent use.
 type store struct {
 	mutex sync.Mutex
@@ -45,7 +45,7 @@
 	}
 }
 
-// list returns the keys below prefix, sorted; with exact set only prefix itself.
+// list returns the keys below prefix, sorted; with exact set, only the key prefix itself.
 func (s *store) list(prefix string, exact bool) port.Listing {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,7 +65,7 @@
 	return listing
 }
 
-// commit makes transaction at one revision, or returns the present entries of its conditions.
+// commit applies transaction at one revision if its conditions hold, or else returns the current entries of the conditions.
 func (s *store) commit(transaction port.Transaction) (port.CommitResult, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,7 +81,7 @@
 	return port.CommitResult{Committed: true, Revision: s.revision}, nil
 }
 
-// check returns the conditions' entries and whether all conditions hold. The caller holds mutex.
+// check returns the current entries of the conditions and whether all conditions hold. The caller holds mutex.
 func (s *store) check(conditions []port.Condition) ([]port.Entry, bool) {
 	holds := true
 	current := make([]port.Entry, 0, len(conditions))
@@ -96,7 +96,7 @@
 	return current, holds
 }
 
-// apply makes changes at the next revision. The caller holds mutex.
+// apply applies changes at the next revision; without an effective change the revision stays. The caller holds mutex.
 func (s *store) apply(changes []port.Change) {
 	next := s.revision + 1
 	before := len(s.history)
@@ -105,8 +105,8 @@
 		if wanted.Delete {
 			if exists {
 				delete(s.entries, wanted.Key)
-				gone := port.Entry{Key: wanted.Key, ModRevision: next}
-				s.history = append(s.history, change{entry: gone, deleted: true})
+				tombstone := port.Entry{Key: wanted.Key, ModRevision: next}
+				s.history = append(s.history, change{entry: tombstone, deleted: true})
 			}
 			continue
 		}
@@ -138,15 +138,15 @@
 	}
 	start := sort.Search(len(s.history), func(i int) bool { return s.history[i].entry.ModRevision >= from })
 	var found []change
-	for _, one := range s.history[start:] {
-		if strings.HasPrefix(one.entry.Key, prefix) {
-			found = append(found, one)
+	for _, candidate := range s.history[start:] {
+		if strings.HasPrefix(candidate.entry.Key, prefix) {
+			found = append(found, candidate)
 		}
 	}
 	return found, s.revision, s.changed, nil
 }
 
-// compact forgets the history up to and including revision.
+// compact discards the history up to and including revision.
 func (s *store) compact(revision int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/platform/store_leases.go
+++ b/lab/platform/store_leases.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// expire drops a lease whose time is over; a timer that fired while the lease was renewed does nothing.
+// expire drops a lease whose deadline has passed. The timer may fire while the lease is being renewed; then expire does nothing.
 func (s *store) expire(id port.LeaseID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -55,16 +55,16 @@
 func (s *store) drop(id port.LeaseID) {
 	s.leases[id].timer.Stop()
 	delete(s.leases, id)
-	var gone []port.Change
+	var deletions []port.Change
 	for key, entry := range s.entries {
 		if entry.LeaseID == id {
-			gone = append(gone, port.Change{Key: key, Delete: true})
+			deletions = append(deletions, port.Change{Key: key, Delete: true})
 		}
 	}
-	s.apply(gone)
+	s.apply(deletions)
 }
 
-// stop ends the timers of all leases.
+// stop stops the timers of all leases.
 func (s *store) stop() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/lab/platform/weights.go
+++ b/lab/platform/weights.go
@@ -6,7 +6,7 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// weights is the weight store with its rate of fetches.
+// weights is the weight store with its rate limit for fetches.
 type weights struct {
 	versions map[weightsKey]port.Weights
 	limiter  *rate.Limiter
@@ -20,8 +20,8 @@
 		limiter = rate.NewLimiter(rate.Limit(fetchesPerSecond), max(1, int(fetchesPerSecond)))
 	}
 	versions := make(map[weightsKey]port.Weights, len(stored))
-	for _, one := range stored {
-		versions[weightsKey{one.Name, one.Version}] = one
+	for _, version := range stored {
+		versions[weightsKey{version.Name, version.Version}] = version
 	}
 	return &weights{versions: versions, limiter: limiter}
 }
