--- a/lab/engine/answer.go
+++ b/lab/engine/answer.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// bytesPerPromptToken is the length of prompt text that counts as one token.
+	// bytesPerPromptToken is the number of bytes of prompt text per token.
 	bytesPerPromptToken = 4
-	// defaultMaxTokens is the bound of an answer whose request names none.
+	// defaultMaxTokens is the maximum length of an answer if the request sets none.
 	defaultMaxTokens = 64
 
 	tokenLetters  = 5
 	tokenAlphabet = "abcdefghijklmnopqrstuvwxyz234567"
 )
 
-// Answer is the one right answer to a prompt. Token i depends on the prompt and i
-// only, so that anybody can check an answer that was resumed, cut or crossed.
+// Answer is the only correct answer to a prompt. Token i depends on nothing but the
+// prompt and i, so that answers that were resumed, cut or mixed up can be detected.
 type Answer struct {
 	seed uint64
 	// Tokens is the length of the answer.
 	Tokens int
-	// FinishReason is "stop" where the answer ends by itself, "length" at maxTokens.
+	// FinishReason is "length" if the answer has maxTokens tokens, else "stop".
 	FinishReason string
 }
 
-// AnswerTo returns the answer to a prompt; maxTokens <= 0 is the engine's default.
+// AnswerTo returns the answer to a prompt; maxTokens <= 0 stands for the engine's default.
 func AnswerTo(prompt string, maxTokens int) Answer {
 	if maxTokens <= 0 {
 		maxTokens = defaultMaxTokens
 	}
 	seed := xxhash.Sum64String(prompt)
-	// Answers are between three quarters and all of maxTokens long.
+	// Answers have between three quarters of maxTokens and maxTokens tokens.
 	spread := maxTokens/4 + 1
 	tokens := maxTokens - int(mix(seed)%uint64(spread))
 	answer := Answer{seed: seed, Tokens: tokens, FinishReason: "stop"}
@@ -42,7 +42,7 @@
 	return answer
 }
 
-// Text returns the tokens from index from up to but without to.
+// Text returns the tokens with indexes in [from, to).
 func (a Answer) Text(from, to int) string {
 	var text strings.Builder
 	text.Grow((to - from) * (tokenLetters + 1))
@@ -69,7 +69,7 @@
 	return (len(text) + bytesPerPromptToken - 1) / bytesPerPromptToken
 }
 
-// mix spreads the bits of value (the finaliser of SplitMix64).
+// mix is the finalizer of SplitMix64.
 func mix(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -13,14 +13,14 @@
 	eventEvicted = "evicted"
 	eventCleared = "cleared"
 
-	// keptEvents bounds the cache events that can still be asked for.
-	keptEvents = 8192
-	// eventsPerPage bounds one answer.
+	// minKeptEvents is the minimum number of recent cache events that are retained.
+	minKeptEvents = 8192
+	// eventsPerPage is the maximum number of events in one response.
 	eventsPerPage = 1024
 )
 
-// prefixCache is a bounded set of prefix blocks, least recently used out first. The
-// engine's mutex guards it.
+// prefixCache is a bounded LRU set of prefix blocks. It is guarded by the engine's
+// mutex.
 type prefixCache struct {
 	capacity int
 	blocks   map[uint64]*list.Element
@@ -33,7 +33,7 @@
 	return &prefixCache{capacity: capacity, blocks: map[uint64]*list.Element{}, recency: list.New(), events: events}
 }
 
-// match returns how many blocks from the start are cached and marks them as used.
+// match returns the number of leading blocks that are cached and marks them as used.
 func (c *prefixCache) match(blocks []uint64) int {
 	matched := 0
 	for _, block := range blocks {
@@ -46,14 +46,14 @@
 	return matched
 }
 
-// touch marks blocks as used, the deepest first, so that a prefix outlives what follows it.
+// touch marks blocks as used, last block first, so that a prefix is evicted after its continuations.
 func (c *prefixCache) touch(blocks []uint64) {
 	for index := len(blocks) - 1; index >= 0; index-- {
 		c.recency.MoveToFront(c.blocks[blocks[index]])
 	}
 }
 
-// store adds blocks and evicts what no longer fits.
+// store adds blocks and evicts the least recently used ones beyond the capacity.
 func (c *prefixCache) store(blocks []uint64, now time.Time) {
 	if len(blocks) > c.capacity {
 		blocks = blocks[:c.capacity]
@@ -76,7 +76,7 @@
 	c.events.publish(eventEvicted, evicted, now)
 }
 
-// eventLog holds published cache events, some of them lost, each visible after lag.
+// eventLog holds the published cache events. A share loss of them is dropped, and the others become visible after lag.
 type eventLog struct {
 	lag      time.Duration
 	loss     float64
@@ -100,8 +100,8 @@
 	}
 	event := modelengine.CacheEvent{Sequence: l.sequence, Kind: kind, Blocks: blocks}
 	l.entries = append(l.entries, loggedEvent{event: event, visibleAt: now.Add(l.lag)})
-	if len(l.entries) > 2*keptEvents {
-		l.entries = append([]loggedEvent(nil), l.entries[len(l.entries)-keptEvents:]...)
+	if len(l.entries) > 2*minKeptEvents {
+		l.entries = append([]loggedEvent(nil), l.entries[len(l.entries)-minKeptEvents:]...)
 	}
 }
 
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxStepBehind is how far the loop may be behind its own schedule and still catch up.
-	maxStepBehind = 20 * time.Millisecond
-	// loadSampleInterval is the time between two entries of the load history.
+	// maxStepLag is how far the step loop may fall behind its schedule before it gives up catching up.
+	maxStepLag = 20 * time.Millisecond
+	// loadSampleInterval is the interval between two entries of the load history.
 	loadSampleInterval = 20 * time.Millisecond
 	headerTimeout      = 5 * time.Second
 )
 
-// Engine is one emulated replica behind a real HTTP listener.
+// Engine is one emulated replica behind a real HTTP listener. It is safe for concurrent use.
 type Engine struct {
 	options Options
 	address netip.AddrPort
@@ -39,20 +39,20 @@
 	leaving   bool
 	slowdown  float64
 	lastStep  time.Duration
-	// clock is the engine's own time: the sum of its steps' durations.
+	// clock is the engine time: the sum of the durations of all steps.
 	clock   time.Duration
 	history loadHistory
 	up      bool
 	server  *http.Server
-	// ended is closed when the engine is killed or stopped; it is new for each start.
+	// ended is closed when the engine is killed or stopped; each start makes a new one.
 	ended chan struct{}
 	// work wakes the step loop.
 	work chan struct{}
-	// loops waits for the goroutines of the present start.
+	// loops waits for the goroutines of the current start.
 	loops sync.WaitGroup
 }
 
-// New makes an engine; Start makes it listen.
+// New returns an engine that is not listening yet.
 func New(options Options) *Engine {
 	if options.Log == nil {
 		options.Log = NewRunLog()
@@ -60,8 +60,8 @@
 	return &Engine{options: options, gate: newGate(), slowdown: 1}
 }
 
-// Start listens on address (port 0 picks one) with an empty state. After a Kill it
-// starts anew on the address that it had.
+// Start listens on address (port 0 picks a free one) with an empty state. After a Kill
+// it ignores address and listens on the previous one.
 func (e *Engine) Start(address string) error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -84,10 +84,10 @@
 	return nil
 }
 
-// reset empties the state, as a new process would have it.
+// reset sets the state to that of a new process.
 func (e *Engine) reset() {
 	events := eventLog{
-		// A restarted engine goes on at a higher sequence, so that a follower sees a gap.
+		// A restarted engine continues with a higher sequence, so that followers see a gap.
 		sequence: uint64(time.Now().UnixMicro()),
 
 		lag:    e.options.CacheEventLag,
@@ -113,10 +113,10 @@
 // Replica returns the engine's name.
 func (e *Engine) Replica() string { return e.options.Replica }
 
-// Log returns the record of what the engine did.
+// Log returns the log of the engine's runs.
 func (e *Engine) Log() *RunLog { return e.options.Log }
 
-// Kill cuts all connections and loses all state. Start brings an empty engine back.
+// Kill closes all connections and discards all state. Start starts the engine again.
 func (e *Engine) Kill() {
 	e.mutex.Lock()
 	if !e.up {
@@ -140,13 +140,13 @@
 	e.loops.Wait()
 }
 
-// Stop ends the engine like Kill; a planned end is Leave, then waiting until Running is 0.
+// Stop is Kill without an error. For a planned stop call Leave and wait until Running is 0 first.
 func (e *Engine) Stop(context.Context) error {
 	e.Kill()
 	return nil
 }
 
-// Freeze stops the engine's steps and answers without closing connections, until Thaw.
+// Freeze suspends the engine's steps and responses until Thaw; connections stay open.
 func (e *Engine) Freeze() { e.gate.close() }
 
 // Thaw ends a Freeze.
@@ -159,14 +159,14 @@
 	e.slowdown = factor
 }
 
-// Leave makes the engine refuse new runs; those it has go on.
+// Leave makes the engine refuse new runs; current runs continue.
 func (e *Engine) Leave() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = true
 }
 
-// SetLoadLag changes the age of load reports.
+// SetLoadLag changes the delay of load reports.
 func (e *Engine) SetLoadLag(lag time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -181,21 +181,21 @@
 	e.options.CacheEventLoss = share
 }
 
-// Serves tells whether the engine has exactly this version of a model, ready.
+// Serves reports whether this version of a model is the only model of the engine and is ready.
 func (e *Engine) Serves(model, version string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.models) == 1 && e.models[0].Model == model && e.models[0].Version == version && e.models[0].State == modelReady
 }
 
-// Running returns the number of runs that wait or run.
+// Running returns the number of runs that are queued or running.
 func (e *Engine) Running() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.scheduler.running) + len(e.scheduler.waiting)
 }
 
-// stepLoop computes steps one after the other and sleeps while there is nothing to do.
+// stepLoop computes one step after the other and waits while there is no work.
 func (e *Engine) stepLoop(ended <-chan struct{}, work <-chan struct{}) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -215,7 +215,7 @@
 			continue
 		}
 		due = due.Add(duration)
-		if behind := time.Since(due); behind > maxStepBehind {
+		if lag := time.Since(due); lag > maxStepLag {
 			due = time.Now()
 		}
 		timer.Reset(time.Until(due))
@@ -242,7 +242,7 @@
 	return duration
 }
 
-// prepare finds what of the run's prompt is cached when it comes into the batch.
+// prepare looks up the cached prefix of a run that enters the batch and sets its remaining prefill.
 func (e *Engine) prepare(entry *run, now time.Time) {
 	text := entry.text()
 	cached := e.cache.match(modelengine.PrefixBlocks(entry.model, entry.adapter, text))
@@ -252,7 +252,7 @@
 	e.options.Log.started(entry, e.options.Replica, now)
 }
 
-// endStep applies the planned step, which took duration of the engine's time.
+// endStep applies the planned step, which took duration of engine time.
 func (e *Engine) endStep(duration time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -285,11 +285,11 @@
 func (e *Engine) finish(entry *run, now time.Time) {
 	e.storePrefix(entry, now)
 	e.options.Log.ended(entry, true, false)
-	e.forgetLater(entry)
+	e.scheduleRemoval(entry)
 	entry.notify()
 }
 
-// cancel ends a run that has not ended; its output so far can still be read.
+// cancel ends a run unless it has ended; its output so far can still be read.
 func (e *Engine) cancel(entry *run, now time.Time) {
 	if entry.ended() {
 		return
@@ -301,12 +301,12 @@
 	entry.state = stateCancelled
 	entry.decoding, entry.prefilling = false, 0
 	e.options.Log.ended(entry, false, true)
-	e.forgetLater(entry)
+	e.scheduleRemoval(entry)
 	entry.notify()
 }
 
-// forgetLater drops an ended run after its retention.
-func (e *Engine) forgetLater(entry *run) {
+// scheduleRemoval removes an ended run after its retention.
+func (e *Engine) scheduleRemoval(entry *run) {
 	entry.stopExpiry()
 	entry.expiry = time.AfterFunc(e.options.RunRetention, func() {
 		e.mutex.Lock()
--- a/lab/engine/gate.go
+++ b/lab/engine/gate.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// gate holds up a frozen engine's work. It is safe for concurrent use.
+// gate blocks the work of a frozen engine. It is safe for concurrent use.
 type gate struct {
 	mutex sync.Mutex
 	// opened is closed while the gate is open.
@@ -36,7 +36,7 @@
 	}
 }
 
-// wait blocks while the gate is shut; it returns false when ended is closed.
+// wait blocks while the gate is shut. It returns false if ended is closed.
 func (g *gate) wait(ended <-chan struct{}) bool {
 	g.mutex.Lock()
 	opened := g.opened
@@ -54,7 +54,7 @@
 	}
 }
 
-// hold makes requests wait while the gate is shut.
+// hold returns a handler that blocks requests while the gate is shut.
 func (g *gate) hold(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if g.wait(request.Context().Done()) {
--- a/lab/engine/generation.go
+++ b/lab/engine/generation.go
@@ -7,7 +7,7 @@
 	modelengine "github.com/sloelift/sloelift/internal/engine"
 )
 
-// attach finds the run of a request or starts it, and adds a reader to it.
+// attach finds or starts the run of a request and adds a reader to it.
 func (e *Engine) attach(request generationRequest) (*run, *reader, *refusal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -35,7 +35,7 @@
 	return entry, follower, nil
 }
 
-// refuseNew tells why a new run can't be taken; nil where it can.
+// refuseNew returns the reason why no new run can be accepted, or nil.
 func (e *Engine) refuseNew() *refusal {
 	if e.leaving {
 		return &refusal{status: http.StatusServiceUnavailable, notRun: true, message: "leaving"}
@@ -79,7 +79,7 @@
 	e.runs[request.id] = entry
 	if entry.produced >= entry.answer.Tokens {
 		entry.state = stateFinished
-		e.forgetLater(entry)
+		e.scheduleRemoval(entry)
 		return entry, nil
 	}
 	e.scheduler.enqueue(entry)
@@ -94,7 +94,7 @@
 	return entry.priority < OnlineRank
 }
 
-// resume lets a new run go on behind the answer so far.
+// resume makes a new run continue after the given part of the answer.
 func (e *Engine) resume(entry *run, resume *resumeBody) *refusal {
 	if resume == nil || resume.Offset == 0 {
 		return nil
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// revive lets a cancelled run go on where a request with an answer so far asks for
-// it; what the run made before the cancel is not computed again.
+// revive continues a cancelled run if the request resumes it; tokens produced before
+// the cancel are not computed again.
 func (e *Engine) revive(entry *run, request generationRequest) *refusal {
 	if entry.state != stateCancelled || request.body.Resume == nil || request.attachOnly {
 		return nil
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// detach takes a reader away; a run that nobody reads is cancelled after a while.
+// detach removes a reader; a run without readers is cancelled after UnreadTimeout.
 func (e *Engine) detach(entry *run, follower *reader) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -144,7 +144,7 @@
 	})
 }
 
-// progress is what a reader sees of a run at one time.
+// progress is a snapshot of a run for its readers.
 type progress struct {
 	produced int
 	state    runState
--- a/lab/engine/http_handlers.go
+++ b/lab/engine/http_handlers.go
@@ -12,7 +12,7 @@
 	modelengine "github.com/sloelift/sloelift/internal/engine"
 )
 
-// refusal is an answer other than a stream.
+// refusal is an error response; notRun is set if the request has not run and will not run.
 type refusal struct {
 	status  int
 	notRun  bool
@@ -123,7 +123,7 @@
 	writeJSON(writer, http.StatusOK, page)
 }
 
-// exportedCache stands for the KV cache of a run: the text that it covers.
+// exportedCache represents the KV cache of a run by the text that it covers.
 type exportedCache struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
--- a/lab/engine/http_stream.go
+++ b/lab/engine/http_stream.go
@@ -10,7 +10,7 @@
 
 const finishCancelled = "cancelled"
 
-// streamChunk is an OpenAI chunk of either operation.
+// streamChunk is an OpenAI stream chunk, for chats and for completions.
 type streamChunk struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -84,7 +84,7 @@
 	return "text_completion"
 }
 
-// follow writes a run's tokens as they are made, until it ends or the reader goes.
+// follow writes a run's tokens as they are produced, until the run ends or the reader disconnects.
 func (e *Engine) follow(request *http.Request, entry *run, follower *reader, stream *streamWriter) {
 	done := request.Context().Done()
 	for {
@@ -109,8 +109,8 @@
 	}
 }
 
-// streamWriter writes the events of one connection. sent is the offset behind the
-// last token written.
+// streamWriter writes the events of one connection. sent is the offset after the last
+// token written.
 type streamWriter struct {
 	writer    http.ResponseWriter
 	flusher   *http.ResponseController
--- a/lab/engine/load_report.go
+++ b/lab/engine/load_report.go
@@ -6,10 +6,10 @@
 	modelengine "github.com/sloelift/sloelift/internal/engine"
 )
 
-// keptSamples bounds the load history: 5 s of samples, so that the lag can be that long.
-const keptSamples = 256
+// minKeptSamples is the minimum number of samples in the load history: 5 s of samples, which is the longest possible lag.
+const minKeptSamples = 256
 
-// loadHistory holds past load reports, the newest last.
+// loadHistory holds past load reports, newest last.
 type loadHistory struct {
 	sequence uint64
 	reports  []modelengine.LoadReport
@@ -18,8 +18,8 @@
 func (h *loadHistory) add(report modelengine.LoadReport) {
 	h.sequence++
 	report.Sequence = h.sequence
-	if len(h.reports) == 2*keptSamples {
-		h.reports = append(h.reports[:0], h.reports[keptSamples:]...)
+	if len(h.reports) == 2*minKeptSamples {
+		h.reports = append(h.reports[:0], h.reports[minKeptSamples:]...)
 	}
 	h.reports = append(h.reports, report)
 }
@@ -53,7 +53,7 @@
 	e.history.add(e.measure(time.Now()))
 }
 
-// measure returns the present load; the caller holds the mutex.
+// measure returns the current load. The caller holds mutex.
 func (e *Engine) measure(now time.Time) modelengine.LoadReport {
 	report := modelengine.LoadReport{
 		MeasuredAt:  now,
--- a/lab/engine/options.go
+++ b/lab/engine/options.go
@@ -6,50 +6,49 @@
 	modelengine "github.com/sloelift/sloelift/internal/engine"
 )
 
-// OnlineRank is the lowest request priority that counts as online; requests below it
-// count as batch, in load reports and in how often they stream.
+// OnlineRank is the lowest request priority of online requests. Requests below it count
+// as batch, both in load reports and for the size of their stream events.
 const OnlineRank = 500
 
-// Options describe one emulated engine. The zero value of a field other than Replica
-// means the value of DefaultOptions where one is needed.
+// Options describe one emulated engine; start from DefaultOptions.
 type Options struct {
 	Replica string
-	// Models are the models that are ready at the start; empty accepts any model name.
+	// Models are the models that are ready at start; if empty, any model name is accepted.
 	Models []modelengine.Loaded
-	// StepBase is the duration of a step with nothing in it; a step takes
+	// StepBase is the duration of an empty step; a step takes
 	// StepBase + decoding sequences * StepPerSequence + prefill tokens * StepPerPrefillToken.
 	StepBase            time.Duration
 	StepPerSequence     time.Duration
 	StepPerPrefillToken time.Duration
-	// PrefillChunk bounds the prompt tokens that one step computes.
+	// PrefillChunk is the maximum number of prompt tokens computed in one step.
 	PrefillChunk int
-	// MaxRunning bounds the sequences in a step, MaxWaiting those that wait.
+	// MaxRunning is the maximum number of sequences in a step, MaxWaiting that of queued ones.
 	MaxRunning int
 	MaxWaiting int
-	// CacheBlocks bounds the prefix cache, in blocks of engine.PrefixBlockBytes.
+	// CacheBlocks is the size of the prefix cache in blocks of engine.PrefixBlockBytes.
 	CacheBlocks int
-	// BatchFlushTokens is how many tokens of a batch run go into one stream event;
-	// runs of online rank stream each token.
+	// BatchFlushTokens is the number of tokens per stream event of batch runs; online
+	// runs stream every token.
 	BatchFlushTokens int
-	// LoadLag is the age of load reports, CacheEventLag that of cache events.
+	// LoadLag is the delay of load reports, CacheEventLag that of cache events.
 	LoadLag       time.Duration
 	CacheEventLag time.Duration
 	// CacheEventLoss is the share of cache events that are never published, 0 to 1.
 	CacheEventLoss float64
-	// ModelLoadTime is how long an ordered model or adapter takes to be ready.
+	// ModelLoadTime is the time from an order until the model or adapter is ready.
 	ModelLoadTime time.Duration
-	// RunRetention is how long an ended run can be attached to; UnreadTimeout is how
-	// long a run without a reader goes on.
+	// RunRetention is how long requests can attach to an ended run; UnreadTimeout is how
+	// long a run without a reader continues.
 	RunRetention  time.Duration
 	UnreadTimeout time.Duration
-	// IsBatch tells whether the run of a marker counts as batch; nil goes by OnlineRank. It is for
-	// policies under which both classes have the same priority.
+	// IsBatch reports whether the run with a marker is a batch run, for policies under which both
+	// classes have the same priority. If nil, OnlineRank decides.
 	IsBatch func(marker string) bool
-	// ReserveFetch asks the weight store for leave to fetch; nil is always granted.
+	// ReserveFetch requests permission to fetch weights from the weight store; nil always permits.
 	ReserveFetch func(name, version, replica string) error
-	// Log records what the engine really did; it outlives a kill.
+	// Log records the engine's runs and survives a kill.
 	Log *RunLog
-	// Seed drives the loss of cache events.
+	// Seed determines which cache events are lost.
 	Seed uint64
 }
 
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -24,16 +24,16 @@
 		writeRefusal(writer, &refusal{status: http.StatusBadRequest, message: "not an order"})
 		return
 	}
-	if refused := e.obey(order); refused != nil {
+	if refused := e.execute(order); refused != nil {
 		writeRefusal(writer, refused)
 		return
 	}
 	writer.WriteHeader(http.StatusOK)
 }
 
-// obey carries out an order unless a later orderer has been heard.
-func (e *Engine) obey(order modelengine.Order) *refusal {
-	if refused := e.fenceOff(order.Fence); refused != nil {
+// execute carries out an order unless its fencing token is lower than one seen before.
+func (e *Engine) execute(order modelengine.Order) *refusal {
+	if refused := e.checkFence(order.Fence); refused != nil {
 		return refused
 	}
 	switch order.Kind {
@@ -49,7 +49,7 @@
 	}
 }
 
-func (e *Engine) fenceOff(fence uint64) *refusal {
+func (e *Engine) checkFence(fence uint64) *refusal {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if fence < e.fence {
@@ -82,8 +82,8 @@
 	}
 }
 
-// load fetches weights; the model or adapter serves after ModelLoadTime. A second
-// order for what is there or on its way changes nothing.
+// load fetches weights; the model or adapter is ready after ModelLoadTime. An order for
+// a model or adapter that is loaded or loading changes nothing.
 func (e *Engine) load(order modelengine.Order) *refusal {
 	name := order.Model
 	if order.Kind == modelengine.OrderLoadAdapter {
@@ -121,7 +121,7 @@
 	})
 }
 
-// completeLoad makes the ordered thing serve, unless the engine was killed meanwhile.
+// completeLoad makes the ordered model or adapter ready, unless the engine was killed in the meantime.
 func (e *Engine) completeLoad(order modelengine.Order, ended <-chan struct{}) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -139,8 +139,8 @@
 	})
 }
 
-// resolve finds model and adapter of a request's model name, which is "model",
-// "model:adapter" or the name of an adapter; the caller holds the mutex.
+// resolve returns the model and adapter for a request's model name, which is "model",
+// "model:adapter" or the name of an adapter. The caller holds mutex.
 func (e *Engine) resolve(name string) (model, adapter string, ready bool) {
 	base, suffix, _ := strings.Cut(name, ":")
 	if len(e.models) == 0 && len(e.options.Models) == 0 {
--- a/lab/engine/request.go
+++ b/lab/engine/request.go
@@ -19,11 +19,11 @@
 	headerAttachOnly   = "X-Attach-Only"
 	headerNotRun       = "X-Not-Run"
 
-	// maxBodyBytes bounds a generation's body.
+	// maxBodyBytes is the maximum size of a generation request's body.
 	maxBodyBytes = 8 << 20
 )
 
-// generationRequest is a parsed generation.
+// generationRequest is a parsed generation request.
 type generationRequest struct {
 	id         string
 	priority   int
@@ -34,7 +34,7 @@
 	prompt     string
 }
 
-// generationBody holds the fields of an OpenAI body that the emulator looks at.
+// generationBody holds the fields of an OpenAI request body that the emulator uses.
 type generationBody struct {
 	Model               string        `json:"model"`
 	Prompt              string        `json:"prompt"`
@@ -100,7 +100,7 @@
 	return value, nil
 }
 
-// promptText returns the text that the engine computes for a body.
+// promptText returns the prompt of a request body.
 func promptText(operation modelengine.Operation, body generationBody) (string, error) {
 	if operation == modelengine.OperationCompletion {
 		if body.Prompt == "" {
@@ -140,5 +140,5 @@
 	return text, nil
 }
 
-// ChatPrompt returns the prompt that a chat with one message of role user stands for.
+// ChatPrompt returns the prompt of a chat with a single user message.
 func ChatPrompt(content string) string { return "user: " + content + "\n" }
--- a/lab/engine/run.go
+++ b/lab/engine/run.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// runState is the state of a run, as the protocol names it.
+// runState is the state of a run, with the names that the protocol uses.
 type runState string
 
 const (
@@ -23,34 +23,34 @@
 	priority int
 	batch    bool
 	arrival  uint64
-	// dispatched is when the engine took the run, or revived it.
+	// dispatched is the time at which the engine accepted or revived the run.
 	dispatched time.Time
-	// lastProgress is the engine's time at the dispatch, then at the last token.
+	// lastProgress is the engine time of the dispatch, later that of the last token.
 	lastProgress time.Duration
 	hasToken     bool
 	state        runState
-	// startOffset is the token that this run began or was revived with.
+	// startOffset is the index of the first token since the run was started or revived.
 	startOffset int
-	// produced is the offset behind the last token made.
+	// produced is the offset after the last token produced.
 	produced int
-	// prefillLeft counts prompt tokens still to compute before the next answer token.
+	// prefillLeft is the number of prompt tokens to compute before the next answer token.
 	prefillLeft  int
 	cachedTokens int
 	started      bool
 	revived      bool
-	// decoded and prefilled count what was computed since the log last heard.
+	// decoded and prefilled count the tokens computed that are not in the run log yet.
 	decoded   int
 	prefilled int
-	// decoding is set for the step being computed: the run makes one token in it.
+	// decoding is set if the run produces a token in the step being computed.
 	decoding bool
 	// prefilling is the number of prompt tokens in the step being computed.
 	prefilling int
 	readers    map[*reader]struct{}
-	// expiry ends an unread run or forgets an ended one.
+	// expiry cancels an unread run or removes an ended one.
 	expiry *time.Timer
 }
 
-// reader is one connection that follows a run; wake is signalled after progress.
+// reader is one connection that follows a run; wake is signaled after progress.
 type reader struct{ wake chan struct{} }
 
 func newReader() *reader { return &reader{wake: make(chan struct{}, 1)} }
@@ -70,5 +70,5 @@
 	}
 }
 
-// text is the prompt with the answer so far, which is what the cache can hold of the run.
+// text returns the prompt and the answer so far, which is the text that the cache can hold for the run.
 func (r *run) text() string { return r.prompt + r.answer.Text(0, r.produced) }
--- a/lab/engine/run_log.go
+++ b/lab/engine/run_log.go
@@ -8,46 +8,46 @@
 	"github.com/sloelift/sloelift/lab/histogram"
 )
 
-// RunRecord is what engines truly did for one prompt. The marker is the prompt's last
-// line, which the load makes unique, so that the record does not depend on request ids
-// of the system under test.
+// RunRecord describes what the engines did for one prompt. The marker is the prompt's
+// last line, which the load generator makes unique, so that the record does not depend
+// on the request ids of the system under test.
 type RunRecord struct {
 	Marker string
-	// Starts counts runs that computed at least one token of prompt or answer, resumptions among them.
+	// Starts counts runs, including resumed ones, that began to compute tokens.
 	Starts int
-	// FreshStarts counts runs that began at token 0 under a request id new to the engine.
+	// FreshStarts counts runs that began at token 0 with a request id new to the engine.
 	FreshStarts int
-	// Finished counts runs that reached the answer's end.
+	// Finished counts runs that reached the end of the answer.
 	Finished int
 	Cancels  int
-	// Decoded is the number of answer tokens computed, over all runs; Furthest is the
-	// highest offset reached by any.
+	// Decoded is the number of answer tokens computed in all runs; Furthest is the
+	// highest offset reached in any run.
 	Decoded  int
 	Furthest int
-	// Prefilled is the number of prompt tokens computed, over all runs; PromptTokens is
-	// the prompt's length and CachedTokens what the first run found in the cache.
+	// Prefilled is the number of prompt tokens computed in all runs; PromptTokens is the
+	// length of the prompt and CachedTokens the part that the first run found in the cache.
 	Prefilled    int
 	PromptTokens int
 	CachedTokens int
 	Batch        bool
-	// ResumeMismatches counts resumptions whose text so far was not the right answer's.
+	// ResumeMismatches counts resumed runs whose given text was not part of the correct answer.
 	ResumeMismatches int
-	// History lists the starts in order.
+	// History holds the starts in order.
 	History []Start
 }
 
-// Start is one run's first step.
+// Start describes the start of one run.
 type Start struct {
 	Replica   string
 	RequestID string
-	// Dispatched is when the engine took the request, At when its first step began.
+	// Dispatched is the time at which the engine accepted the request, At that at which its first step began.
 	Dispatched time.Time
 	At         time.Time
-	// Offset is the token that the run went on with.
+	// Offset is the index of the first token that the run had to produce.
 	Offset int
 }
 
-// LastStart returns the last start; the zero value where there was none.
+// LastStart returns the last start, or the zero value if there was none.
 func (r RunRecord) LastStart() Start {
 	if len(r.History) == 0 {
 		return Start{}
@@ -55,7 +55,7 @@
 	return r.History[len(r.History)-1]
 }
 
-// Totals count what all engines computed so far.
+// Totals counts the tokens and runs computed by all engines.
 type Totals struct {
 	OnlineDecoded  int64 `json:"online_decoded"`
 	OnlinePrefill  int64 `json:"online_prefill"`
@@ -65,12 +65,12 @@
 	OnlineFinished int64 `json:"online_finished"`
 }
 
-// RunLog is the record of all engines of a deployment. It is the lab's own evidence
-// and is not lost when an engine is killed. It is safe for concurrent use.
+// RunLog records the runs of all engines of a deployment, independently of the system
+// under test. It survives the kill of an engine. It is safe for concurrent use.
 type RunLog struct {
 	// OnlineFirstToken is the time from dispatch to the first token of online runs, OnlineInterToken
-	// that between their tokens, both in engine time, the sum of the steps' durations: what a busy
-	// machine adds is not in them.
+	// the time between their tokens. Both are in engine time, the sum of the durations of steps, so
+	// that a busy machine does not add to them.
 	OnlineFirstToken *histogram.Histogram
 	OnlineInterToken *histogram.Histogram
 
@@ -103,7 +103,7 @@
 	return found
 }
 
-// started notes that a run got its first step.
+// started records the first step of a run.
 func (l *RunLog) started(run *run, replica string, at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,10 +117,12 @@
 		record.CachedTokens = run.cachedTokens
 		record.Batch = run.batch
 	}
-	record.History = append(record.History, Start{Replica: replica, RequestID: run.id, Dispatched: run.dispatched, At: at, Offset: run.startOffset})
+	record.History = append(record.History, Start{
+		Replica: replica, RequestID: run.id, Dispatched: run.dispatched, At: at, Offset: run.startOffset,
+	})
 }
 
-// ended notes what a run computed when it finished, was cancelled or died.
+// ended records what a run computed, when it finishes, is cancelled or dies with its engine.
 func (l *RunLog) ended(run *run, finished, cancelled bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -142,7 +144,7 @@
 	run.decoded, run.prefilled = 0, 0
 }
 
-// computed adds what one step computed.
+// computed adds the tokens of one step to the totals.
 func (l *RunLog) computed(step Totals) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -152,7 +154,7 @@
 	l.totals.BatchPrefill += step.BatchPrefill
 }
 
-// Totals returns the sums so far.
+// Totals returns the totals so far.
 func (l *RunLog) Totals() Totals {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/lab/engine/scheduler.go
+++ b/lab/engine/scheduler.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// scheduler decides what one step computes. It has no clock; the engine's mutex guards it.
+// scheduler decides what each step computes. It has no clock and is guarded by the engine's mutex.
 type scheduler struct {
 	options *Options
 	running []*run
-	// waiting is sorted by priority, highest first, then by arrival.
+	// waiting is sorted by descending priority, then by arrival.
 	waiting []*run
 }
 
@@ -21,20 +21,20 @@
 	return cmp.Compare(a.arrival, b.arrival)
 }
 
-// enqueue puts a run where its priority places it.
+// enqueue adds a run to the queue according to its priority.
 func (s *scheduler) enqueue(entry *run) {
 	entry.state = stateQueued
 	at, _ := slices.BinarySearchFunc(s.waiting, entry, compareRuns)
 	s.waiting = slices.Insert(s.waiting, at, entry)
 }
 
-// remove takes a run out of the queue or the batch.
+// remove removes a run from the queue or the batch.
 func (s *scheduler) remove(entry *run) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(other *run) bool { return other == entry })
 	s.running = slices.DeleteFunc(s.running, func(other *run) bool { return other == entry })
 }
 
-// admit moves waiting runs into free places and returns them.
+// admit moves waiting runs into free places of the batch and returns them.
 func (s *scheduler) admit() []*run {
 	free := min(s.options.MaxRunning-len(s.running), len(s.waiting))
 	if free <= 0 {
@@ -50,8 +50,8 @@
 	return admitted
 }
 
-// plan sets what each running sequence does in the next step and returns the step's
-// duration; 0 means that there is nothing to do.
+// plan sets what each running sequence computes in the next step and returns the step's
+// duration, or 0 if there is nothing to do.
 func (s *scheduler) plan() time.Duration {
 	if len(s.running) == 0 {
 		return 0
@@ -71,7 +71,7 @@
 		time.Duration(prefilling)*s.options.StepPerPrefillToken
 }
 
-// planned counts what the planned step computes.
+// planned returns the tokens that the planned step computes.
 func (s *scheduler) planned() Totals {
 	var step Totals
 	for _, entry := range s.running {
@@ -90,8 +90,8 @@
 	return step
 }
 
-// noteTimes records, for online runs, the tokens of the planned step; clock is the engine's
-// time at its end.
+// noteTimes records the token times of the online runs in the planned step; clock is the
+// engine time at the end of the step.
 func (s *scheduler) noteTimes(log *RunLog, clock time.Duration) {
 	for _, entry := range s.running {
 		if entry.batch || !entry.decoding {
@@ -106,7 +106,7 @@
 	}
 }
 
-// complete applies the planned step and returns the runs that reached their answer's end.
+// complete applies the planned step and returns the runs that reached the end of their answers.
 func (s *scheduler) complete() []*run {
 	var finished []*run
 	for _, entry := range s.running {
--- a/lab/engine/scheduler_test.go
+++ b/lab/engine/scheduler_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScheduler drives the scheduler by hand: "enqueue", "step" and "remove", and prints its state.
+// TestScheduler runs the commands "enqueue", "step" and "remove" against a scheduler and prints its state after each step.
 func TestScheduler(t *testing.T) {
 	datadriven.RunTest(t, "testdata/scheduler", func(t *testing.T, data *datadriven.TestData) string {
 		options := DefaultOptions("replica", 3400000)
