--- a/lab/load/batch.go
+++ b/lab/load/batch.go
@@ -17,8 +17,8 @@
 	retryWait     = 200 * time.Millisecond
 )
 
-// runJob submits a job, cancels it where the plan says so, follows it to its end and
-// reads its results.
+// runJob submits a job, cancels it if planned, follows it to its end and reads its
+// results.
 func (r *Runner) runJob(ctx context.Context, index int, arrival JobArrival) {
 	job := &JobOutcome{Arrival: arrival, Results: map[string][]string{}, Errors: map[string]string{}}
 	if r.submit(ctx, index, job) {
@@ -29,8 +29,8 @@
 	r.jobs = append(r.jobs, *job)
 }
 
-// submit sends the job, and a second time at once where the plan says so; both must
-// give the same id.
+// submit submits the job, if planned twice at the same time; both submissions must
+// return the same id.
 func (r *Runner) submit(ctx context.Context, index int, job *JobOutcome) bool {
 	content, err := encodeItems(r.plan.Profile.Model, job.Arrival)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return true
 }
 
-// submitOnce uploads and creates until it has an answer that is not a failure to repeat.
+// submitOnce uploads the input and creates the batch, and retries both after retryable failures.
 func (r *Runner) submitOnce(ctx context.Context, index int, arrival JobArrival, content []byte) (string, error) {
 	var status BatchStatus
 	err := r.retry(ctx, index, func(ctx context.Context, node netip.AddrPort) error {
@@ -67,7 +67,7 @@
 	return status.ID, err
 }
 
-// retry calls one node after the other until the call succeeds, is refused for good or ctx ends.
+// retry calls one node after the other until the call succeeds, fails with a definite error or ctx ends.
 func (r *Runner) retry(ctx context.Context, index int, call func(context.Context, netip.AddrPort) error) error {
 	var last error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -87,7 +87,7 @@
 	return errors.Join(last, ctx.Err())
 }
 
-// definite tells whether an answer stays the same when the call is repeated.
+// definite reports whether repeating the call would fail with the same status.
 func definite(err error) bool {
 	var status *StatusError
 	if !errors.As(err, &status) {
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Headers of the callers' interface that are not part of OpenAI's.
+// Headers of the callers' API that are not part of OpenAI's.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerNotRepeatable  = "X-Not-Repeatable"
@@ -26,11 +26,11 @@
 	headerShouldRetry    = "X-Should-Retry"
 )
 
-// idleTimeout is shorter than a node's own, so that a request does not meet a connection
-// that the node is closing for idleness.
+// idleTimeout is shorter than that of nodes, so that no request is sent on a connection
+// that a node is closing because it is idle.
 const idleTimeout = 2 * time.Second
 
-// Caller is a client of the callers' interface. It is safe for concurrent use.
+// Caller is a client of the callers' API. It is safe for concurrent use.
 type Caller struct {
 	client *http.Client
 	key    string
@@ -45,14 +45,14 @@
 // Close closes idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// StatusError is an answer other than success, with the outcome that it names.
+// StatusError is an error response with the outcome that it reports.
 type StatusError struct {
 	Status     int
 	Outcome    string
 	Reason     string
 	Message    string
 	RetryAfter time.Duration
-	// ShouldRetry says that the answer asks the caller to come back.
+	// ShouldRetry is set if the response asks the caller to retry.
 	ShouldRetry bool
 }
 
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("status %d, outcome %q, reason %q: %s", e.Status, e.Outcome, e.Reason, e.Message)
 }
 
-// errorAnswer is the error body of the callers' interface.
+// errorAnswer is the error body of the callers' API.
 type errorAnswer struct {
 	Error struct {
 		Message string `json:"message"`
@@ -70,7 +70,7 @@
 	} `json:"error"`
 }
 
-// errCut means that a stream ended without its end mark.
+// errCut means that a stream ended before its [DONE] event.
 var errCut = errors.New("stream was cut before its end")
 
 type chatBody struct {
@@ -82,7 +82,7 @@
 	Resume    *resumeBody    `json:"resume,omitempty"`
 }
 
-// resumeBody holds the answer that a reconnecting caller has.
+// resumeBody holds the part of the answer that a reconnecting caller has received.
 type resumeBody struct {
 	Text string `json:"text"`
 }
@@ -96,7 +96,7 @@
 	Content string `json:"content"`
 }
 
-// chatEvent is what the load reads of a stream's chunk.
+// chatEvent holds the fields of a stream chunk that the load generator uses.
 type chatEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -126,7 +126,7 @@
 	Priority       string
 	IdempotencyKey string
 	NotRepeatable  bool
-	// LastEventID and Prior go on with a stream that an earlier connection began.
+	// LastEventID and Prior, the text received so far, continue a stream that an earlier connection began.
 	LastEventID string
 	Prior       string
 }
@@ -137,13 +137,13 @@
 	FinishReason string
 	PromptTokens int
 	CachedTokens int
-	// Accepted is set once the stream's headers were there.
+	// Accepted is set once the stream's headers were received.
 	Accepted bool
-	// LastEventID is the id of the last event.
+	// LastEventID is the id of the last event received.
 	LastEventID string
 }
 
-// Stream runs a chat and calls onTokens after each event with tokens in it.
+// Stream runs a chat and calls onTokens after each event that contains tokens.
 func (c *Caller) Stream(ctx context.Context, node netip.AddrPort, request ChatRequest, onTokens func(text string)) (ChatResult, error) {
 	body, err := json.Marshal(request.body())
 	if err != nil {
@@ -187,7 +187,7 @@
 	return headers
 }
 
-// readStream reads events until the end mark.
+// readStream reads events until [DONE].
 func readStream(stream io.Reader, onTokens func(text string)) (ChatResult, error) {
 	var result ChatResult
 	var text strings.Builder
@@ -223,7 +223,7 @@
 	return result, errors.Join(errCut, scanner.Err())
 }
 
-// take notes an event's usage and finish reason and returns its text.
+// take stores an event's usage and finish reason and returns its text.
 func (r *ChatResult) take(event chatEvent) string {
 	if event.Usage != nil {
 		r.PromptTokens, r.CachedTokens = event.Usage.PromptTokens, event.Usage.PromptTokensDetails.CachedTokens
@@ -237,7 +237,7 @@
 	return event.Choices[0].Delta.Content
 }
 
-// do sends a request and turns an answer other than success into a *StatusError.
+// do sends a request and returns a *StatusError for a response other than 2xx.
 func (c *Caller) do(ctx context.Context, method string, node netip.AddrPort, path, contentType string, body io.Reader, headers map[string]string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+node.String()+path, body)
 	if err != nil {
--- a/lab/load/caller_batch.go
+++ b/lab/load/caller_batch.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// BatchStatus is what the load reads of a batch.
+// BatchStatus holds the fields of a batch that the load generator uses.
 type BatchStatus struct {
 	ID            string `json:"id"`
 	Status        string `json:"status"`
@@ -26,7 +26,7 @@
 	} `json:"request_counts"`
 }
 
-// Ended tells whether nothing more will happen to the batch.
+// Ended reports whether the batch is in a final state.
 func (s BatchStatus) Ended() bool {
 	switch s.Status {
 	case "completed", "cancelled", "expired", "failed":
@@ -35,7 +35,7 @@
 	return false
 }
 
-// batchLine is one line of a batch's input.
+// batchLine is one line of a batch's input file.
 type batchLine struct {
 	CustomID string           `json:"custom_id"`
 	Method   string           `json:"method"`
@@ -43,7 +43,7 @@
 	Body     chatBody         `json:"body"`
 }
 
-// resultLine is one line of a batch's output.
+// resultLine is one line of a batch's output or error file.
 type resultLine struct {
 	CustomID string `json:"custom_id"`
 	Response *struct {
@@ -59,7 +59,7 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// encodeItems writes a job's input file.
+// encodeItems returns a job's input file.
 func encodeItems(model string, job JobArrival) ([]byte, error) {
 	var content bytes.Buffer
 	encoder := json.NewEncoder(&content)
@@ -76,7 +76,7 @@
 	return content.Bytes(), nil
 }
 
-// Upload stores a batch's input and returns the file's id.
+// Upload uploads a batch's input file and returns its id.
 func (c *Caller) Upload(ctx context.Context, node netip.AddrPort, name string, content []byte) (string, error) {
 	var form bytes.Buffer
 	writer := multipart.NewWriter(&form)
@@ -107,7 +107,7 @@
 	Metadata         map[string]string `json:"metadata,omitempty"`
 }
 
-// CreateBatch submits a job under its key.
+// CreateBatch submits a job with its key as the idempotency key.
 func (c *Caller) CreateBatch(ctx context.Context, node netip.AddrPort, fileID string, job JobArrival) (BatchStatus, error) {
 	body, err := json.Marshal(createBatch{
 		InputFileID:      fileID,
@@ -160,7 +160,9 @@
 	}
 }
 
-func (c *Caller) callJSON(ctx context.Context, method string, node netip.AddrPort, path, contentType string, body []byte, headers map[string]string, answer any) error {
+func (c *Caller) callJSON(
+	ctx context.Context, method string, node netip.AddrPort, path, contentType string, body []byte, headers map[string]string, answer any,
+) error {
 	response, err := c.do(ctx, method, node, path, contentType, bytes.NewReader(body), headers)
 	if err != nil {
 		return err
--- a/lab/load/doc.go
+++ b/lab/load/doc.go
@@ -1,2 +1,3 @@
-// Package load makes online arrivals and heaps of batch jobs from a seed and a profile.
+// Package load generates online requests and bursts of batch jobs from a seed and a profile, sends them to nodes, and checks
+// what callers received against what engines recorded.
 package load
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxOnlineAttempts bounds what a caller tries for one request.
+	// maxOnlineAttempts is the maximum number of attempts of a caller for one request.
 	maxOnlineAttempts = 12
-	// defaultRetryWait is waited where an answer names no time to come back.
+	// defaultRetryWait is the delay before a retry if the response sets none.
 	defaultRetryWait = 100 * time.Millisecond
 	maxRetryWait     = 2 * time.Second
 	onlineTimeout    = 60 * time.Second
 )
 
-// runOnline plays one request as a caller does: it comes back after "not run" answers
-// and sends an unmarked or keyed request again after a cut.
+// runOnline plays one request like a real caller: it retries after "not run" responses,
+// and it sends an unmarked or keyed request again after a cut connection.
 func (r *Runner) runOnline(ctx context.Context, index int, arrival OnlineArrival) {
 	bounded, cancel := context.WithTimeout(ctx, onlineTimeout)
 	defer cancel()
@@ -59,15 +59,15 @@
 			return result
 		}
 		result.Detail = err.Error()
-		wait, again := r.classify(err, &result)
-		if !again || !pause.Sleep(ctx, wait) {
+		wait, retry := r.classify(err, &result)
+		if !retry || !pause.Sleep(ctx, wait) {
 			return result
 		}
 	}
 	return result
 }
 
-// attemptOnline streams once; on success it sets the outcome and records the times.
+// attemptOnline makes one attempt; on success it sets the outcome and records the token times.
 func (r *Runner) attemptOnline(ctx context.Context, node netip.AddrPort, arrival OnlineArrival, received *received, result *OnlineResult) error {
 	request := ChatRequest{
 		Model:         r.plan.Profile.Model,
@@ -77,9 +77,9 @@
 		NotRepeatable: arrival.NotRepeatable,
 	}
 	if arrival.NotRepeatable {
-		// A keyed request is sent again whole: its key brings the same answer.
+		// A keyed request is sent again from the start: its key returns the same answer.
 		request.IdempotencyKey = arrival.Marker
-		*received = receivedAfresh(received)
+		*received = restarted(received)
 	} else {
 		request.LastEventID, request.Prior = received.lastEventID, received.text
 	}
@@ -98,13 +98,13 @@
 	}
 	result.Outcome = OnlineCompleted
 	if !arrival.Resend {
-		// Of two requests with one key, one waits for the other's whole answer.
+		// Of two requests with the same key, one waits for the other's complete answer, so their times are not recorded.
 		received.times.recordTo(r, arrival.NotRepeatable)
 	}
 	return nil
 }
 
-// received is what a caller has of its answer over all its connections.
+// received is the part of the answer that a caller has received over all its connections.
 type received struct {
 	text        string
 	lastEventID string
@@ -118,13 +118,13 @@
 	}
 }
 
-// receivedAfresh forgets the text but keeps the arrival, so that times count all attempts.
-func receivedAfresh(before *received) received {
-	return received{times: newTokenTimes(before.times.arrived)}
+// restarted discards the text but keeps the arrival time, so that times include all attempts.
+func restarted(previous *received) received {
+	return received{times: newTokenTimes(previous.times.arrived)}
 }
 
-// classify notes how an attempt failed and tells whether and when to try again.
-func (r *Runner) classify(err error, result *OnlineResult) (wait time.Duration, again bool) {
+// classify records how an attempt failed and returns whether to retry and after which delay.
+func (r *Runner) classify(err error, result *OnlineResult) (wait time.Duration, retry bool) {
 	var status *StatusError
 	if errors.As(err, &status) {
 		return classifyStatus(status, result)
@@ -137,14 +137,14 @@
 		result.Outcome = OnlineCut
 		return 0, false
 	}
-	// The connection broke: the answer may be complete somewhere, and a resend is safe
-	// because an unmarked request may run again and a marked one carries its key.
+	// The connection broke and the request may have completed. Sending it again is safe, because
+	// an unmarked request may run again and a marked one has an idempotency key.
 	result.Cuts++
 	result.Outcome = OnlineCut
 	return defaultRetryWait, true
 }
 
-func classifyStatus(status *StatusError, result *OnlineResult) (wait time.Duration, again bool) {
+func classifyStatus(status *StatusError, result *OnlineResult) (wait time.Duration, retry bool) {
 	switch outcome.Outcome(status.Outcome) {
 	case outcome.NotRun:
 		result.NotRunAnswers++
@@ -169,7 +169,7 @@
 	}
 }
 
-// notSent tells whether no connection was made.
+// notSent reports whether the error means that no connection was made.
 func notSent(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -178,7 +178,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// tokenTimes collects when tokens came, counted from the arrival.
+// tokenTimes collects the times at which tokens were received, relative to the request's arrival.
 type tokenTimes struct {
 	arrived time.Time
 	last    time.Time
@@ -188,7 +188,7 @@
 
 func newTokenTimes(arrived time.Time) *tokenTimes { return &tokenTimes{arrived: arrived} }
 
-// onTokens notes one event; its tokens share the time since the last one.
+// onTokens records one event; the time since the last event is divided among its tokens.
 func (t *tokenTimes) onTokens(text string) {
 	now := time.Now()
 	if t.last.IsZero() {
@@ -217,7 +217,7 @@
 	}
 }
 
-// tokensIn counts the tokens of an emulated answer: each begins with a space.
+// tokensIn counts the tokens in text of an emulated answer, each of which begins with a space.
 func tokensIn(text string) int {
 	count := 0
 	for index := range len(text) {
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -15,17 +15,17 @@
 // OnlineArrival is one online request.
 type OnlineArrival struct {
 	At time.Duration
-	// Marker is unique and the last line of Content, so that engines' records and
-	// results can be matched without the system's own ids.
+	// Marker is the unique last line of Content, by which results are matched with the
+	// engines' records without the ids of the system under test.
 	Marker        string
 	Content       string
 	MaxTokens     int
 	NotRepeatable bool
-	// Resend sends the same marked request at the same time through a second node.
+	// Resend sends the same marked request to a second node at the same time.
 	Resend bool
 }
 
-// Expected returns the right answer.
+// Expected returns the correct answer.
 func (a OnlineArrival) Expected() labengine.Answer {
 	return labengine.AnswerTo(labengine.ChatPrompt(a.Content), a.MaxTokens)
 }
@@ -37,9 +37,9 @@
 	Priority      string
 	Deadline      time.Duration
 	NotRepeatable bool
-	// Resend submits the same job a second time while the first submission is under way.
+	// Resend submits the same job a second time while the first submission is in flight.
 	Resend bool
-	// CancelAfter is the time from its acceptance to its cancel; 0 is never.
+	// CancelAfter is the time from the job's acceptance to its cancel; 0 means no cancel.
 	CancelAfter time.Duration
 	Items       []JobItem
 }
@@ -51,21 +51,21 @@
 	MaxTokens int
 }
 
-// itemMark is in the marker of every batch item and of no online request.
+// itemMark is part of the marker of every batch item and of no online request.
 const itemMark = "-item-"
 
-// IsBatch tells whether a marker is that of a batch item.
+// IsBatch reports whether a marker belongs to a batch item.
 func IsBatch(marker string) bool { return strings.Contains(marker, itemMark) }
 
-// Expected returns the right answer.
+// Expected returns the correct answer.
 func (i JobItem) Expected() labengine.Answer {
 	return labengine.AnswerTo(labengine.ChatPrompt(i.Content), i.MaxTokens)
 }
 
-// maxCancelAfter bounds the time to a job's cancel, so that it meets items in flight.
+// maxCancelAfter is the maximum time until a job's cancel, short enough for items to be in flight.
 const maxCancelAfter = 1500 * time.Millisecond
 
-// Plan is all that arrives in one run, sorted by time.
+// Plan holds all arrivals of one run, sorted by time.
 type Plan struct {
 	Profile  Profile
 	Seed     uint64
@@ -74,7 +74,7 @@
 	Jobs     []JobArrival
 }
 
-// NewPlan makes the arrivals of duration from a seed; the same arguments give the same plan.
+// NewPlan draws the arrivals within duration from a seed; the same arguments give the same plan.
 func NewPlan(profile Profile, duration time.Duration, seed uint64) Plan {
 	plan := Plan{Profile: profile, Seed: seed, Duration: duration}
 	plan.Online = onlineArrivals(profile, duration, seed)
@@ -82,7 +82,7 @@
 	return plan
 }
 
-// Streams of random numbers of a plan; each part draws from its own.
+// Independent streams of random numbers for the parts of a plan.
 const (
 	streamOnline = iota + 1
 	streamBatch
@@ -95,7 +95,7 @@
 	random := rand.New(rand.NewPCG(seed, streamOnline))
 	arrivals := poisson(random, shape.RequestsPerSecond, 0, duration)
 	bursts := rand.New(rand.NewPCG(seed, streamBurst))
-	for start := spread(bursts, shape.BurstEvery); start < duration; start += spread(bursts, shape.BurstEvery) {
+	for start := aroundMean(bursts, shape.BurstEvery); start < duration; start += aroundMean(bursts, shape.BurstEvery) {
 		arrivals = append(arrivals, poisson(bursts, shape.BurstRequestsPerSecond, start, min(start+shape.BurstLength, duration))...)
 	}
 	slices.Sort(arrivals)
@@ -107,7 +107,7 @@
 		online[index] = OnlineArrival{
 			At:            at,
 			Marker:        marker,
-			Content:       prefixes[popular(random, len(prefixes))] + "\n" + question + "\n" + marker,
+			Content:       prefixes[skewedIndex(random, len(prefixes))] + "\n" + question + "\n" + marker,
 			MaxTokens:     shape.MaxTokens/2 + random.IntN(shape.MaxTokens/2+1),
 			NotRepeatable: random.Float64() < shape.NotRepeatableShare,
 		}
@@ -123,7 +123,7 @@
 	shape := profile.Batch
 	random := rand.New(rand.NewPCG(seed, streamBatch))
 	var jobs []JobArrival
-	for heap := shape.FirstHeap; heap < duration && shape.HeapEvery > 0; heap += varied(random, shape.HeapEvery) {
+	for heap := shape.FirstHeap; heap < duration && shape.HeapEvery > 0; heap += nearMean(random, shape.HeapEvery) {
 		for range shape.JobsPerHeap {
 			at := heap + time.Duration(random.Int64N(int64(200*time.Millisecond)))
 			jobs = append(jobs, newJob(random, profile, fmt.Sprintf("%s-job-%d-%d", profile.Name, seed, len(jobs)), at))
@@ -172,18 +172,18 @@
 	return time.Duration(random.ExpFloat64() * float64(mean))
 }
 
-// spread returns a time from half of mean to one and a half.
-func spread(random *rand.Rand, mean time.Duration) time.Duration {
+// aroundMean returns a random time between 0.5 and 1.5 times mean.
+func aroundMean(random *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + random.Float64()))
 }
 
-// varied returns a time within a tenth of mean.
-func varied(random *rand.Rand, mean time.Duration) time.Duration {
+// nearMean returns a random time between 0.9 and 1.1 times mean.
+func nearMean(random *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.9 + 0.2*random.Float64()))
 }
 
-// popular draws an index, low ones more often.
-func popular(random *rand.Rand, count int) int {
+// skewedIndex draws an index below count; lower ones are more likely.
+func skewedIndex(random *rand.Rand, count int) int {
 	uniform := random.Float64()
 	return int(uniform * uniform * float64(count))
 }
@@ -197,7 +197,7 @@
 	return texts
 }
 
-// text returns words of about length bytes.
+// text returns random words of at least length bytes in total.
 func text(random *rand.Rand, length int) string {
 	var words strings.Builder
 	for words.Len() < length {
--- a/lab/load/profile.go
+++ b/lab/load/profile.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Profile describes one user's fleet and the arrivals it sees.
+// Profile describes the fleet of one user organization and its load.
 type Profile struct {
 	Name   string
 	Region string
 	Zones  []string
-	// Replicas is the number of engines of the service, spread over the zones in turn.
+	// Replicas is the number of engines of the service, assigned to the zones round-robin.
 	Replicas int
 	Service  string
 	Model    string
@@ -19,51 +19,51 @@
 	Batch    BatchShape
 }
 
-// OnlineShape describes the online arrivals: a base rate and bursts on top of it.
+// OnlineShape describes the online arrivals: a base rate with bursts added to it.
 type OnlineShape struct {
 	// RequestsPerSecond is the base rate; BurstRequestsPerSecond is added during bursts.
 	RequestsPerSecond      float64
 	BurstRequestsPerSecond float64
-	// BurstEvery is the mean time between the starts of bursts, BurstLength their length.
+	// BurstEvery is the mean time between the starts of bursts, BurstLength their duration.
 	BurstEvery  time.Duration
 	BurstLength time.Duration
-	// Prefixes is the number of shared prompt beginnings, PrefixBytes their length.
+	// Prefixes is the number of shared prompt prefixes, PrefixBytes their length.
 	Prefixes    int
 	PrefixBytes int
-	// QuestionBytes is the mean length of what follows the shared beginning.
+	// QuestionBytes is the mean length of the text after the shared prefix.
 	QuestionBytes int
 	MaxTokens     int
-	// LongShare of the requests are long sessions of up to LongTokens.
+	// LongShare is the share of requests that are long sessions of up to LongTokens tokens.
 	LongShare  float64
 	LongTokens int
-	// NotRepeatableShare of the requests are marked; ResendShare of those are sent
-	// twice at once, to two nodes.
+	// NotRepeatableShare is the share of requests that are marked as not repeatable, and
+	// ResendShare the share of those that are sent to two nodes at the same time.
 	NotRepeatableShare float64
 	ResendShare        float64
 }
 
-// BatchShape describes the heaps of batch jobs.
+// BatchShape describes the arrivals of batch jobs, which come in heaps of several jobs.
 type BatchShape struct {
 	// HeapEvery is the time between heaps; it varies by a tenth.
 	HeapEvery time.Duration
-	// FirstHeap is when the first one arrives.
+	// FirstHeap is the time at which the first heap arrives.
 	FirstHeap    time.Duration
 	JobsPerHeap  int
 	ItemsPerJob  int
 	PrefixBytes  int
 	ContentBytes int
 	MaxTokens    int
-	// UrgentShare of the jobs have the higher batch priority.
+	// UrgentShare is the share of jobs with the higher batch priority.
 	UrgentShare float64
-	// NotRepeatableShare of the jobs have marked items; ResendShare are submitted twice.
+	// NotRepeatableShare is the share of jobs with marked items, ResendShare the share that is submitted twice.
 	NotRepeatableShare float64
 	ResendShare        float64
-	// CancelShare of the jobs are cancelled soon after their submission.
+	// CancelShare is the share of jobs that are cancelled soon after their submission.
 	CancelShare float64
 	Deadline    time.Duration
 }
 
-// Names of the declarations that the load uses.
+// Names of the configuration's declarations that the load uses.
 const (
 	PriorityOnline = "counter"
 	PriorityUrgent = "urgent"
@@ -125,7 +125,7 @@
 	}
 }
 
-// ProfileByName returns a profile.
+// ProfileByName returns the profile with the given name.
 func ProfileByName(name string) (Profile, error) {
 	for _, profile := range []Profile{Registry(), Tidewater()} {
 		if profile.Name == name {
--- a/lab/load/recorder.go
+++ b/lab/load/recorder.go
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/lab/histogram"
 )
 
-// OnlineOutcome is how an online request ended for its caller.
+// OnlineOutcome is the outcome of an online request as its caller saw it.
 type OnlineOutcome string
 
 // Outcomes of online requests.
@@ -15,58 +15,58 @@
 	OnlineRefused       OnlineOutcome = "refused"
 	OnlineIndeterminate OnlineOutcome = "indeterminate"
 	OnlineFailed        OnlineOutcome = "failed"
-	// OnlineCut: the stream ended early and no resend brought the whole answer.
+	// OnlineCut means that the stream ended early and no retry returned the complete answer.
 	OnlineCut OnlineOutcome = "cut"
-	// OnlineWrong: the stream ended whole with another text than the right one.
+	// OnlineWrong means that the stream was complete but its text is not the correct answer.
 	OnlineWrong OnlineOutcome = "wrong"
 )
 
-// OnlineResult is what one caller saw.
+// OnlineResult is the result of one online request as its caller saw it.
 type OnlineResult struct {
 	Arrival  OnlineArrival
 	Outcome  OnlineOutcome
 	Accepted bool
-	// Attempts counts requests sent for it; Cuts counts streams that ended early.
+	// Attempts counts the attempts; Cuts counts the streams that ended early.
 	Attempts int
 	Cuts     int
-	// NotRunAnswers counts answers that said not_run; Sent counts attempts with any other end.
+	// NotRunAnswers counts the responses with outcome not_run; Sent counts the attempts that may have run.
 	NotRunAnswers int
 	Sent          int
 	Text          string
 	Detail        string
 	PromptTokens  int
 	CachedTokens  int
-	// RereadDetail says what was wrong when the answer was asked for again.
+	// RereadDetail describes what was wrong when the answer was requested again, empty if nothing was.
 	RereadDetail string
 }
 
-// JobOutcome is how a job ended for its caller.
+// JobOutcome is the outcome of a job as its caller saw it.
 type JobOutcome struct {
 	Arrival  JobArrival
 	ID       string
 	Accepted bool
-	// ResendMismatch is set where a resend gave another job.
+	// ResendMismatch is set if the second submission returned another job.
 	ResendMismatch bool
 	Status         string
 	Cancelled      bool
 	CancelAcked    time.Time
 	AcceptedAt     time.Time
 	EndedAt        time.Time
-	// Results holds the texts read per item, by custom id; an item with an error has its message in Errors.
+	// Results holds the result texts by custom id; Errors holds the errors of failed items.
 	Results map[string][]string
 	Errors  map[string]string
 	Detail  string
-	// RereadDetail says what was wrong when the results were read again.
+	// RereadDetail describes what was wrong when the results were read again, empty if nothing was.
 	RereadDetail string
 }
 
-// Observations is all that callers saw in one run.
+// Observations holds everything that callers saw in one run.
 type Observations struct {
 	Started time.Time
 	Online  []OnlineResult
 	Jobs    []JobOutcome
-	// FirstToken and InterToken are of completed online requests; the first token is also
-	// given for marked requests, which wait for their claim, and the others apart.
+	// FirstToken and InterToken are the token times of completed online requests. The first-token time
+	// is also given separately for marked requests, which wait for their claim, and for the others.
 	FirstToken         histogram.Distribution
 	FirstTokenMarked   histogram.Distribution
 	FirstTokenUnmarked histogram.Distribution
--- a/lab/load/reread.go
+++ b/lab/load/reread.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// rereadTimeout bounds the second reading of everything.
+	// rereadTimeout is the timeout for reading all results a second time.
 	rereadTimeout = 30 * time.Second
-	// rereadConcurrency bounds the calls of the second reading.
+	// rereadConcurrency is the maximum number of concurrent rereads.
 	rereadConcurrency = 16
 )
 
-// reread reads every ended job's results again and asks again for every completed marked
-// answer, through other nodes than before: what was acknowledged must still be there, and the same.
+// reread reads the results of every ended job again and requests every completed marked answer
+// again, both through other nodes: what was acknowledged must still be there and be unchanged.
 func (r *Runner) reread(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, rereadTimeout)
 	defer cancel()
 	places := make(chan struct{}, rereadConcurrency)
 	var wait sync.WaitGroup
-	each := func(check func()) {
+	start := func(check func()) {
 		places <- struct{}{}
 		wait.Go(func() {
 			check()
@@ -33,12 +33,12 @@
 	}
 	for index := range r.jobs {
 		if job := &r.jobs[index]; !job.EndedAt.IsZero() && job.Detail == "" {
-			each(func() { r.rereadJob(bounded, index, job) })
+			start(func() { r.rereadJob(bounded, index, job) })
 		}
 	}
 	for index := range r.online {
 		if result := &r.online[index]; result.Arrival.NotRepeatable && result.Outcome == OnlineCompleted {
-			each(func() { r.rereadMarked(bounded, index, result) })
+			start(func() { r.rereadMarked(bounded, index, result) })
 		}
 	}
 	wait.Wait()
--- a/lab/load/runner.go
+++ b/lab/load/runner.go
@@ -10,10 +10,10 @@
 	"github.com/sloelift/sloelift/lab/histogram"
 )
 
-// Targets gives the callers' addresses of the nodes that the load may use now.
+// Targets returns the callers' addresses of the nodes that are currently available.
 type Targets func() []netip.AddrPort
 
-// Runner plays a plan against nodes.
+// Runner plays a plan against nodes. It runs once.
 type Runner struct {
 	plan    Plan
 	caller  *Caller
@@ -32,7 +32,7 @@
 	wait   sync.WaitGroup
 }
 
-// NewRunner returns a runner of one plan.
+// NewRunner returns a runner for plan.
 func NewRunner(plan Plan, targets Targets) *Runner {
 	return &Runner{
 		plan:               plan,
@@ -45,8 +45,8 @@
 	}
 }
 
-// Run plays all arrivals, reads the results a second time, and returns when all has ended or ctx ends. ctx bounds the
-// drain as well; what has not ended by then is reported as it stands.
+// Run plays all arrivals, waits for them to end and reads the results a second time. If ctx ends first, it reports
+// unfinished work in its state at that time.
 func (r *Runner) Run(ctx context.Context) Observations {
 	defer r.caller.Close()
 	r.started = time.Now()
@@ -72,7 +72,7 @@
 	return seen
 }
 
-// observations takes the figures; its lists are shared with the second reading, which adds to them.
+// observations returns what callers saw. The result shares its slices with the runner, so that reread adds to it.
 func (r *Runner) observations() Observations {
 	return Observations{
 		Started:            r.started,
@@ -85,7 +85,7 @@
 	}
 }
 
-// target picks a node for the attempt of an arrival; ok is false where none is up.
+// target picks a node for an attempt of an arrival. It returns false if no node is available.
 func (r *Runner) target(index, attempt int) (netip.AddrPort, bool) {
 	nodes := r.targets()
 	if len(nodes) == 0 {
--- a/lab/load/verdict.go
+++ b/lab/load/verdict.go
@@ -7,22 +7,22 @@
 	labengine "github.com/sloelift/sloelift/lab/engine"
 )
 
-// cancelSpread is how long after its acknowledgement a cancel may take to reach engines.
-const cancelSpread = time.Second
+// cancelPropagation is the time within which an acknowledged cancel must reach all engines.
+const cancelPropagation = time.Second
 
-// maxBroken bounds the broken invariants that are listed one by one.
-const maxBroken = 50
+// maxViolations is the maximum number of violations that are described.
+const maxViolations = 50
 
-// Verdict holds the invariants' counts of one run; those under "must be 0" break the run.
+// Verdict holds the counts of one run. A count below "Must be 0" that is not 0 fails the run.
 type Verdict struct {
 	OnlineSent      int `json:"online_sent"`
 	OnlineAccepted  int `json:"online_accepted"`
 	OnlineCompleted int `json:"online_completed"`
 	OnlineRefused   int `json:"online_refused"`
-	// OnlineIndeterminate counts marked requests that ended so: allowed after a crash.
+	// OnlineIndeterminate counts requests with an indeterminate outcome, which is allowed for marked requests after a crash.
 	OnlineIndeterminate int `json:"online_indeterminate"`
 	OnlineFailed        int `json:"online_failed"`
-	// OnlineReconnects counts streams that broke and were sent again by their caller.
+	// OnlineReconnects counts streams that broke and were retried by their caller.
 	OnlineReconnects int `json:"online_reconnects"`
 
 	JobsAccepted    int `json:"jobs_accepted"`
@@ -51,24 +51,24 @@
 	DifferentKeyedAnswers   int `json:"different_keyed_answers"`
 	PlannedStopReconnects   int `json:"planned_stop_reconnects"`
 	OnlineFailedUnexplained int `json:"online_failed_unexplained"`
-	// IndeterminateUnexplained counts marked work that ended so though no replica was lost.
+	// IndeterminateUnexplained counts marked work with an indeterminate outcome although no replica was lost.
 	IndeterminateUnexplained int `json:"indeterminate_unexplained"`
 
-	// Broken describes the first broken invariants.
+	// Broken describes the first maxViolations violations.
 	Broken []string `json:"broken"`
 }
 
-// Expectations say which faults the run had, where they change what is allowed.
+// Expectations describes the effects of a run's faults that Judge has to allow for.
 type Expectations struct {
-	// ConnectionsMayBreak: nodes were killed or cut off, so that callers' connections to
-	// them broke and callers had to send again.
+	// ConnectionsMayBreak is set if nodes were killed, paused or cut off, so that callers
+	// may have lost connections and retried.
 	ConnectionsMayBreak bool
-	// RunsMayBeLost: replicas died or could not be reached, so that what a marked request
-	// did there may never be known.
+	// RunsMayBeLost is set if replicas died or were unreachable, so that the outcome of
+	// marked work on them may stay unknown.
 	RunsMayBeLost bool
 }
 
-// Judge checks what callers saw against the engines' own records.
+// Judge checks what callers saw against the engines' records by marker.
 func Judge(seen Observations, records map[string]labengine.RunRecord, expected Expectations) Verdict {
 	judge := judge{records: records, expected: expected}
 	keyed := map[string]string{}
@@ -81,13 +81,13 @@
 	for marker, record := range records {
 		if record.ResumeMismatches > 0 {
 			judge.verdict.ResumeMismatches += record.ResumeMismatches
-			judge.broken("%s was resumed with a text that is not its answer's", marker)
+			judge.violation("%s was resumed with a text that is not its answer's", marker)
 		}
 	}
 	return judge.verdict
 }
 
-// Failed tells whether an invariant broke.
+// Failed reports whether an invariant was violated.
 func (v Verdict) Failed() bool { return len(v.Broken) > 0 }
 
 type judge struct {
@@ -96,8 +96,8 @@
 	verdict  Verdict
 }
 
-func (j *judge) broken(format string, values ...any) {
-	if len(j.verdict.Broken) < maxBroken {
+func (j *judge) violation(format string, values ...any) {
+	if len(j.verdict.Broken) < maxViolations {
 		j.verdict.Broken = append(j.verdict.Broken, fmt.Sprintf(format, values...))
 	}
 }
@@ -111,19 +111,19 @@
 	v.OnlineReconnects += result.Cuts
 	if result.Cuts > 0 && !j.expected.ConnectionsMayBreak {
 		v.PlannedStopReconnects += result.Cuts
-		j.broken("%s: its stream was cut %d times though no node was killed: %s", marker, result.Cuts, result.Detail)
+		j.violation("%s: its stream was cut %d times though no node was killed: %s", marker, result.Cuts, result.Detail)
 	}
 	record, ran := j.records[marker]
 	if result.NotRunAnswers > 0 && result.Sent == 0 && ran && !result.Arrival.Resend {
 		v.NotRunButRan++
-		j.broken("%s: every answer said not_run, but it ran: %v", marker, record.History)
+		j.violation("%s: every answer said not_run, but it ran: %v", marker, record.History)
 	}
 	if result.Arrival.NotRepeatable {
 		j.marked(marker)
 	}
 	if result.RereadDetail != "" {
 		v.AcknowledgedMissing++
-		j.broken("%s: completed, and when asked for again: %s", marker, result.RereadDetail)
+		j.violation("%s: completed, and when asked for again: %s", marker, result.RereadDetail)
 	}
 	j.onlineOutcome(result, keyed)
 }
@@ -134,9 +134,9 @@
 	case OnlineCompleted:
 		v.OnlineCompleted++
 		if result.Arrival.NotRepeatable {
-			if before, twice := keyed[marker]; twice && before != result.Text {
+			if previous, repeated := keyed[marker]; repeated && previous != result.Text {
 				v.DifferentKeyedAnswers++
-				j.broken("%s: two callers with one key got different answers", marker)
+				j.violation("%s: two callers with one key got different answers", marker)
 			}
 			keyed[marker] = result.Text
 		}
@@ -145,42 +145,42 @@
 	case OnlineIndeterminate:
 		v.OnlineIndeterminate++
 		if !result.Arrival.NotRepeatable {
-			j.broken("%s: an unmarked request ended as indeterminate: %s", marker, result.Detail)
+			j.violation("%s: an unmarked request ended as indeterminate: %s", marker, result.Detail)
 			v.OnlineFailedUnexplained++
 		} else {
 			j.indeterminate(marker, result.Detail)
 		}
 	case OnlineCut:
 		v.AnswersCut++
-		j.broken("%s: cut: %s", marker, result.Detail)
+		j.violation("%s: cut: %s", marker, result.Detail)
 	case OnlineWrong:
 		v.AnswersWrong++
-		j.broken("%s: wrong answer: %s, got %q", marker, result.Detail, result.Text)
+		j.violation("%s: wrong answer: %s, got %q", marker, result.Detail, result.Text)
 	case OnlineFailed:
 		v.OnlineFailed++
 		v.OnlineFailedUnexplained++
-		j.broken("%s: failed: %s", marker, result.Detail)
+		j.violation("%s: failed: %s", marker, result.Detail)
 	}
 }
 
-// indeterminate accepts an unknown end of marked work only where replicas were lost, or
-// where a node died between the record of the attempt and the call, so that no engine ran it.
+// indeterminate accepts an unknown outcome of marked work only if replicas may have been lost,
+// or if no engine ran it because a node died after recording the attempt and before the call.
 func (j *judge) indeterminate(marker, detail string) {
 	neverCalled := j.expected.ConnectionsMayBreak && len(j.records[marker].History) == 0
 	if j.expected.RunsMayBeLost || neverCalled {
 		return
 	}
 	j.verdict.IndeterminateUnexplained++
-	j.broken("%s: indeterminate though no replica was lost; starts %v: %s", marker, j.records[marker].History, detail)
+	j.violation("%s: indeterminate though no replica was lost; starts %v: %s", marker, j.records[marker].History, detail)
 }
 
-// marked checks that engines ran a marked prompt at most once.
+// marked checks that engines ran a marked prompt at most once from its start.
 func (j *judge) marked(marker string) {
 	record := j.records[marker]
 	j.verdict.MarkedRunsMax = max(j.verdict.MarkedRunsMax, record.FreshStarts)
 	if record.FreshStarts > 1 {
 		j.verdict.MarkedRunMoreThanOnce++
-		j.broken("%s: marked as not repeatable, ran %d times: %v", marker, record.FreshStarts, record.History)
+		j.violation("%s: marked as not repeatable, ran %d times: %v", marker, record.FreshStarts, record.History)
 	}
 }
 
@@ -194,34 +194,34 @@
 	v.ItemsAccepted += len(job.Arrival.Items)
 	if job.ResendMismatch {
 		v.ResendMismatches++
-		j.broken("%s: the resend gave another job", job.Arrival.Key)
+		j.violation("%s: the resend gave another job", job.Arrival.Key)
 	}
 	if job.Cancelled {
 		v.JobsCancelled++
 	}
 	if job.Detail != "" {
 		v.AcknowledgedMissing++
-		j.broken("%s: accepted as %s, then: %s", job.Arrival.Key, job.ID, job.Detail)
+		j.violation("%s: accepted as %s, then: %s", job.Arrival.Key, job.ID, job.Detail)
 	}
 	if job.RereadDetail != "" {
 		v.AcknowledgedMissing++
-		j.broken("%s: results read again: %s", job.Arrival.Key, job.RereadDetail)
+		j.violation("%s: results read again: %s", job.Arrival.Key, job.RereadDetail)
 	}
 	for _, item := range job.Arrival.Items {
 		j.item(job, item)
 	}
 }
 
-// cancelled checks that nothing was dispatched after the acknowledged cancel, and that
-// nothing dispatched before it still starts once the cancel has had time to reach engines.
+// cancelled checks that an item was not dispatched after the cancel was acknowledged, and that
+// one dispatched before does not start later than cancelPropagation after the acknowledgement.
 func (j *judge) cancelled(job JobOutcome, marker string) {
 	last := j.records[marker].LastStart()
 	if late := last.Dispatched.Sub(job.CancelAcked); late > 0 {
 		j.verdict.DispatchedAfterCancel++
-		j.broken("%s: dispatched to %s %v after the cancel was acknowledged", marker, last.Replica, late.Round(time.Microsecond))
-	} else if late := last.At.Sub(job.CancelAcked); late > cancelSpread {
+		j.violation("%s: dispatched to %s %v after the cancel was acknowledged", marker, last.Replica, late.Round(time.Microsecond))
+	} else if late := last.At.Sub(job.CancelAcked); late > cancelPropagation {
 		j.verdict.StartedAfterCancel++
-		j.broken("%s: started on %s %v after the cancel was acknowledged", marker, last.Replica, late.Round(time.Microsecond))
+		j.violation("%s: started on %s %v after the cancel was acknowledged", marker, last.Replica, late.Round(time.Microsecond))
 	}
 }
 
@@ -237,10 +237,10 @@
 	switch {
 	case len(texts) > 1 || len(texts) == 1 && failure != "":
 		v.Duplicated++
-		j.broken("%s: %d results", item.CustomID, len(texts))
+		j.violation("%s: %d results", item.CustomID, len(texts))
 	case len(texts) == 1 && texts[0] != item.Expected().Whole():
 		v.ItemsWrong++
-		j.broken("%s: wrong result %q", item.CustomID, texts[0])
+		j.violation("%s: wrong result %q", item.CustomID, texts[0])
 	case len(texts) == 1:
 		v.ItemsCompleted++
 	case job.Cancelled:
@@ -251,9 +251,9 @@
 	case job.EndedAt.IsZero():
 		v.ItemsUnfinished++
 		v.Lost++
-		j.broken("%s: not ended in time, job status %q", item.CustomID, job.Status)
+		j.violation("%s: not ended in time, job status %q", item.CustomID, job.Status)
 	default:
 		v.Lost++
-		j.broken("%s: no result, job status %q, error %s", item.CustomID, job.Status, failure)
+		j.violation("%s: no result, job status %q, error %s", item.CustomID, job.Status, failure)
 	}
 }
--- a/lab/load/verdict_test.go
+++ b/lab/load/verdict_test.go
@@ -14,7 +14,7 @@
 	onlineOne = OnlineArrival{Marker: "one", Content: "text\none", MaxTokens: 8}
 )
 
-// goodJob is a job of one item that completed.
+// goodJob returns a completed job with one item.
 func goodJob() JobOutcome {
 	return JobOutcome{
 		Arrival: JobArrival{Key: "job", Items: []JobItem{goodItem}}, ID: "id", Accepted: true, Status: "completed", EndedAt: now,
@@ -22,7 +22,7 @@
 	}
 }
 
-// ran returns the records of a marker that engines started count times.
+// ran returns the record of a marker that engines started count times.
 func ran(marker string, count int, at time.Time) map[string]labengine.RunRecord {
 	record := labengine.RunRecord{Marker: marker, Starts: count, FreshStarts: count}
 	for range count {
