--- a/lab/experiment/actions.go
+++ b/lab/experiment/actions.go
@@ -14,10 +14,10 @@
 	labplatform "github.com/sloelift/sloelift/lab/platform"
 )
 
-// rollingPause is the time between two planned stops of a rolling restart.
+// rollingPause is the delay before the next node of a rolling restart is stopped.
 const rollingPause = 300 * time.Millisecond
 
-// action carries out one fault: it begins it, waits until it is over, and ends it.
+// action injects one fault: it starts the fault, waits for its duration and ends it.
 type action func(*injector, context.Context, Fault) error
 
 var actions = map[FaultKind]action{
@@ -38,28 +38,29 @@
 	FaultSilence:         (*injector).silence,
 }
 
-// silence silences open connections once.
+// silence silences the connections that are open at the time.
 func (i *injector) silence(context.Context, Fault) error {
 	i.logger.Info().Int("connections", i.deployment.SilenceConnections()).Msg("connections_silenced")
 	return nil
 }
 
-// injector carries out the faults of one run.
+// injector injects the faults of one run.
 type injector struct {
 	deployment *deployment.Deployment
 	logger     zerolog.Logger
 	started    time.Time
-	// ended is closed when the load has ended: what lasts to the end stops, what must be
-	// completed goes on.
+	// ended is closed when the load has ended: waiting faults then end early, while steps
+	// that must be completed continue.
 	ended chan struct{}
 
-	// mutex guards random, busy, leaving and failures. busy holds nodes that a fault has hit.
+	// mutex guards the fields below. busy holds the nodes and replicas that a fault has hit, leaving the times at which
+	// replicas were announced as leaving.
 	mutex    sync.Mutex
 	random   *rand.Rand
 	busy     map[string]bool
 	leaving  map[string]time.Time
 	failures []string
-	// configuration is set where the scenario changes it.
+	// configuration is set if the scenario changes the configuration.
 	configuration *ConfigurationResult
 }
 
@@ -74,7 +75,7 @@
 	}
 }
 
-// run carries out all faults at their times and returns when the last one is over.
+// run injects all faults at their times and returns when the last one has ended.
 func (i *injector) run(ctx context.Context, faults []Fault) {
 	i.started = time.Now()
 	var wait sync.WaitGroup
@@ -99,12 +100,12 @@
 	i.failures = append(i.failures, err.Error())
 }
 
-// lasting waits until a fault is over; it returns false where it lasts to the end.
-func (i *injector) lasting(ctx context.Context, fault Fault) bool {
+// waitForEnd waits for the duration of a fault. It returns false if the fault lasts until the end of the run.
+func (i *injector) waitForEnd(ctx context.Context, fault Fault) bool {
 	return fault.For > 0 && i.pauseInRun(ctx, fault.For)
 }
 
-// pauseInRun waits; it returns false where the load or ctx ends first.
+// pauseInRun waits. It returns false if the load or ctx ends first.
 func (i *injector) pauseInRun(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(max(wait, 0))
 	defer timer.Stop()
@@ -118,7 +119,7 @@
 	}
 }
 
-// pickNodes draws nodes that no other fault has hit, in different zones where possible.
+// pickNodes draws nodes of the fault's target class that no other fault has hit.
 func (i *injector) pickNodes(fault Fault) []*deployment.Node {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -160,7 +161,7 @@
 	for _, node := range nodes {
 		i.deployment.KillNode(node)
 	}
-	if !i.lasting(ctx, fault) {
+	if !i.waitForEnd(ctx, fault) {
 		return nil
 	}
 	for _, node := range nodes {
@@ -181,7 +182,7 @@
 	for _, node := range nodes {
 		i.deployment.PauseNode(node)
 	}
-	i.lasting(ctx, fault)
+	i.waitForEnd(ctx, fault)
 	for _, node := range nodes {
 		i.deployment.ResumeNode(node)
 	}
@@ -204,7 +205,7 @@
 	set.Service = labplatform.KeyValue
 	faults := i.deployment.Platform.Faults()
 	faults.Set(set)
-	if i.lasting(ctx, fault) {
+	if i.waitForEnd(ctx, fault) {
 		faults.Clear(set.Zone, set.Service)
 	}
 	return nil
@@ -222,7 +223,7 @@
 	i.mutex.Unlock()
 	i.logger.Info().Str("kind", string(fault.Kind)).Str("target", zone).Int("zones", len(zones)).Msg("fault_target")
 	i.deployment.CutZone(zone)
-	if i.lasting(ctx, fault) {
+	if i.waitForEnd(ctx, fault) {
 		i.deployment.HealZone(zone)
 	}
 	return nil
@@ -233,7 +234,7 @@
 	for _, replica := range replicas {
 		replica.Engine.Kill()
 	}
-	if !i.lasting(ctx, fault) {
+	if !i.waitForEnd(ctx, fault) {
 		return nil
 	}
 	for _, replica := range replicas {
@@ -244,8 +245,8 @@
 	return nil
 }
 
-// leaveReplicas announces the leaving in the machine list alone, so that a dispatch
-// after the sign shows; the engine refuses new runs only after For.
+// leaveReplicas announces replicas as leaving in the machine list only, so that later
+// dispatches to them are visible; the engines refuse new runs only after For.
 func (i *injector) leaveReplicas(ctx context.Context, fault Fault) error {
 	replicas := i.pickReplicas(fault)
 	for _, replica := range replicas {
@@ -254,7 +255,7 @@
 		i.leaving[replica.ID] = time.Now()
 		i.mutex.Unlock()
 	}
-	if i.lasting(ctx, fault) {
+	if i.waitForEnd(ctx, fault) {
 		for _, replica := range replicas {
 			replica.Engine.Leave()
 		}
@@ -262,23 +263,23 @@
 	return nil
 }
 
-func (i *injector) eachEngine(change func(*labengine.Engine)) {
+func (i *injector) forEachEngine(change func(*labengine.Engine)) {
 	for _, replica := range i.deployment.Replicas {
 		change(replica.Engine)
 	}
 }
 
 func (i *injector) loadLag(_ context.Context, fault Fault) error {
-	i.eachEngine(func(engine *labengine.Engine) { engine.SetLoadLag(fault.Lag) })
+	i.forEachEngine(func(engine *labengine.Engine) { engine.SetLoadLag(fault.Lag) })
 	return nil
 }
 
 func (i *injector) cacheEventsLost(_ context.Context, fault Fault) error {
-	i.eachEngine(func(engine *labengine.Engine) { engine.LoseCacheEvents(fault.Share) })
+	i.forEachEngine(func(engine *labengine.Engine) { engine.LoseCacheEvents(fault.Share) })
 	return nil
 }
 
-// rollingRestart stops every node as planned, one after the other, and starts it anew.
+// rollingRestart stops and restarts every node in a planned way, one after the other.
 func (i *injector) rollingRestart(ctx context.Context, _ Fault) error {
 	for _, node := range i.deployment.Nodes {
 		if err := i.deployment.StopNode(ctx, node); err != nil {
@@ -294,7 +295,7 @@
 	return nil
 }
 
-// rollVersion declares a new version of the model; it fails where a replica does not get it.
+// rollVersion declares a new version of the model. It fails if a replica does not come to serve it.
 func (i *injector) rollVersion(ctx context.Context, _ Fault) error {
 	began := time.Now()
 	err := i.deployment.RollVersion(ctx)
--- a/lab/experiment/bound.go
+++ b/lab/experiment/bound.go
@@ -8,20 +8,21 @@
 	"github.com/sloelift/sloelift/lab/load"
 )
 
-// boundStep is the time step of the bound's fluid model.
+// boundStep is the time step of the fluid model behind the bound.
 const boundStep = 10 * time.Millisecond
 
-// CapacityBound is what a perfect scheduler could run of the batch work in the time of
-// the arrivals: online work is served at once, engines' steps are always full, every
-// shared prompt beginning is computed once per replica for online and once in all for
-// batch, and batch work may run from the moment it arrives.
+// CapacityBound is an upper bound of the batch work that a perfect scheduler could run
+// while work arrives. It assumes that online work runs first and immediately, that the
+// engines' steps are always full, that every shared prompt prefix is computed once per
+// replica for online work and once in total for batch work, and that batch work can run
+// as soon as it arrives.
 type CapacityBound struct {
-	// Work is in engine-seconds, Tokens are answer tokens.
+	// Work is in engine-seconds, Tokens in answer tokens.
 	Work   float64
 	Tokens float64
 }
 
-// costModel gives the engine time that tokens take in full steps.
+// costModel holds the engine time per token in full steps, in seconds.
 type costModel struct {
 	perDecoded   float64
 	perPrefilled float64
@@ -57,8 +58,8 @@
 	return fluid(plan, online, batch, tokens)
 }
 
-// newTokens counts the prompt tokens that a cache must compute which computes each
-// block copies times and then keeps it.
+// newTokens returns the number of prompt tokens to compute if every block is computed
+// copies times and cached forever after.
 func newTokens(plan load.Plan, content string, seen map[uint64]int, copies int) int {
 	prompt := labengine.ChatPrompt(content)
 	cached := 0
@@ -72,7 +73,7 @@
 	return labengine.PromptTokens(prompt) - cached*modelengine.PrefixBlockBytes/4
 }
 
-// fluid lets online work go first and gives the rest of each step to batch work.
+// fluid gives each step's capacity to online work first and the rest to batch work.
 func fluid(plan load.Plan, online, batch, tokens []float64) CapacityBound {
 	capacity := boundStep.Seconds() * float64(plan.Profile.Replicas)
 	var bound CapacityBound
@@ -93,7 +94,7 @@
 	return bound
 }
 
-// cacheResult compares the hit rates with those of one cache that holds all prompts so far.
+// cacheResult compares the hit rates with those of a single cache that holds all earlier prompts.
 func cacheResult(plan load.Plan, records map[string]labengine.RunRecord) CacheResult {
 	var online, batch hitCount
 	seen := map[uint64]int{}
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Comparison holds the runs of several policies on the same arrivals, for each seed.
+// Comparison holds the runs of several policies with the same arrivals for each seed.
 type Comparison struct {
 	Profile string   `json:"profile"`
 	Seeds   []uint64 `json:"seeds"`
@@ -18,8 +18,8 @@
 	Medians []PolicySummary `json:"medians"`
 }
 
-// PolicySummary is one policy's median over the seeds. Ratios are medians of the
-// ratios within each seed; 0 where the other policy was not run.
+// PolicySummary holds the medians of one policy over the seeds. Ratios to another policy are
+// medians of the ratios for each seed, 0 if the other policy was not run.
 type PolicySummary struct {
 	Policy              Policy  `json:"policy"`
 	FirstTokenP50       float64 `json:"first_token_p50_ms"`
@@ -51,8 +51,8 @@
 	Failed              int     `json:"failed_runs"`
 }
 
-// Compare runs each policy on the same arrivals, one run after the other, and reports each
-// result to progress.
+// Compare runs the policies one after the other with the same arrivals for each seed, and
+// passes each result to progress.
 func Compare(ctx context.Context, base Options, seeds []uint64, policies []Policy, progress func(Result)) (Comparison, error) {
 	comparison := Comparison{Profile: base.Profile.Name, Seeds: seeds}
 	for _, seed := range seeds {
@@ -73,7 +73,7 @@
 	return comparison, nil
 }
 
-// Failed tells whether an invariant broke in any run.
+// Failed reports whether any run failed.
 func (c Comparison) Failed() bool {
 	return slices.ContainsFunc(c.Runs, func(run Result) bool { return run.Failed })
 }
@@ -88,7 +88,7 @@
 }
 
 func (c Comparison) summary(policy Policy) PolicySummary {
-	over := func(value func(Result) float64) float64 {
+	medianOf := func(value func(Result) float64) float64 {
 		var values []float64
 		for _, seed := range c.Seeds {
 			if run, found := c.find(policy, seed); found {
@@ -97,7 +97,7 @@
 		}
 		return median(values)
 	}
-	to := func(other Policy, value func(Result) float64) float64 {
+	medianRatioTo := func(other Policy, value func(Result) float64) float64 {
 		var ratios []float64
 		for _, seed := range c.Seeds {
 			run, found := c.find(policy, seed)
@@ -118,32 +118,32 @@
 	tokens := func(r Result) float64 { return r.Batch.TokensPerSecond }
 	summary := PolicySummary{
 		Policy:              policy,
-		FirstTokenP50:       over(func(r Result) float64 { return r.FirstToken.P50 }),
-		FirstTokenP95:       over(func(r Result) float64 { return r.FirstToken.P95 }),
-		FirstTokenP99:       over(firstP99),
-		InterTokenP50:       over(func(r Result) float64 { return r.InterToken.P50 }),
-		InterTokenP95:       over(func(r Result) float64 { return r.InterToken.P95 }),
-		InterTokenP99:       over(interP99),
-		ItemsPerSecond:      over(items),
-		TokensPerSecond:     over(tokens),
-		IdleCapacityUsed:    over(func(r Result) float64 { return r.Batch.IdleCapacityUsed }),
-		DecodedTwiceShare:   over(func(r Result) float64 { return r.Batch.DecodedTwiceShare }),
-		PrefilledTwiceShare: over(func(r Result) float64 { return r.Batch.PrefilledTwiceShare }),
-		OnlineOfPerfect:     over(func(r Result) float64 { return r.Cache.OnlineOfPerfect }),
-		BatchOfPerfect:      over(func(r Result) float64 { return r.Cache.BatchOfPerfect }),
-		EngineFirstP99:      over(engineFirst),
-		EngineInterP99:      over(engineInter),
-		EngineFirstToOnline: to(PolicyOnlineOnly, engineFirst),
-		EngineInterToOnline: to(PolicyOnlineOnly, engineInter),
-		TimerLatenessP99:    over(func(r Result) float64 { return r.TimerLateness.P99 }),
-		UnmarkedP99:         over(unmarkedP99),
-		MarkedP99:           over(markedP99),
-		FirstTokenToOnline:  to(PolicyOnlineOnly, firstP99),
-		UnmarkedToOnline:    to(PolicyOnlineOnly, unmarkedP99),
-		MarkedToOnline:      to(PolicyOnlineOnly, markedP99),
-		InterTokenToOnline:  to(PolicyOnlineOnly, interP99),
-		ItemsToFIFO:         to(PolicyFIFO, items),
-		TokensToFIFO:        to(PolicyFIFO, tokens),
+		FirstTokenP50:       medianOf(func(r Result) float64 { return r.FirstToken.P50 }),
+		FirstTokenP95:       medianOf(func(r Result) float64 { return r.FirstToken.P95 }),
+		FirstTokenP99:       medianOf(firstP99),
+		InterTokenP50:       medianOf(func(r Result) float64 { return r.InterToken.P50 }),
+		InterTokenP95:       medianOf(func(r Result) float64 { return r.InterToken.P95 }),
+		InterTokenP99:       medianOf(interP99),
+		ItemsPerSecond:      medianOf(items),
+		TokensPerSecond:     medianOf(tokens),
+		IdleCapacityUsed:    medianOf(func(r Result) float64 { return r.Batch.IdleCapacityUsed }),
+		DecodedTwiceShare:   medianOf(func(r Result) float64 { return r.Batch.DecodedTwiceShare }),
+		PrefilledTwiceShare: medianOf(func(r Result) float64 { return r.Batch.PrefilledTwiceShare }),
+		OnlineOfPerfect:     medianOf(func(r Result) float64 { return r.Cache.OnlineOfPerfect }),
+		BatchOfPerfect:      medianOf(func(r Result) float64 { return r.Cache.BatchOfPerfect }),
+		EngineFirstP99:      medianOf(engineFirst),
+		EngineInterP99:      medianOf(engineInter),
+		EngineFirstToOnline: medianRatioTo(PolicyOnlineOnly, engineFirst),
+		EngineInterToOnline: medianRatioTo(PolicyOnlineOnly, engineInter),
+		TimerLatenessP99:    medianOf(func(r Result) float64 { return r.TimerLateness.P99 }),
+		UnmarkedP99:         medianOf(unmarkedP99),
+		MarkedP99:           medianOf(markedP99),
+		FirstTokenToOnline:  medianRatioTo(PolicyOnlineOnly, firstP99),
+		UnmarkedToOnline:    medianRatioTo(PolicyOnlineOnly, unmarkedP99),
+		MarkedToOnline:      medianRatioTo(PolicyOnlineOnly, markedP99),
+		InterTokenToOnline:  medianRatioTo(PolicyOnlineOnly, interP99),
+		ItemsToFIFO:         medianRatioTo(PolicyFIFO, items),
+		TokensToFIFO:        medianRatioTo(PolicyFIFO, tokens),
 	}
 	for _, run := range c.Runs {
 		if run.Policy == policy && run.Failed {
@@ -153,8 +153,7 @@
 	return summary
 }
 
-// median returns the middle value, the mean of the two middle ones for an even
-// number, and 0 for none.
+// median returns the median of values, or 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -167,7 +166,7 @@
 	return (sorted[middle-1] + sorted[middle]) / 2
 }
 
-// Print writes the medians as a table, one column for each policy.
+// Print writes the medians as a table with one column per policy.
 func (c Comparison) Print(out io.Writer) error {
 	fmt.Fprintf(out, "profile %s, seeds %v, medians\n", c.Profile, c.Seeds)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/lab/experiment/configuration_change.go
+++ b/lab/experiment/configuration_change.go
@@ -12,22 +12,22 @@
 const (
 	defaultConfigurationChanges = 5
 	configurationPoll           = 100 * time.Millisecond
-	// configurationBound is how long an accepted file may take to be in force on all reachable nodes.
-	configurationBound = 8 * time.Second
+	// configurationTimeout is the maximum time from a file's acceptance until it must be in force on all nodes in service.
+	configurationTimeout = 8 * time.Second
 )
 
-// ConfigurationResult tells how accepted files spread.
+// ConfigurationResult describes how accepted configuration files spread.
 type ConfigurationResult struct {
 	Accepted int `json:"accepted"`
-	// Reverts counts nodes seen at a lower revision than before.
+	// Reverts counts the times that a node went back to a lower revision.
 	Reverts int `json:"reverts"`
-	// Slowest is the longest time from acceptance until all nodes in service had the file.
+	// Slowest is the longest time, in seconds, from acceptance until all nodes in service had the file.
 	Slowest float64 `json:"slowest_seconds"`
-	// Late counts files that were not in force everywhere within the bound.
+	// Late counts files that were not in force on all nodes in service within the bound.
 	Late int `json:"late"`
 }
 
-// configurationWatch polls every node's revision and notes those that fall.
+// configurationWatch polls the nodes' revisions and records those that decrease.
 type configurationWatch struct {
 	deployment *deployment.Deployment
 	// mutex guards the rest.
@@ -40,7 +40,7 @@
 	return &configurationWatch{deployment: target, highest: map[string]int64{}}
 }
 
-// inForce polls once and tells whether all nodes in service are at revision or above.
+// inForce polls once and reports whether all nodes in service are at revision or above.
 func (w *configurationWatch) inForce(ctx context.Context, revision int64) bool {
 	complete := true
 	for _, node := range w.deployment.Nodes {
@@ -52,13 +52,13 @@
 			complete = false
 		}
 		if err == nil {
-			w.note(node.ID, current)
+			w.noteRevision(node.ID, current)
 		}
 	}
 	return complete
 }
 
-func (w *configurationWatch) note(node string, revision int64) {
+func (w *configurationWatch) noteRevision(node string, revision int64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if revision < w.highest[node] {
@@ -67,8 +67,8 @@
 	w.highest[node] = max(w.highest[node], revision)
 }
 
-// changeConfiguration applies changed files one after the other, spread over the fault's
-// duration, and follows each until it is in force everywhere.
+// changeConfiguration applies changed files evenly over the fault's duration and waits for
+// each to be in force on all nodes in service.
 func (i *injector) changeConfiguration(ctx context.Context, fault Fault) error {
 	changes := max(fault.Count, 1)
 	if fault.Count == 0 {
@@ -93,7 +93,7 @@
 	i.configuration = result
 	i.failures = append(i.failures, watch.reverts...)
 	if result.Late > 0 {
-		i.failures = append(i.failures, fmt.Sprintf("%d configuration files were not in force everywhere within %v", result.Late, configurationBound))
+		i.failures = append(i.failures, fmt.Sprintf("%d configuration files were not in force everywhere within %v", result.Late, configurationTimeout))
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 func (i *injector) followRevision(ctx context.Context, watch *configurationWatch, revision int64, result *ConfigurationResult) {
 	accepted := time.Now()
 	for !watch.inForce(ctx, revision) {
-		if time.Since(accepted) > configurationBound || !pause(ctx, configurationPoll) {
+		if time.Since(accepted) > configurationTimeout || !pause(ctx, configurationPoll) {
 			result.Late++
 			return
 		}
--- a/lab/experiment/doc.go
+++ b/lab/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment runs whole deployments on loopback under a load and a list of
-// faults and checks the invariants on what callers, engines and ledgers saw.
+// Package experiment runs whole deployments on loopback addresses under load and
+// injected faults, and checks invariants on what callers, engines and nodes saw.
 package experiment
--- a/lab/experiment/lateness.go
+++ b/lab/experiment/lateness.go
@@ -6,11 +6,11 @@
 	"github.com/sloelift/sloelift/lab/histogram"
 )
 
-// latenessInterval is the timer that the probe sets again and again.
+// latenessInterval is the duration of the probe's timers.
 const latenessInterval = 2 * time.Millisecond
 
-// latenessProbe measures how late timers fire, which tells how far the run's times are
-// those of a busy machine.
+// latenessProbe measures how late timers fire, which shows how much a busy machine
+// affected the times of a run.
 type latenessProbe struct {
 	ended chan struct{}
 	done  chan struct{}
--- a/lab/experiment/policy.go
+++ b/lab/experiment/policy.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/routing"
 )
 
-// Policy names how batch work is admitted beside online work.
+// Policy is the name of a way to admit batch work alongside online work.
 type Policy string
 
 // Policies of a comparison.
@@ -21,7 +21,7 @@
 	PolicyStaticSplit Policy = "static-split"
 )
 
-// Policies lists all, the product's own first.
+// Policies returns all policies, starting with the product's own.
 func Policies() []Policy {
 	return []Policy{PolicySloelift, PolicyOnlineOnly, PolicyFIFO, PolicyStaticSplit}
 }
@@ -36,7 +36,7 @@
 	return fmt.Errorf("no policy %q: %v are known", p, Policies())
 }
 
-// nodeOption sets the policy on a node.
+// nodeOption returns the option that sets the policy of a node.
 func (p Policy) nodeOption() node.Option {
 	admissionOptions, routingOptions := admission.DefaultOptions(), routing.DefaultOptions()
 	admissionOptions.Policy, routingOptions.Policy = routing.Policy(p), routing.Policy(p)
--- a/lab/experiment/print.go
+++ b/lab/experiment/print.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Print writes a result as a table.
+// Print writes the result as a table.
 func (r Result) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name string, format string, values ...any) {
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -9,64 +9,66 @@
 	"github.com/sloelift/sloelift/lab/load"
 )
 
-// Result is the outcome of one run, as it is written to JSON.
+// Result is the result of one run. It is written as JSON.
 type Result struct {
 	Profile  string  `json:"profile"`
 	Scenario string  `json:"scenario"`
 	Policy   Policy  `json:"policy"`
 	Seed     uint64  `json:"seed"`
 	Seconds  float64 `json:"seconds"`
-	// Failed is set where an invariant broke or a fault could not be carried out.
+	// Failed is set if an invariant was violated or a fault could not be injected.
 	Failed     bool                   `json:"failed"`
 	Verdict    load.Verdict           `json:"verdict"`
 	FirstToken histogram.Distribution `json:"online_first_token"`
-	// FirstTokenMarked are the marked requests among them, FirstTokenUnmarked the others.
+	// FirstTokenMarked covers the marked requests of FirstToken, FirstTokenUnmarked the others.
 	FirstTokenMarked   histogram.Distribution `json:"online_first_token_marked"`
 	FirstTokenUnmarked histogram.Distribution `json:"online_first_token_unmarked"`
 	InterToken         histogram.Distribution `json:"online_inter_token"`
-	// EngineFirstToken and EngineInterToken are of online runs in engine time, from their dispatch
-	// on: the harm that sharing engines does, without what the machine adds.
+	// EngineFirstToken and EngineInterToken are the token times of online runs in engine time, counted from
+	// their dispatch. They show the cost of sharing engines without the delays of a busy machine.
 	EngineFirstToken histogram.Distribution `json:"engine_first_token"`
 	EngineInterToken histogram.Distribution `json:"engine_inter_token"`
 	Batch            BatchResult            `json:"batch"`
 	Cache            CacheResult            `json:"cache"`
-	// StartedOnLeaving counts runs that started on a replica more than 2 s after the first sign of its leaving.
+	// StartedOnLeaving counts runs that were dispatched to a replica more than leavingGrace (2 s), plus the lag of the
+	// machine list, after it was announced as leaving.
 	StartedOnLeaving int      `json:"started_on_leaving"`
 	FaultErrors      []string `json:"fault_errors,omitempty"`
-	// Configuration is set where the scenario changes it.
+	// Configuration is set if the scenario changes the configuration.
 	Configuration *ConfigurationResult `json:"configuration,omitempty"`
 	Load          LoadDescribed        `json:"load"`
 	Folder        string               `json:"folder,omitempty"`
-	// TimerLateness tells how busy the machine was: how late a timer of 2 ms fired.
+	// TimerLateness shows how busy the machine was, by how late timers of 2 ms fired.
 	TimerLateness histogram.Distribution `json:"timer_lateness"`
 	Engines       EngineAccounts         `json:"engines"`
 }
 
-// LoadDescribed says what arrived.
+// LoadDescribed counts what arrived.
 type LoadDescribed struct {
 	OnlineRequests int `json:"online_requests"`
 	Jobs           int `json:"jobs"`
 	Items          int `json:"items"`
 }
 
-// BatchResult holds the throughput of batch work while arrivals lasted, by the
-// engines' own record.
+// BatchResult holds the throughput of batch work while work arrived, from the engines'
+// records.
 type BatchResult struct {
 	ItemsPerSecond  float64 `json:"items_per_second"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
-	// IdleCapacityTokens is how many batch tokens a perfect scheduler could have made, see Bound.
+	// IdleCapacityTokens is the number of batch tokens that a perfect scheduler could have produced, see Bound.
 	IdleCapacityTokens float64 `json:"idle_capacity_tokens"`
-	// IdleCapacityUsed is the share of them that was made, without those made twice.
+	// IdleCapacityUsed is the share of IdleCapacityTokens that was produced, without tokens produced again.
 	IdleCapacityUsed float64 `json:"idle_capacity_used"`
-	// DecodedTwiceShare is answer tokens computed again, as a share of all; PrefilledTwiceShare is
-	// prompt tokens computed again by resumptions, as a share of all tokens computed.
+	// DecodedTwiceShare is the share of answer tokens that were computed again; PrefilledTwiceShare is the
+	// number of prompt tokens that resumed runs computed again, as a share of all tokens computed.
 	DecodedTwiceShare   float64 `json:"decoded_twice_share"`
 	PrefilledTwiceShare float64 `json:"prefilled_twice_share"`
 	Resumptions         int     `json:"resumptions"`
 }
 
-// CacheResult holds prefix hit rates by the engines' record: cached prompt tokens over
-// all, of first starts. Possible is that of one cache that holds all.
+// CacheResult holds prefix hit rates from the engines' records: the share of prompt tokens
+// that were cached at the first start. The Possible rates are those of a single cache that
+// holds all earlier prompts; OfPerfect is the ratio of the two.
 type CacheResult struct {
 	OnlineHitRate   float64 `json:"online_hit_rate"`
 	BatchHitRate    float64 `json:"batch_hit_rate"`
@@ -76,7 +78,7 @@
 	BatchOfPerfect  float64 `json:"batch_of_perfect"`
 }
 
-// EngineAccounts are the engines' totals at the end of arrivals.
+// EngineAccounts holds the engines' totals at the end of arrivals.
 type EngineAccounts struct {
 	Totals labengine.Totals `json:"totals_at_end_of_arrivals"`
 }
@@ -132,7 +134,7 @@
 	return part / whole
 }
 
-// addFaults adds what the faults themselves show.
+// addFaults adds the errors and observations of the faults, and updates Failed.
 func (r *Result) addFaults(faults *injector, records map[string]labengine.RunRecord, lag time.Duration) {
 	faults.mutex.Lock()
 	defer faults.mutex.Unlock()
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// drainTimeout bounds the time from the last arrival until all has ended.
+	// drainTimeout is the timeout for unfinished work after the last arrival.
 	drainTimeout = 60 * time.Second
-	// leavingGrace is how long after the first sign a leaving replica may still get work.
+	// leavingGrace is how long a replica may still get work after the machine list shows it as leaving.
 	leavingGrace = 2 * time.Second
 	logFileName  = "nodes.log"
 )
@@ -32,15 +32,15 @@
 	Duration time.Duration
 	Scenario Scenario
 	Policy   Policy
-	// Program is run as a process for each node; where it is empty all run in this process.
+	// Program is the path of the program to run as one process per node; if empty, all nodes run in this process.
 	Program string
-	// LogLevel of the nodes; their log is written to the run's folder.
+	// LogLevel is the log level of the nodes, whose log is written to the run's folder.
 	LogLevel zerolog.Level
-	// KeepFolder leaves the run's folder with its log in place and names it in the result.
+	// KeepFolder keeps the run's folder with its log and sets Folder in the result.
 	KeepFolder bool
 }
 
-// Run plays one seeded load under one scenario and judges it.
+// Run plays the load of one seed under one scenario and checks the invariants.
 func Run(ctx context.Context, options Options) (Result, error) {
 	folder, err := os.MkdirTemp("", "sloelift-lab-")
 	if err != nil {
@@ -80,7 +80,7 @@
 	return observe(ctx, options, plan, fleet, logger), nil
 }
 
-// observe plays plan and faults and collects the result.
+// observe plays the plan and the faults and collects the result.
 func observe(ctx context.Context, options Options, plan load.Plan, fleet *deployment.Deployment, logger zerolog.Logger) Result {
 	bounded, cancel := context.WithTimeout(ctx, options.Duration+drainTimeout)
 	defer cancel()
--- a/lab/experiment/run_test.go
+++ b/lab/experiment/run_test.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/lab/load"
 )
 
-// smallOptions are of a short run with few replicas and little load.
+// smallOptions returns the options of a short run with few replicas and little load.
 func smallOptions(faults ...Fault) Options {
 	profile := load.Registry()
 	profile.Replicas = 3
--- a/lab/experiment/scenario.go
+++ b/lab/experiment/scenario.go
@@ -14,7 +14,7 @@
 	"github.com/sloelift/sloelift/lab/load"
 )
 
-// FaultKind names what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // Kinds of faults.
@@ -31,15 +31,15 @@
 	FaultLoadLag         FaultKind = "load_lag"
 	FaultCacheEventsLost FaultKind = "cache_events_lost"
 	FaultRollingRestart  FaultKind = "rolling_restart"
-	// FaultSilence silences the open connections between nodes that are processes of their own and the platform or engines.
+	// FaultSilence silences the open connections to the platform and engines of nodes that are processes of their own.
 	FaultSilence FaultKind = "silence_connections"
-	// FaultConfiguration applies count changed files over its duration; none may revert or be late.
+	// FaultConfiguration applies Count changed files over its duration; no node may revert one or get one late.
 	FaultConfiguration FaultKind = "change_configuration"
-	// FaultRollVersion declares a new version of the model; every replica must come to serve it alone.
+	// FaultRollVersion declares a new version of the model; every replica must come to serve only that version.
 	FaultRollVersion FaultKind = "roll_version"
 )
 
-// Target names which nodes a fault can hit.
+// Target is the class of nodes that a fault can hit.
 type Target string
 
 // Targets of node faults.
@@ -53,18 +53,18 @@
 type Fault struct {
 	At   time.Duration `yaml:"at"`
 	Kind FaultKind     `yaml:"kind"`
-	// For is how long it lasts; 0 is until the end.
+	// For is the duration of the fault; 0 means until the end of the run.
 	For    time.Duration `yaml:"for"`
 	Target Target        `yaml:"target"`
-	// Count is how many nodes or replicas it hits at once; 0 is one.
+	// Count is the number of nodes or replicas that are hit at once; 0 means one.
 	Count int `yaml:"count"`
-	// Share is a probability, for answers and cache events lost.
+	// Share is the probability of losing a response or a cache event.
 	Share float64 `yaml:"share"`
-	// Lag is the age of load reports or the delay of the key-value service.
+	// Lag is the delay of load reports or of the key-value service.
 	Lag time.Duration `yaml:"lag"`
 }
 
-// LoadChange changes the profile's load; nil leaves a value as it is.
+// LoadChange changes the profile's load; nil fields change nothing.
 type LoadChange struct {
 	ResendShare        *float64 `yaml:"resendShare"`
 	CancelShare        *float64 `yaml:"cancelShare"`
@@ -73,7 +73,7 @@
 	BatchScale         *float64 `yaml:"batchScale"`
 }
 
-// Scenario is one fault file.
+// Scenario is the content of one fault file.
 type Scenario struct {
 	Name        string        `yaml:"name"`
 	Description string        `yaml:"description"`
@@ -85,7 +85,7 @@
 //go:embed faults/*.yaml
 var builtIn embed.FS
 
-// LoadScenario reads a fault file: a path, or the name of a built-in one.
+// LoadScenario reads a fault file, given its path or the name of a built-in one.
 func LoadScenario(name string) (Scenario, error) {
 	content, err := os.ReadFile(name)
 	if os.IsNotExist(err) {
@@ -97,7 +97,7 @@
 	return ParseScenario(content)
 }
 
-// ParseScenario reads a fault file's content; an unknown key or kind is an error.
+// ParseScenario parses the content of a fault file. Unknown keys and kinds are errors.
 func ParseScenario(content []byte) (Scenario, error) {
 	var scenario Scenario
 	if err := yaml.UnmarshalWithOptions(content, &scenario, yaml.Strict()); err != nil {
@@ -127,7 +127,7 @@
 	return names
 }
 
-// apply returns the profile with the change.
+// apply returns the changed profile.
 func (c LoadChange) apply(profile load.Profile) load.Profile {
 	set := func(value *float64, fields ...*float64) {
 		for _, field := range fields {
@@ -149,7 +149,7 @@
 	return profile
 }
 
-// expectations tells what the scenario's faults allow.
+// expectations returns what the scenario's faults allow.
 func (s Scenario) expectations() load.Expectations {
 	var expected load.Expectations
 	for _, fault := range s.Faults {
