--- a/cmd/sloelift-lab/experiment_command.go
+++ b/cmd/sloelift-lab/experiment_command.go
@@ -24,7 +24,7 @@
 	Keep     bool   `help:"Keep the run's folder with the nodes' log and print its name."`
 }
 
-// profile starts the CPU profile that the flags ask for; the result ends it.
+// profile starts the CPU profile if the flags request one; the returned function ends it.
 func (f runFlags) profile() (end func(), err error) {
 	if f.Profiled == "" {
 		return func() {}, nil
@@ -60,7 +60,7 @@
 	Seed     uint64        `help:"Seed of the arrivals." default:"1"`
 }
 
-// Run plays the demo and fails where an invariant broke.
+// Run runs the demo and fails if an invariant was violated.
 func (c *demoCommand) Run(ctx context.Context) error {
 	options, err := c.options()
 	if err != nil {
@@ -166,7 +166,9 @@
 	return nil
 }
 
-func runScenario(ctx context.Context, options experiment.Options, scenario experiment.Scenario, seed uint64, policy experiment.Policy, duration time.Duration) (experiment.Result, error) {
+func runScenario(
+	ctx context.Context, options experiment.Options, scenario experiment.Scenario, seed uint64, policy experiment.Policy, duration time.Duration,
+) (experiment.Result, error) {
 	options.Scenario, options.Seed, options.Policy = scenario, seed, policy
 	options.Duration = scenario.Duration
 	if duration > 0 {
@@ -206,7 +208,7 @@
 	return scenarios, nil
 }
 
-// compareDuration is how long work arrives in a comparison unless told otherwise.
+// compareDuration is how long work arrives in a comparison by default.
 const compareDuration = 20 * time.Second
 
 func (c *experimentCommand) compare(ctx context.Context, options experiment.Options, policies []experiment.Policy) error {
--- a/cmd/sloelift-lab/main.go
+++ b/cmd/sloelift-lab/main.go
@@ -1,5 +1,5 @@
-// Command sloelift-lab runs the project's own model of what sloelift serves: engines,
-// platform, load, faults, experiments and reports. docs/operations/lab.md describes it.
+// Command sloelift-lab runs a simulated environment for sloelift: engines, platform,
+// load, faults, experiments and reports. See docs/operations/lab.md.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	exitWrongUse = 2
 )
 
-// errBroken means that an invariant broke; what broke has been printed.
+// errBroken means that an invariant was violated; the violations have been printed.
 var errBroken = errors.New("an invariant broke")
 
 type commandLine struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-// conclude prints the report of a soak; errBroken where runs broke.
+// conclude prints the report of a soak and returns errBroken if runs failed.
 func conclude(report any, broken int) error {
 	if err := printJSON(report); err != nil {
 		return err
--- a/cmd/sloelift-lab/part_command.go
+++ b/cmd/sloelift-lab/part_command.go
@@ -49,7 +49,7 @@
 	Seed uint64 `help:"Seed of the stand-ins' faults." default:"1"`
 }
 
-// Run keeps a deployment up until interrupted and prints where it is.
+// Run starts a deployment, prints its addresses and keeps it running until interrupted.
 func (c *upCommand) Run(ctx context.Context) error {
 	options, err := c.options()
 	if err != nil {
@@ -87,8 +87,8 @@
 	Seed     uint64           `help:"Seed of the arrivals." default:"1"`
 }
 
-// Run plays a load and judges the answers; the engines' own records are not at hand,
-// so that runs of marked requests are not checked.
+// Run plays a load and checks the responses. Since the engines' records are not
+// available, the number of runs of marked requests is not checked.
 func (c *loadCommand) Run(ctx context.Context) error {
 	profile, err := load.ProfileByName(c.Profile)
 	if err != nil {
--- a/cmd/sloelift-lab/roles_command.go
+++ b/cmd/sloelift-lab/roles_command.go
@@ -28,7 +28,7 @@
 	Keep             bool          `help:"Keep the logs of all runs."`
 }
 
-// Run plays the seeds and fails where a promise broke.
+// Run plays the seeds and fails if a guarantee was violated.
 func (c *rolesCommand) Run(ctx context.Context) error {
 	own, err := os.Executable()
 	if err != nil {
@@ -36,7 +36,9 @@
 	}
 	report, err := roles.Run(ctx, roles.Options{
 		Program: c.Program, Template: c.Template, Busy: []string{own, "busy"}, Seed: c.Seed, Runs: c.Runs, Each: c.Each,
-		Zones: c.Zones, Edges: c.Edges, Stores: c.Stores, Replicas: c.Replicas, OnlinePerSecond: c.Online, JobsPerSecond: c.Jobs, Before: c.Before, ItemEvents: c.ItemEvents, EndingItems: c.EndingItems, CrashingRequests: c.CrashingRequests, Only: c.Only, Keep: c.Keep,
+		Zones: c.Zones, Edges: c.Edges, Stores: c.Stores, Replicas: c.Replicas, OnlinePerSecond: c.Online, JobsPerSecond: c.Jobs,
+		Before: c.Before, ItemEvents: c.ItemEvents, EndingItems: c.EndingItems, CrashingRequests: c.CrashingRequests,
+		Only: c.Only, Keep: c.Keep,
 	}, os.Stdout)
 	if err != nil {
 		return err
@@ -48,7 +50,7 @@
 	For time.Duration `help:"When it ends by itself." default:"60s"`
 }
 
-// Run keeps one core busy.
+// Run keeps one core busy for the given time.
 func (c *busyCommand) Run() error {
 	for began := time.Now(); time.Since(began) < c.For; {
 	}
--- a/cmd/sloelift-lab/soak_command.go
+++ b/cmd/sloelift-lab/soak_command.go
@@ -17,13 +17,15 @@
 	Each    time.Duration `help:"How long work arrives with each seed." default:"12s"`
 }
 
-// Run plays the seeds and fails where an invariant broke.
+// Run plays the seeds and fails if an invariant was violated.
 func (c *soakCommand) Run(ctx context.Context) error {
 	profile, err := load.ProfileByName(c.Profile)
 	if err != nil {
 		return err
 	}
-	report, err := soak.Run(ctx, soak.Options{Program: c.Program, Profile: profile, FirstSeed: c.Seed, Runs: c.Runs, Each: c.Each}, os.Stdout)
+	report, err := soak.Run(ctx, soak.Options{
+		Program: c.Program, Profile: profile, FirstSeed: c.Seed, Runs: c.Runs, Each: c.Each,
+	}, os.Stdout)
 	if err != nil {
 		return err
 	}
--- a/cmd/sloelift/apply.go
+++ b/cmd/sloelift/apply.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	var output applyOutput
-	output.ApplyResult, err = applySettled(env, file, expectedRevision(c.ExpectRevision))
+	output.ApplyResult, err = applyAndConfirm(env, file, expectedRevision(c.ExpectRevision))
 	if err != nil {
 		return withFile(err, c.File)
 	}
@@ -62,23 +62,23 @@
 	return *flag
 }
 
-// applySettled applies the file. Where the answer is lost it asks what the file would
-// still change: nothing means that it is in force.
-func applySettled(env *environment, file []byte, expect int64) (config.ApplyResult, error) {
+// applyAndConfirm applies the file. If the outcome is unknown, it asks what the file would
+// still change; if that is nothing, the file has been applied.
+func applyAndConfirm(env *environment, file []byte, expect int64) (config.ApplyResult, error) {
 	result, err := env.client.Apply(env.context, file, expect)
 	if err == nil || outcome.Of(err) != outcome.Indeterminate {
 		return result, err
 	}
-	rest, diffErr := env.client.Diff(env.context, file)
-	if diffErr == nil && len(rest.Changes) == 0 {
-		return config.ApplyResult{Revision: rest.Revision}, nil
+	remaining, diffErr := env.client.Diff(env.context, file)
+	if diffErr == nil && len(remaining.Changes) == 0 {
+		return config.ApplyResult{Revision: remaining.Revision}, nil
 	}
 	return result, err
 }
 
 const rolloutPollInterval = 200 * time.Millisecond
 
-// waitForRollout polls until no reachable member is behind the revision.
+// waitForRollout polls until the revision is in force on all reachable members.
 func waitForRollout(env *environment, revision int64, limit time.Duration) (*operator.Rollout, error) {
 	ctx, cancel := context.WithTimeout(env.context, limit)
 	defer cancel()
--- a/cmd/sloelift/cli.go
+++ b/cmd/sloelift/cli.go
@@ -17,13 +17,13 @@
 const (
 	exitDone   = 0
 	exitFailed = 1
-	// exitWrong: wrong use of the command line, or an invalid file.
-	exitWrong = 2
+	// exitUsage means wrong use of the command line or an invalid file.
+	exitUsage = 2
 )
 
 const defaultAdmin = "127.0.0.1:8090"
 
-// commandLine is the grammar of the program.
+// commandLine is the grammar of the command line.
 type commandLine struct {
 	Output string         `enum:"text,json" default:"text" help:"Form of the output: text or json."`
 	Admin  netip.AddrPort `default:"${admin}" env:"SLOELIFT_ADMIN" placeholder:"IP:PORT" help:"Admin address of any node (${default})."`
@@ -40,7 +40,7 @@
 	Version  versionCommand  `cmd:"" help:"Print the version."`
 }
 
-// environment is what a command works with.
+// environment holds the inputs, outputs and client of a command.
 type environment struct {
 	context context.Context
 	stdin   io.Reader
@@ -50,13 +50,13 @@
 	json    bool
 }
 
-// usageError is a wrong use of the command line that its grammar cannot express.
+// usageError is a wrong use of the command line that the parser cannot detect.
 type usageError struct{ message string }
 
 // Error returns the message.
 func (e *usageError) Error() string { return e.message }
 
-// exitRequest is how the help flag ends the parser.
+// exitRequest is the exit code with which the parser panics to end the program, as after --help.
 type exitRequest int
 
 // run parses arguments, runs the command and returns the program's exit code.
@@ -68,7 +68,7 @@
 			return
 		}
 		if failure != nil {
-			// A broken invariant stops the process, and is seen.
+			// A broken invariant must crash the process instead of being hidden.
 			panic(failure)
 		}
 	}()
@@ -86,7 +86,7 @@
 	parsed, err := parser.Parse(arguments)
 	if err != nil {
 		_, _ = io.WriteString(stderr, "sloelift: "+err.Error()+"\n")
-		return exitWrong
+		return exitUsage
 	}
 	env := &environment{
 		context: context.Background(),
@@ -106,7 +106,7 @@
 	var usage *usageError
 	var invalid *strictyaml.ValidationError
 	if errors.As(err, &usage) || errors.As(err, &invalid) {
-		return exitWrong
+		return exitUsage
 	}
 	return exitFailed
 }
--- a/cmd/sloelift/cli_test.go
+++ b/cmd/sloelift/cli_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// brokenReader breaks an invariant when it is read.
+// brokenReader panics like a broken invariant when it is read.
 type brokenReader struct{}
 
 func (brokenReader) Read([]byte) (int, error) { panic("broken invariant") }
 
-// TestBrokenInvariantsAreSeen: a panic is not taken for a wanted end of the program with code 0.
+// TestBrokenInvariantsAreSeen guards that a panic is not mistaken for an exit request with code 0.
 func TestBrokenInvariantsAreSeen(t *testing.T) {
 	defer func() {
 		if failure := recover(); failure != "broken invariant" {
--- a/cmd/sloelift/diff.go
+++ b/cmd/sloelift/diff.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// writeChanges shows each change with its lines before (-) and after (+).
+// writeChanges writes each change with its removed (-) and added (+) lines.
 func writeChanges(out io.Writer, result config.ApplyResult) {
 	if len(result.Changes) == 0 {
 		fmt.Fprintln(out, "no change")
@@ -42,8 +42,8 @@
 	}
 }
 
-// changedLines lists the lines that are on one side only. Each field of a
-// declaration has lines of its own, so that their order does not matter.
+// changedLines returns the lines that are on one side only. Their order does not
+// matter, since each field of a declaration has its own lines.
 func changedLines(before, after string) []string {
 	var changed []string
 	for _, line := range missingLines(before, after) {
--- a/cmd/sloelift/examples_test.go
+++ b/cmd/sloelift/examples_test.go
@@ -22,11 +22,11 @@
 
 const repository = "../../"
 
-// yamlBlock is a fenced block of a page; its first group is the rest of the fence's line.
+// yamlBlock matches a fenced YAML block of a page; its first group is the rest of the opening line.
 var yamlBlock = regexp.MustCompile("(?ms)^```yaml([^\n]*)\n(.*?)^```$")
 
-// TestReferencePages: the examples of all kinds form one valid configuration, the
-// settings page holds a valid file, and each page names every field of its kind.
+// TestReferencePages guards that the examples of all kinds form one valid configuration,
+// that the settings page has a valid file, and that each page names every field of its kind.
 func TestReferencePages(t *testing.T) {
 	files := map[string]*config.File{}
 	for _, kind := range config.Kinds {
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestExamples: operators' files form one valid configuration whose inputs are there,
-// and the nodes' settings agree with the machine list.
+// TestExamples guards that the operators' files form one valid configuration whose inputs
+// exist, and that the nodes' settings agree with the machine list.
 func TestExamples(t *testing.T) {
 	for _, example := range []string{"registry", "tidewater"} {
 		t.Run(example, func(t *testing.T) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestBadFilesAreRefused: each bad file alone ends the program with exit code 2 and a
+// TestBadFilesAreRefused guards that every invalid file is rejected with exit code 2 and a
 // position in the file.
 func TestBadFilesAreRefused(t *testing.T) {
 	paths, err := filepath.Glob(repository + "internal/config/testdata/bad/*.yaml")
@@ -149,7 +149,7 @@
 	}
 	for _, path := range paths {
 		var stdout, stderr bytes.Buffer
-		if code := run([]string{"validate", path}, strings.NewReader(""), &stdout, &stderr); code != exitWrong {
+		if code := run([]string{"validate", path}, strings.NewReader(""), &stdout, &stderr); code != exitUsage {
 			t.Errorf("%s: exit code %d", path, code)
 		}
 		if !strings.HasPrefix(stderr.String(), path+":") || stdout.Len() > 0 {
@@ -158,7 +158,7 @@
 	}
 }
 
-// TestStoredFormKeepsExamples: what the key-value service holds reads back as declared.
+// TestStoredFormKeepsExamples guards that declarations read back from the key-value service are unchanged.
 func TestStoredFormKeepsExamples(t *testing.T) {
 	store := config.NewStore(labplatform.NewServer(labplatform.Options{}).KeyValue(labplatform.AnyZone), zerolog.Nop())
 	file := []byte(readPage(t, repository+"examples/tidewater/operators/fleet.yaml"))
@@ -184,7 +184,7 @@
 	}
 }
 
-// TestSchemaHasEveryField compares the schema with the fields that the parser takes.
+// TestSchemaHasEveryField guards that the schema has every field that the parser accepts.
 func TestSchemaHasEveryField(t *testing.T) {
 	schema := config.Schema()
 	for index, kind := range config.Kinds {
--- a/cmd/sloelift/fakes_test.go
+++ b/cmd/sloelift/fakes_test.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/outcome"
 )
 
-// fakeSource has in force what the store held when it last answered.
+// fakeSource returns the snapshot from the last time that the store was reachable.
 type fakeSource struct {
 	store config.Store
 	mutex sync.Mutex
@@ -36,7 +36,7 @@
 
 func (f *fakeSource) Subscribe(func(*config.Snapshot)) func() { return func() {} }
 
-// fakeViewer shows one other member.
+// fakeViewer returns a view with the node itself and at most one other member.
 type fakeViewer struct {
 	mutex sync.Mutex
 	other membership.Member
@@ -66,12 +66,12 @@
 
 func (f *fakeViewer) Subscribe(func(*membership.View)) func() { return func() {} }
 
-// fakeJobs keeps jobs in memory; each item's result is its own input.
+// fakeJobs keeps jobs in memory; the result of each item is its input.
 type fakeJobs struct {
 	mutex sync.Mutex
 	jobs  map[string]*fakeJob
 	order []string
-	// refused holds the client keys that were refused once.
+	// refused holds the client keys that have been refused once.
 	refused map[string]bool
 }
 
@@ -155,10 +155,10 @@
 	return found.status, nil
 }
 
-// busyKey begins the client keys of jobs that are refused once, with a time to come back.
+// busyKey is the prefix of client keys whose first submission is refused with a retry-after time.
 const busyKey = "busy"
 
-// cutAfter is the index at which results of a job with this client key are cut.
+// Results of a job with client key cutKey fail at index cutAfter.
 const (
 	cutKey   = "cut"
 	cutAfter = 1
--- a/cmd/sloelift/file.go
+++ b/cmd/sloelift/file.go
@@ -26,17 +26,17 @@
 	return readBounded(file, path)
 }
 
-// readBounded reads one byte more than a file may have, so that the parser finds a
-// file too large.
-func readBounded(from io.Reader, path string) ([]byte, error) {
-	content, err := io.ReadAll(io.LimitReader(from, strictyaml.MaxBytes+1))
+// readBounded reads at most one byte more than the maximum size of a file, so that the
+// parser rejects a larger one.
+func readBounded(reader io.Reader, path string) ([]byte, error) {
+	content, err := io.ReadAll(io.LimitReader(reader, strictyaml.MaxBytes+1))
 	if err != nil {
 		return nil, &usageError{fmt.Sprintf("read %s: %v", path, err)}
 	}
 	return content, nil
 }
 
-// withFile names the file in a ValidationError.
+// withFile sets the file of a ValidationError.
 func withFile(err error, path string) error {
 	var invalid *strictyaml.ValidationError
 	if errors.As(err, &invalid) {
@@ -45,7 +45,7 @@
 	return err
 }
 
-// expandFolders replaces each folder by the YAML files in it, sorted by name.
+// expandFolders replaces each folder with the YAML files in it, sorted by name.
 func expandFolders(paths []string) ([]string, error) {
 	var files []string
 	for _, path := range paths {
@@ -57,12 +57,12 @@
 			files = append(files, path)
 			continue
 		}
-		found, err := filepath.Glob(filepath.Join(path, "*.y*ml"))
-		if err != nil || len(found) == 0 {
+		matches, err := filepath.Glob(filepath.Join(path, "*.y*ml"))
+		if err != nil || len(matches) == 0 {
 			return nil, &usageError{"no YAML file in folder " + path}
 		}
-		sort.Strings(found)
-		files = append(files, found...)
+		sort.Strings(matches)
+		files = append(files, matches...)
 	}
 	return files, nil
 }
--- a/cmd/sloelift/get.go
+++ b/cmd/sloelift/get.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/operator"
 )
 
-// getCommand shows the configuration, or one kind, or one declaration.
+// getCommand shows the configuration, the declarations of one kind, or one declaration.
 type getCommand struct {
 	Kind string `arg:"" optional:"" help:"Model, Service, Priority, Tenant or Job."`
 	Name string `arg:"" optional:"" help:"Name of one declaration."`
@@ -49,7 +49,7 @@
 	})
 }
 
-// parseKind takes a kind in any case, or empty for all kinds.
+// parseKind parses a kind, ignoring case; the empty text stands for all kinds.
 func parseKind(text string) (config.Kind, error) {
 	if text == "" {
 		return "", nil
--- a/cmd/sloelift/job.go
+++ b/cmd/sloelift/job.go
@@ -17,7 +17,7 @@
 	Cancel  jobCancelCommand  `cmd:"" help:"Cancel a job."`
 }
 
-// jobSubmitCommand submits a job. The same key and content again give the same job.
+// jobSubmitCommand submits a job. Submitting the same key and content again returns the same job.
 type jobSubmitCommand struct {
 	Template      string        `arg:"" optional:"" help:"Job declaration that gives what the flags leave open."`
 	Input         string        `required:"" short:"i" placeholder:"FILE" help:"JSONL file; - is the standard input."`
--- a/cmd/sloelift/job_input.go
+++ b/cmd/sloelift/job_input.go
@@ -21,13 +21,13 @@
 type jobInput struct {
 	job  *config.Job
 	path string
-	// digest is the SHA-256 of the content. As part of the client key it makes applying
-	// the same file again find the same job, and another input another job.
+	// digest is the SHA-256 of the content. It is part of the client key, so that applying
+	// the same input again finds the same job and a changed input creates another one.
 	digest string
 }
 
-// openInputs finds the inputs of a file's jobs, relative to the file's folder, before
-// anything is applied.
+// openInputs finds and digests the inputs of a file's jobs, relative to the file's
+// folder, before anything is applied.
 func openInputs(filePath string, file *config.File) ([]jobInput, error) {
 	var inputs []jobInput
 	for _, declaration := range file.Declarations {
@@ -80,11 +80,11 @@
 	return submitFile(env, request, i.path)
 }
 
-// submitRetryTime bounds how long a submission is tried again.
+// submitRetryTime is the maximum time for the retries of a submission.
 const submitRetryTime = 30 * time.Second
 
-// submitFile submits a file. A refusal that names a time to come back is tried again
-// then; the client key makes that the same job.
+// submitFile submits a file. It retries refusals with a retry-after time; the client key
+// makes all attempts refer to the same job.
 func submitFile(env *environment, request operator.JobRequest, path string) (operator.JobView, error) {
 	attempt := func() (operator.JobView, error) {
 		file, err := os.Open(path)
@@ -103,21 +103,21 @@
 		return view, backoff.Permanent(err)
 	}
 	view, err := backoff.Retry(env.context, attempt, backoff.WithMaxElapsedTime(submitRetryTime))
-	var waiting *refusalWithWait
-	if errors.As(err, &waiting) {
-		err = waiting.cause
+	var refused *refusalWithWait
+	if errors.As(err, &refused) {
+		err = refused.cause
 	}
 	return view, err
 }
 
-// refusalWithWait is a refusal with the time after which to try again, in the form that backoff reads.
+// refusalWithWait is a refusal with its retry-after time in the form that package backoff uses.
 type refusalWithWait struct {
 	cause error
 	wait  backoff.RetryAfterError
 }
 
-// Error returns the refusal's text.
+// Error returns the refusal's message.
 func (r *refusalWithWait) Error() string { return r.cause.Error() }
 
-// Unwrap returns the refusal and the wait.
+// Unwrap returns the refusal and the retry-after error.
 func (r *refusalWithWait) Unwrap() []error { return []error{r.cause, &r.wait} }
--- a/cmd/sloelift/output.go
+++ b/cmd/sloelift/output.go
@@ -13,7 +13,7 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// print writes value as JSON, or calls text where text is wanted.
+// print writes value as JSON, or calls text for text output.
 func (e *environment) print(value any, text func(io.Writer)) error {
 	if !e.json {
 		text(e.stdout)
@@ -24,14 +24,14 @@
 	return encoder.Encode(value)
 }
 
-// reportError writes an error to the error output; as JSON it is an operator.ErrorBody.
+// reportError writes an error to standard error, as an operator.ErrorBody for JSON output.
 func (e *environment) reportError(err error) {
 	var invalid *strictyaml.ValidationError
 	var conflict *config.ConflictError
 	var refusal *outcome.Error
 	switch {
 	case !e.json && errors.As(err, &invalid):
-		// Editors look for "file:line:column:" where a line begins.
+		// Editors parse "file:line:column:" at the beginning of a line.
 		fmt.Fprintln(e.stderr, err.Error())
 		return
 	case !e.json && errors.As(err, &conflict):
@@ -50,7 +50,7 @@
 	_ = encoder.Encode(operator.NewErrorBody(err))
 }
 
-// table writes rows in columns; the first row is the heading.
+// table writes rows in aligned columns; the first row is the heading.
 func table(out io.Writer, rows [][]string) {
 	writer := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
--- a/cmd/sloelift/role.go
+++ b/cmd/sloelift/role.go
@@ -16,7 +16,7 @@
 	"github.com/sloelift/sloelift/platform"
 )
 
-// platformAdapter puts together what platform/ translates.
+// platformAdapter returns the adapter to the protocols of the users' platform, from package platform.
 func platformAdapter() node.Adapter {
 	return node.Adapter{
 		Headers: platform.Headers, ReadyPath: platform.PathReady, Translator: platform.Translator{},
@@ -28,8 +28,8 @@
 	}
 }
 
-// runRole runs an edge or a storage node. SIGHUP has the settings file read and checked again; what a running
-// process uses of it does not change.
+// runRole runs an edge or a storage node. On SIGHUP it reads and checks the settings file again and logs the result;
+// the settings of the running process do not change.
 func runRole(ctx context.Context, path string, own settings.Settings, logger zerolog.Logger) error {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
--- a/cmd/sloelift/schema.go
+++ b/cmd/sloelift/schema.go
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/internal/config"
 )
 
-// schemaCommand prints the JSON Schema that editors use.
+// schemaCommand prints the JSON Schema of operators' files, for editors.
 type schemaCommand struct{}
 
 // Run implements the command.
--- a/cmd/sloelift/script_test.go
+++ b/cmd/sloelift/script_test.go
@@ -24,12 +24,12 @@
 )
 
 // TestScripts runs the program against the admin interface of a node whose jobs,
-// members and directory are fakes. Commands of a script:
+// members and configuration source are fakes. Commands of a script:
 //
 //	file NAME           writes the input to a file
-//	run ARGUMENTS       runs the program; shows its outputs and its exit code
+//	run ARGUMENTS       runs the program and prints its outputs and exit code
 //	members REVISION    sets the revision in force on the other member
-//	outage on|off       switches the key-value service
+//	outage on|off       starts or ends an outage of the key-value service
 func TestScripts(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	scripts, err := filepath.Abs("testdata/scripts")
@@ -55,13 +55,13 @@
 
 func startFixture(t *testing.T) *fixture {
 	t.Helper()
-	stand := platform.NewServer(platform.Options{})
-	keyValue := stand.KeyValue("")
+	simulated := platform.NewServer(platform.Options{})
+	keyValue := simulated.KeyValue("")
 	own := settings.Defaults()
 	own.Node, own.Region, own.Zone = "node-a", "lahore", "shadman-hall"
 	own.AdminAddress = netip.MustParseAddrPort("127.0.0.1:0")
 	store := config.NewStore(keyValue, zerolog.Nop())
-	created := &fixture{platform: stand, source: &fakeSource{store: store}, members: &fakeViewer{}, jobs: &fakeJobs{refused: map[string]bool{}}}
+	created := &fixture{platform: simulated, source: &fakeSource{store: store}, members: &fakeViewer{}, jobs: &fakeJobs{refused: map[string]bool{}}}
 	registry := prometheus.NewRegistry()
 	server := operator.New(operator.Params{
 		Settings: own, Logger: zerolog.Nop(), Gatherer: registry, Registerer: registry, Network: network.System{},
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// varying are parts of the output that differ from run to run.
+// varying matches parts of the output that differ between runs.
 var varying = regexp.MustCompile(`127\.0\.0\.1:\d{4,5}|sloelift [0-9a-f]{40}`)
 
 func (f *fixture) run(data *datadriven.TestData) string {
--- a/cmd/sloelift/serve.go
+++ b/cmd/sloelift/serve.go
@@ -18,8 +18,8 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// serveCommand runs one node until SIGTERM or SIGINT, which begin a planned stop. A
-// second signal ends the process at once.
+// serveCommand runs one node until SIGTERM or SIGINT, which start a planned stop. A
+// second signal ends the process immediately.
 type serveCommand struct {
 	Settings      string         `required:"" placeholder:"FILE" help:"Settings file."`
 	Node          string         `help:"Overrides the file's node."`
@@ -69,8 +69,8 @@
 	return dig.RootCause(node.Run(ctx, loaded, logging.New(env.stderr, level)))
 }
 
-// checkAddresses binds and frees the node's own addresses, so that a node which cannot
-// listen ends before other nodes hear of it.
+// checkAddresses binds and releases the node's own addresses, so that a node that cannot
+// listen fails before it joins the other nodes.
 func checkAddresses(ctx context.Context, own settings.Settings) error {
 	addresses := []struct {
 		setting string
--- a/cmd/sloelift/status.go
+++ b/cmd/sloelift/status.go
@@ -10,7 +10,7 @@
 	"github.com/sloelift/sloelift/internal/operator"
 )
 
-// statusCommand shows what a node knows of the system.
+// statusCommand shows the state of the system as one node knows it.
 type statusCommand struct{}
 
 // Run implements the command.
--- a/cmd/sloelift/validate.go
+++ b/cmd/sloelift/validate.go
@@ -9,19 +9,19 @@
 	"github.com/sloelift/sloelift/internal/strictyaml"
 )
 
-// validateCommand checks files as if together they were the whole configuration.
+// validateCommand checks files as if together they formed the whole configuration.
 type validateCommand struct {
 	Files   []string `arg:"" name:"file" help:"Files, or folders of YAML files; - is the standard input."`
 	Partial bool     `help:"The files build on what is in force: names that they do not declare are taken as declared."`
 }
 
-// validateResult is the output of a file that is valid.
+// validateResult is the output for a valid file.
 type validateResult struct {
 	File         string `json:"file"`
 	Declarations int    `json:"declarations"`
 }
 
-// Run implements the command. It reports the problems of all files.
+// Run implements the command. It reports the errors of all files.
 func (c *validateCommand) Run(env *environment) error {
 	paths, err := expandFolders(c.Files)
 	if err != nil {
@@ -56,7 +56,7 @@
 	})
 }
 
-// invalidFiles is the error of several files.
+// invalidFiles holds the errors of several files.
 type invalidFiles struct{ errors []error }
 
 func (e *invalidFiles) Error() string   { return errors.Join(e.errors...).Error() }
--- a/cmd/sloelift/withdraw.go
+++ b/cmd/sloelift/withdraw.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/internal/operator"
 )
 
-// withdrawCommand removes one declaration and says what runs on it.
+// withdrawCommand removes one declaration and shows what uses it.
 type withdrawCommand struct {
 	Kind           string `arg:"" help:"Model, Service, Priority, Tenant or Job."`
 	Name           string `arg:"" help:"Name of the declaration."`
