--- a/cmd/sloelift-lab/main.go
+++ b/cmd/sloelift-lab/main.go
@@ -29,7 +29,7 @@
 	Demo        demoCommand         `cmd:"" help:"Run a whole deployment under load for a while and judge it."`
 	Up          upCommand           `cmd:"" help:"Run a whole deployment until interrupted."`
 	Engine      engineCommand       `cmd:"" help:"Run one emulated engine."`
-	Platform    platformCommand     `cmd:"" help:"Run the stand-ins of the key-value service, machine list and weight store."`
+	Platform    platformCommand     `cmd:"" help:"Run the simulated key-value service, machine list and weight store."`
 	Load        loadCommand         `cmd:"" help:"Play a load against nodes at given addresses."`
 	Experiment  experimentCommand   `cmd:"" help:"Run fault scenarios, or compare policies."`
 	Hollow      hollow.Command      `cmd:"" help:"Run the control code of many nodes without traffic and measure its cost."`
--- a/cmd/sloelift-lab/part_command.go
+++ b/cmd/sloelift-lab/part_command.go
@@ -20,7 +20,7 @@
 type engineCommand struct {
 	Listen  netip.AddrPort `help:"Address to serve on." default:"127.0.0.1:9101"`
 	Replica string         `help:"Name of the replica." default:"replica-1"`
-	Profile string         `help:"Profile whose step time and model it has." default:"registry"`
+	Profile string         `help:"Profile that gives the step time and the model." default:"registry"`
 	LoadLag time.Duration  `help:"Age of load reports." default:"100ms"`
 }
 
@@ -83,7 +83,7 @@
 	Nodes    []netip.AddrPort `help:"Callers' addresses of nodes." required:""`
 	Profile  string           `help:"Profile of the arrivals." default:"registry"`
 	Duration time.Duration    `help:"How long work arrives." default:"15s"`
-	Drain    time.Duration    `help:"How long to wait for what has arrived." default:"60s"`
+	Drain    time.Duration    `help:"How long to wait for unfinished work." default:"60s"`
 	Seed     uint64           `help:"Seed of the arrivals." default:"1"`
 }
 
--- a/cmd/sloelift-lab/platform_command.go
+++ b/cmd/sloelift-lab/platform_command.go
@@ -16,8 +16,8 @@
 type platformCommand struct {
 	Listen         netip.AddrPort `help:"Address of the three services." default:"127.0.0.1:9001"`
 	Control        netip.AddrPort `help:"Address of the control port." default:"127.0.0.1:9002"`
-	Machines       string         `help:"JSON file with the machines that are listed." type:"existingfile" optional:""`
-	MachineListLag time.Duration  `help:"How late the machine list is." default:"500ms"`
+	Machines       string         `help:"JSON file with the machine list." type:"existingfile" optional:""`
+	MachineListLag time.Duration  `help:"Lag of the machine list." default:"500ms"`
 	Weights        []string       `help:"Stored weights, as name=version."`
 	Seed           uint64         `help:"Seed of the faults." default:"1"`
 }
@@ -52,7 +52,7 @@
 func parseWeights(text string) (port.Weights, error) {
 	name, version, found := strings.Cut(text, "=")
 	if !found {
-		return port.Weights{}, fmt.Errorf("weights %q: name=version is wanted", text)
+		return port.Weights{}, fmt.Errorf("weights %q: must have the form name=version", text)
 	}
 	return port.Weights{Name: name, Version: version}, nil
 }
--- a/cmd/sloelift-lab/roles_command.go
+++ b/cmd/sloelift-lab/roles_command.go
@@ -10,21 +10,21 @@
 
 type rolesCommand struct {
 	Program          string        `help:"Program that runs for each machine." default:"bin/sloelift" type:"existingfile"`
-	Template         string        `help:"Template of its settings." default:"deploy/settings.tmpl" type:"existingfile"`
+	Template         string        `help:"Template of the settings." default:"deploy/settings.tmpl" type:"existingfile"`
 	Seed             uint64        `help:"First seed." default:"1"`
 	Runs             int           `help:"Number of seeds." default:"10"`
-	Each             time.Duration `help:"How long callers come with each seed." default:"20s"`
+	Each             time.Duration `help:"How long callers send requests with each seed." default:"20s"`
 	Zones            int           `help:"Zones." default:"3"`
 	Edges            int           `help:"Edges." default:"8"`
 	Stores           int           `help:"Storage nodes." default:"3"`
 	Replicas         int           `help:"Replicas of the service." default:"12"`
-	Online           float64       `help:"Requests a second." default:"100"`
-	Jobs             float64       `help:"Batch jobs a second." default:"1.2"`
-	Before           string        `help:"Another build that runs at first on all machines; they are replaced in turn by the program." type:"existingfile"`
-	ItemEvents       int           `help:"Most events of an item; 0 for short items."`
-	EndingItems      float64       `help:"Share of items that end each replica on which they run."`
-	CrashingRequests int           `help:"Number of online requests that crash each replica on which they run and come again and again."`
-	Only             []string      `help:"Kinds of faults to draw from; all where none is named."`
+	Online           float64       `help:"Online requests per second." default:"100"`
+	Jobs             float64       `help:"Batch jobs per second." default:"1.2"`
+	Before           string        `help:"Another build that all machines run at first; they are upgraded to the program one after the other." type:"existingfile"`
+	ItemEvents       int           `help:"Maximum number of events of an item; 0 for short items."`
+	EndingItems      float64       `help:"Share of items that end every replica that runs them."`
+	CrashingRequests int           `help:"Number of online requests that crash every replica that runs them and are sent repeatedly."`
+	Only             []string      `help:"Kinds of faults to draw from; all by default."`
 	Keep             bool          `help:"Keep the logs of all runs."`
 }
 
@@ -47,7 +47,7 @@
 }
 
 type busyCommand struct {
-	For time.Duration `help:"When it ends by itself." default:"60s"`
+	For time.Duration `help:"Time after which the command ends." default:"60s"`
 }
 
 // Run keeps one core busy for the given time.
