--- a/lab/hollow/churn.go
+++ b/lab/hollow/churn.go
@@ -10,28 +10,28 @@
 
 const (
 	secondsPerDay = 86400
-	// restartDown is how long a planned restart takes, failureDown how long a failed
-	// machine stays away.
-	restartDown = 2 * time.Second
-	failureDown = 12 * time.Second
-	// leaveNotice is how long a leaving node still runs.
+	// restartDowntime is the downtime of a planned restart, failureDowntime that of a failed
+	// machine.
+	restartDowntime = 2 * time.Second
+	failureDowntime = 12 * time.Second
+	// leaveNotice is how long a leaving node still runs after its notice.
 	leaveNotice = 300 * time.Millisecond
 )
 
-// churn restarts and fails nodes at random, and changes the configuration.
+// churn restarts and fails random nodes, and changes the configuration.
 type churn struct {
 	world    *world
 	observer *observer
 	random   *rand.Rand
 	running  sync.WaitGroup
-	// failing allows failures; restarts and changes go on without it.
+	// failing enables failures; restarts and configuration changes do not depend on it.
 	failing  atomic.Bool
 	restarts atomic.Int64
 	failures atomic.Int64
 
 	// mutex guards away and failure.
 	mutex   sync.Mutex
-	away    map[*node]bool // nodes that are being restarted, or are down
+	away    map[*node]bool // nodes that are being restarted or are down
 	failure error
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// run makes changes until ctx ends. It returns at the first failure to make one.
+// run runs until ctx ends or a configuration change fails. It returns the first error.
 func (c *churn) run(ctx context.Context) error {
 	restart := c.after(c.world.options.RestartsPerDay)
 	failure := c.after(c.world.options.FailuresPerDay)
@@ -57,11 +57,11 @@
 			return c.failure
 		case <-restart:
 			restart = c.after(c.world.options.RestartsPerDay)
-			c.restartOne(ctx)
+			c.restartRandom(ctx)
 		case <-failure:
 			failure = c.after(c.world.options.FailuresPerDay)
 			if c.failing.Load() {
-				c.failOne(ctx)
+				c.failRandom(ctx)
 			}
 		case <-change.C:
 			number++
@@ -72,7 +72,7 @@
 	}
 }
 
-// after fires once, at a random time that has the given daily rate.
+// after returns a channel that fires once, after an exponentially distributed time with the given daily rate.
 func (c *churn) after(perDay float64) <-chan time.Time {
 	if perDay <= 0 {
 		return nil
@@ -80,7 +80,7 @@
 	return time.After(time.Duration(c.random.ExpFloat64() * secondsPerDay / perDay * float64(time.Second)))
 }
 
-// choose takes a random node that runs and is not a seed.
+// choose marks a random running node as away and returns it, or nil if it finds none.
 func (c *churn) choose() *node {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -94,7 +94,8 @@
 	return nil
 }
 
-func (c *churn) back(returned *node) {
+// bringBack starts a node that was away.
+func (c *churn) bringBack(returned *node) {
 	err := returned.start()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-func (c *churn) restartOne(ctx context.Context) {
+func (c *churn) restartRandom(ctx context.Context) {
 	chosen := c.choose()
 	if chosen == nil {
 		return
@@ -115,51 +116,52 @@
 			pause(ctx, leaveNotice)
 		}
 		chosen.stop()
-		pause(ctx, restartDown)
-		c.back(chosen)
+		pause(ctx, restartDowntime)
+		c.bringBack(chosen)
 	})
 }
 
-func (c *churn) failOne(ctx context.Context) {
+func (c *churn) failRandom(ctx context.Context) {
 	chosen := c.choose()
 	if chosen == nil {
 		return
 	}
 	c.failures.Add(1)
 	c.running.Go(func() {
-		c.observer.died(chosen, false)
+		c.observer.recordDeath(chosen, false)
 		chosen.crash()
-		pause(ctx, failureDown)
-		c.back(chosen)
+		pause(ctx, failureDowntime)
+		c.bringBack(chosen)
 	})
 }
 
-// loseZone fails all nodes of a zone at once and returns them.
+// loseZone crashes all running nodes of a zone at the same time and returns them.
 func (c *churn) loseZone(zone int) []*node {
 	var lost []*node
 	c.mutex.Lock()
-	for _, each := range c.world.nodes {
-		if up, _ := each.isUp(); up && each.zone == zone && !c.away[each] {
-			c.away[each] = true
-			lost = append(lost, each)
+	for _, candidate := range c.world.nodes {
+		if up, _ := candidate.isUp(); up && candidate.zone == zone && !c.away[candidate] {
+			c.away[candidate] = true
+			lost = append(lost, candidate)
 		}
 	}
 	c.mutex.Unlock()
-	for _, each := range lost {
-		c.observer.died(each, true)
+	for _, failed := range lost {
+		c.observer.recordDeath(failed, true)
 	}
 	var crashing sync.WaitGroup
-	for _, each := range lost {
-		crashing.Go(each.crash)
+	for _, failed := range lost {
+		crashing.Go(failed.crash)
 	}
 	crashing.Wait()
 	return lost
 }
 
+// returnZone starts the nodes of a lost zone again.
 func (c *churn) returnZone(lost []*node) {
 	var starting sync.WaitGroup
-	for _, each := range lost {
-		starting.Go(func() { c.back(each) })
+	for _, failed := range lost {
+		starting.Go(func() { c.bringBack(failed) })
 	}
 	starting.Wait()
 }
--- a/lab/hollow/measure_test.go
+++ b/lab/hollow/measure_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Flags of TestMeasure. It is a tool rather than a check: on virtual time a busy
-// machine changes no figure but the CPU share, which is CPU time by virtual time.
+// Flags of TestMeasure, which is a tool rather than a check. In virtual time a busy
+// machine affects no figure but the CPU share, which is CPU time per virtual time.
 var (
-	measureNodes    = flag.Int("hollow.nodes", 0, "measure so many nodes on virtual time; 0 does not")
+	measureNodes    = flag.Int("hollow.nodes", 0, "number of nodes to measure in virtual time; 0 skips the measurement")
 	measureReplicas = flag.Int("hollow.replicas", 0, "replicas")
-	measureDuration = flag.Duration("hollow.duration", time.Minute, "virtual length of the measured part")
+	measureDuration = flag.Duration("hollow.duration", time.Minute, "virtual duration of the measured part")
 	measureFailures = flag.Float64("hollow.failures", 1700, "failures a day")
 	measureFleet    = flag.Bool("hollow.fleet", true, "run the fleet slice")
 	measureFaults   = flag.Bool("hollow.faults", true, "lose a zone and cut a region")
--- a/lab/hollow/meter.go
+++ b/lab/hollow/meter.go
@@ -9,27 +9,27 @@
 	"github.com/sloelift/sloelift/lab/platform"
 )
 
-// reading is what has been used up to one moment.
+// reading holds the cumulative resource usage at one point in time.
 type reading struct {
-	at       time.Time
+	takenAt  time.Time
 	cpu      time.Duration
 	nodes    []usage
 	keyValue int64
 }
 
 func (w *world) read() reading {
-	taken := reading{at: time.Now(), cpu: processTime(), keyValue: keyValueCalls(w.platform)}
-	for _, each := range w.nodes {
-		taken.nodes = append(taken.nodes, each.used())
+	current := reading{takenAt: time.Now(), cpu: processTime(), keyValue: keyValueCalls(w.platform)}
+	for _, metered := range w.nodes {
+		current.nodes = append(current.nodes, metered.totalUsage())
 	}
-	return taken
+	return current
 }
 
-// processTime is the CPU time of this process, of all threads.
+// processTime returns the CPU time of all threads of this process.
 func processTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
-		panic(err) // The call has no other reason to fail than a wrong argument.
+		panic(err) // Getrusage fails only for invalid arguments.
 	}
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
@@ -44,9 +44,9 @@
 	return calls
 }
 
-// phaseBetween works out the rates between two readings.
+// phaseBetween computes the rates between two readings.
 func phaseBetween(name string, before, after reading) Phase {
-	seconds := after.at.Sub(before.at).Seconds()
+	seconds := after.takenAt.Sub(before.takenAt).Seconds()
 	phase := Phase{
 		Name: name, Seconds: seconds, Changes: make(map[string]float64),
 		KeyValuePerSecond: float64(after.keyValue-before.keyValue) / seconds,
@@ -80,7 +80,7 @@
 	return phase
 }
 
-// columns holds one figure of each node under each name; absent ones are zero.
+// columns holds one figure per node for each name, 0 by default.
 type columns struct {
 	nodes  int
 	byName map[string][]float64
@@ -105,7 +105,7 @@
 	return spreads
 }
 
-// memoryInUse is the live heap and the stacks of the process after a collection.
+// memoryInUse returns the bytes of live heap and of stacks after a garbage collection.
 func memoryInUse() (heap, stacks float64) {
 	runtime.GC()
 	runtime.GC()
--- a/lab/hollow/node.go
+++ b/lab/hollow/node.go
@@ -19,7 +19,7 @@
 	"github.com/sloelift/sloelift/internal/transport/memory"
 )
 
-// node is one hollow node. Its fields below mutex are guarded by it.
+// node is one hollow node. The fields below mutex are guarded by it.
 type node struct {
 	world    *world
 	number   int
@@ -29,36 +29,38 @@
 	engines  engines
 	machines machineList
 
-	// silent: its machine is gone, nothing goes in or out.
+	// silent is set while the node's machine is down: the network drops everything from and to it.
 	silent atomic.Bool
 
 	mutex      sync.Mutex
 	up         bool
-	since      time.Time
+	upSince    time.Time
 	registry   *prometheus.Registry
 	transport  *memory.Transport
 	membership *membership.Service
 	relay      *relay.Service
 	fleet      *fleet.Service
-	// earlier holds the bytes of runs before the present one.
+	// earlier is the usage of earlier incarnations.
 	earlier usage
+	// inForce is the history of revisions, starts and ends.
 	inForce []revisionAt
-	backs   int
+	// decreases counts the times that the revision decreased.
+	decreases int
 }
 
-// revisionAt notes when a revision came into force on a node.
+// revisionAt is the time at which a revision was applied or came into force on a node.
 type revisionAt struct {
 	revision int64
 	at       time.Time
 }
 
-// Marks among the revisions of a node for its starts and ends.
+// Values of revision that mark the starts and ends of a node in its history.
 const (
 	revisionAtStart int64 = 0
 	revisionAtEnd   int64 = -1
 )
 
-// seedNodes is how many nodes are named as seeds to all.
+// seedNodes is the number of seed nodes.
 const seedNodes = 5
 
 // start starts the node's slices as a new incarnation.
@@ -91,7 +93,7 @@
 
 	n.mutex.Lock()
 	n.registry, n.transport, n.membership, n.relay, n.fleet = registry, end, members, relayed, replicas
-	n.since, n.up = started, true
+	n.upSince, n.up = started, true
 	n.inForce = append(n.inForce, revisionAt{revision: revisionAtStart, at: started})
 	n.mutex.Unlock()
 	n.silent.Store(false)
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// newFleet returns nil where the run has no fleet slice.
+// newFleet returns the fleet slice, or nil if the run has none.
 func (n *node) newFleet(end *memory.Transport, members *membership.Service) *fleet.Service {
 	if !n.world.options.Fleet {
 		return nil
@@ -117,7 +119,7 @@
 	return replicas
 }
 
-// noteRevision keeps when a revision came into force, and whether one went back.
+// noteRevision records when a revision came into force and counts decreases.
 func (n *node) noteRevision(snapshot *config.Snapshot) {
 	now := time.Now()
 	n.mutex.Lock()
@@ -126,18 +128,18 @@
 		return
 	}
 	if last := n.inForce[len(n.inForce)-1]; snapshot.Revision < last.revision {
-		n.backs++
+		n.decreases++
 	}
 	n.inForce = append(n.inForce, revisionAt{revision: snapshot.Revision, at: now})
 }
 
-// crash ends the node as the loss of its machine would.
+// crash ends the node like the loss of its machine.
 func (n *node) crash() {
 	n.silent.Store(true)
 	n.end(n.membership.Kill)
 }
 
-// stop ends the node as planned.
+// stop is the planned stop of the node.
 func (n *node) stop() { n.end(n.membership.Stop) }
 
 func (n *node) end(endMembership func()) {
@@ -153,18 +155,18 @@
 	n.transport.Stop()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.earlier = n.earlier.plus(n.usedNow())
+	n.earlier = n.earlier.plus(n.currentUsage())
 	n.registry = nil
 }
 
-// isUp says whether the node runs, and since when.
+// isUp reports whether the node is running, and since when.
 func (n *node) isUp() (bool, time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.up, n.since
+	return n.up, n.upSince
 }
 
-// view is the node's view of the members.
+// view returns the node's view of the members.
 func (n *node) view() *membership.View {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -177,13 +179,14 @@
 	return n.relay.Current().Revision
 }
 
-// usage is what a node sent and received, by method.
+// usage holds the cumulative traffic and work of a node.
 type usage struct {
+	// bytes counts the bytes sent and received, by method.
 	bytes  map[string]float64
 	frames float64
-	// busy is the time that the control goroutine of a slice spent on events.
+	// busy is the time that the control goroutine of each slice spent on events.
 	busy map[string]time.Duration
-	// changes counts changes of members as the node saw them, by kind.
+	// changes counts the membership changes that the node saw, by kind.
 	changes map[string]float64
 }
 
@@ -212,16 +215,16 @@
 	return sum
 }
 
-// Methods under which the bodies of calls to stand-ins are counted.
+// Methods under which the HTTP traffic with simulated services is counted.
 const (
 	countedEngines  = "http.engine_polls"
 	countedMachines = "http.machine_list"
 )
 
-// used is what the node sent and received since its first start.
-func (n *node) used() usage {
+// totalUsage returns the usage since the node's first start.
+func (n *node) totalUsage() usage {
 	n.mutex.Lock()
-	total := n.earlier.plus(n.usedNow())
+	total := n.earlier.plus(n.currentUsage())
 	n.mutex.Unlock()
 	total.bytes[countedEngines] += float64(n.engines.bytes.Load())
 	total.bytes[countedMachines] += float64(n.machines.bytes.Load())
@@ -229,31 +232,31 @@
 	return total
 }
 
-// usedNow is what the present incarnation used; the caller holds mutex.
-func (n *node) usedNow() usage {
-	read := newUsage()
+// currentUsage returns the usage of the current incarnation. The caller holds mutex.
+func (n *node) currentUsage() usage {
+	current := newUsage()
 	if n.registry == nil {
-		return read
+		return current
 	}
-	read.busy["membership"] = n.membership.Busy()
-	read.busy["config"] = n.relay.Busy()
+	current.busy["membership"] = n.membership.Busy()
+	current.busy["config"] = n.relay.Busy()
 	families, err := n.registry.Gather()
 	if err != nil {
-		panic(err) // The slices' collectors never fail.
+		panic(err) // The collectors of the slices never fail.
 	}
 	for _, family := range families {
 		for _, metric := range family.GetMetric() {
 			switch family.GetName() {
 			case transport.MetricBytes:
-				read.bytes[labelOf(metric, "method")] += metric.GetCounter().GetValue()
+				current.bytes[labelOf(metric, "method")] += metric.GetCounter().GetValue()
 			case membership.MetricChanges:
-				read.changes[labelOf(metric, "kind")] += metric.GetCounter().GetValue()
+				current.changes[labelOf(metric, "kind")] += metric.GetCounter().GetValue()
 			case transport.MetricFrames:
-				read.frames += metric.GetCounter().GetValue()
+				current.frames += metric.GetCounter().GetValue()
 			}
 		}
 	}
-	return read
+	return current
 }
 
 func labelOf(metric *dto.Metric, name string) string {
--- a/lab/hollow/observer.go
+++ b/lab/hollow/observer.go
@@ -13,19 +13,19 @@
 const (
 	observePeriod = 25 * time.Millisecond
 	judgePeriod   = 500 * time.Millisecond
-	// detectionLimit is when an observer that does not know of a death yet counts as
-	// one that never will.
+	// detectionLimit is the time after which a death that is not known to all counts as
+	// not detected.
 	detectionLimit = 20 * time.Second
-	// longUp is how long a node must be up before others may not hold it dead.
-	longUp = 15 * time.Second
+	// minUptime is how long a node must be up before others must not see it as dead.
+	minUptime = 15 * time.Second
 )
 
-// observer looks into all views and notes when deaths are known and who is wrongly
-// held dead.
+// observer inspects the views of all nodes and records when deaths are detected and
+// which nodes are wrongly seen as dead.
 type observer struct {
 	world *world
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex        sync.Mutex
 	pending      []*death
 	inZone       []float64
@@ -35,39 +35,39 @@
 	lastJudgedAt time.Time
 }
 
-// death is one machine that went silent.
+// death is the failure of one machine.
 type death struct {
 	victim *node
 	at     time.Time
-	// unaware are those that were up then and do not hold the victim dead yet.
+	// unaware holds the nodes that were up then and do not see the victim as dead yet.
 	unaware       map[*node]bool
 	unawareInZone int
-	partOfZone    bool // the whole zone died: there is nobody in it to ask
+	partOfZone    bool // the whole zone died, so that no node in it can detect the death
 }
 
 func newObserver(w *world) *observer {
 	return &observer{world: w, falselyDead: make(map[[2]int]bool)}
 }
 
-// died notes that victim goes silent now; the caller crashes it next.
-func (o *observer) died(victim *node, partOfZone bool) {
-	noted := &death{victim: victim, at: time.Now(), unaware: make(map[*node]bool), partOfZone: partOfZone}
-	for _, each := range o.world.upNodes() {
-		sameZone := each.zone == victim.zone
-		if each == victim || partOfZone && sameZone {
+// recordDeath records the death of victim, which the caller crashes next.
+func (o *observer) recordDeath(victim *node, partOfZone bool) {
+	recorded := &death{victim: victim, at: time.Now(), unaware: make(map[*node]bool), partOfZone: partOfZone}
+	for _, other := range o.world.upNodes() {
+		sameZone := other.zone == victim.zone
+		if other == victim || partOfZone && sameZone {
 			continue
 		}
-		noted.unaware[each] = true
+		recorded.unaware[other] = true
 		if sameZone {
-			noted.unawareInZone++
+			recorded.unawareInZone++
 		}
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.pending = append(o.pending, noted)
+	o.pending = append(o.pending, recorded)
 }
 
-// run looks until ctx ends.
+// run observes until ctx ends.
 func (o *observer) run(ctx context.Context) {
 	ticker := time.NewTicker(observePeriod)
 	defer ticker.Stop()
@@ -76,93 +76,94 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			o.look()
+			o.observe()
 		}
 	}
 }
 
-func (o *observer) look() {
+func (o *observer) observe() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	still := o.pending[:0]
-	for _, each := range o.pending {
-		if !o.lookAt(each) {
-			still = append(still, each)
+	remaining := o.pending[:0]
+	for _, next := range o.pending {
+		if !o.updateDeath(next) {
+			remaining = append(remaining, next)
 		}
 	}
-	o.pending = still
+	o.pending = remaining
 	if time.Since(o.lastJudgedAt) >= judgePeriod {
 		o.lastJudgedAt = time.Now()
-		o.judge()
+		o.checkFalseDeaths()
 	}
 }
 
-// lookAt returns true once there is nothing more to learn of a death. The caller holds mutex.
-func (o *observer) lookAt(noted *death) (settled bool) {
+// updateDeath updates a death and reports whether it is detected by all or timed out. The caller holds mutex.
+func (o *observer) updateDeath(pending *death) (done bool) {
 	now := time.Now()
-	for each := range noted.unaware {
-		if up, since := each.isUp(); up && since.Before(noted.at) && !knowsDead(each, noted.victim) {
+	for unaware := range pending.unaware {
+		if up, since := unaware.isUp(); up && since.Before(pending.at) && !seesDead(unaware, pending.victim) {
 			continue
 		}
-		delete(noted.unaware, each)
-		if each.zone != noted.victim.zone {
+		delete(pending.unaware, unaware)
+		if unaware.zone != pending.victim.zone {
 			continue
 		}
-		if noted.unawareInZone--; noted.unawareInZone == 0 {
-			o.inZone = append(o.inZone, millis(now.Sub(noted.at)))
+		if pending.unawareInZone--; pending.unawareInZone == 0 {
+			o.inZone = append(o.inZone, millis(now.Sub(pending.at)))
 		}
 	}
 	switch {
-	case len(noted.unaware) == 0:
-		o.everywhere = append(o.everywhere, millis(now.Sub(noted.at)))
+	case len(pending.unaware) == 0:
+		o.everywhere = append(o.everywhere, millis(now.Sub(pending.at)))
 		return true
-	case now.Sub(noted.at) > detectionLimit:
+	case now.Sub(pending.at) > detectionLimit:
 		o.notDetected++
 		return true
 	}
 	return false
 }
 
-func knowsDead(observer, subject *node) bool {
+// seesDead reports whether observer sees subject as dead or no longer lists it.
+func seesDead(observer, subject *node) bool {
 	members := observer.view().Members
-	place, present := slices.BinarySearchFunc(members, membership.NodeID(nodeName(subject.number)),
+	index, present := slices.BinarySearchFunc(members, membership.NodeID(nodeName(subject.number)),
 		func(member membership.Member, id membership.NodeID) int { return cmp.Compare(member.ID, id) })
-	return !present || members[place].State == membership.Dead
+	return !present || members[index].State == membership.Dead
 }
 
-// judge counts who is held dead while up. The caller holds mutex.
-func (o *observer) judge() {
-	if !o.world.quietFor(longUp) {
+// checkFalseDeaths records nodes that are seen as dead while up. The caller holds mutex.
+func (o *observer) checkFalseDeaths() {
+	if !o.world.quietFor(minUptime) {
 		return
 	}
 	settled := make(map[membership.NodeID]*node)
-	for _, each := range o.world.nodes {
-		if up, since := each.isUp(); up && time.Since(since) > longUp {
-			settled[membership.NodeID(nodeName(each.number))] = each
+	for _, candidate := range o.world.nodes {
+		if up, since := candidate.isUp(); up && time.Since(since) > minUptime {
+			settled[membership.NodeID(nodeName(candidate.number))] = candidate
 		}
 	}
-	for _, each := range settled {
-		for _, member := range each.view().Members {
+	for _, viewer := range settled {
+		for _, member := range viewer.view().Members {
 			subject := settled[member.ID]
 			if subject == nil || member.State != membership.Dead {
 				continue
 			}
-			// The subject may have stopped since; then it is rightly held dead.
+			// The subject may have stopped in the meantime; then it is rightly seen as dead.
 			if up, _ := subject.isUp(); up {
-				o.falselyDead[[2]int{each.number, subject.number}] = true
+				o.falselyDead[[2]int{viewer.number, subject.number}] = true
 			}
 		}
 	}
 }
 
-// allAlive says whether all nodes run, hold each other alive and have revision in force.
+// allAlive reports whether all nodes see each other as alive and have revision in force.
 func (w *world) allAlive(revision int64) bool {
-	for _, each := range w.nodes {
-		if each.revision() < revision {
+	for _, viewer := range w.nodes {
+		if viewer.revision() < revision {
 			return false
 		}
 		alive := 0
-		for _, member := range each.view().Members {
+		for _, member := range viewer.view().Members {
 			if member.State == membership.Alive {
 				alive++
 			}
@@ -174,7 +175,7 @@
 	return true
 }
 
-// await returns how long it took until condition held, or false after limit.
+// await waits until condition holds and returns how long that took. It returns false after limit or if ctx ends.
 func await(ctx context.Context, limit time.Duration, condition func() bool) (time.Duration, bool) {
 	began := time.Now()
 	ticker := time.NewTicker(2 * observePeriod)
--- a/lab/hollow/options.go
+++ b/lab/hollow/options.go
@@ -10,29 +10,29 @@
 
 // Options of a run.
 type Options struct {
-	Nodes    int `help:"Nodes." default:"320"`
-	Replicas int `help:"Replicas that the nodes watch." default:"1700"`
+	Nodes    int `help:"Number of nodes." default:"320"`
+	Replicas int `help:"Number of replicas that the nodes watch." default:"1700"`
 	Zones    int `help:"Zones; node i is in zone i mod zones." default:"7"`
 	Regions  int `help:"Regions; zone z is in region z mod regions." default:"3"`
 	Tenants  int `help:"Tenants in the configuration." default:"300"`
-	// Duration is that of the measured part; the nodes start and settle before it.
-	Duration time.Duration `help:"Length of the measured part." default:"60s"`
-	// StartOver spreads the start: nodes that share one machine's cores would starve
-	// each other otherwise.
+	// Duration is the duration of the measured part; the nodes start and settle before it.
+	Duration time.Duration `help:"Duration of the measured part." default:"60s"`
+	// StartOver is the time over which the starts are spread, since nodes that start at the
+	// same time would starve each other of the machine's cores.
 	StartOver time.Duration `help:"Time over which the nodes start." default:"10s"`
-	// RestartsPerDay and FailuresPerDay are those of all nodes together.
-	RestartsPerDay float64       `help:"Planned restarts of nodes a day, in all." default:"41000"`
-	FailuresPerDay float64       `help:"Machine failures a day, in all." default:"1700"`
-	ConfigInterval time.Duration `help:"Time between changes of configuration." default:"2s"`
-	// Faults adds a lost zone and a cut region.
-	Faults bool `help:"Lose a zone and cut off a region on the way." default:"true" negatable:""`
-	// Fleet runs the fleet slice too; without it the cost of membership and
-	// configuration alone is seen, on machines that are too small for both.
+	// RestartsPerDay and FailuresPerDay are totals over all nodes.
+	RestartsPerDay float64       `help:"Planned restarts per day, over all nodes." default:"41000"`
+	FailuresPerDay float64       `help:"Machine failures per day, over all nodes." default:"1700"`
+	ConfigInterval time.Duration `help:"Time between configuration changes." default:"2s"`
+	// Faults adds the loss of a zone and the isolation of a region.
+	Faults bool `help:"Lose a zone and isolate a region during the run." default:"true" negatable:""`
+	// Fleet runs the fleet slice as well. Without it a run measures membership and
+	// configuration only, which fits on machines that are too small for both.
 	Fleet bool   `help:"Run the fleet slice." default:"true" negatable:""`
 	Seed  uint64 `help:"Seed of the random choices." default:"1"`
 }
 
-// Command is the kong command that runs hollow nodes and prints what they cost.
+// Command is the kong command that runs hollow nodes and prints their cost.
 type Command struct {
 	Options `embed:""`
 	JSON    bool `help:"Print one JSON object." name:"json"`
@@ -59,7 +59,7 @@
 	case o.Nodes > maxNodes || o.Replicas > maxReplicas || o.Replicas < 0:
 		return fmt.Errorf("at most %d nodes and %d replicas", maxNodes, maxReplicas)
 	case o.Duration < minDuration:
-		return fmt.Errorf("the measured part lasts at least %s", minDuration)
+		return fmt.Errorf("the duration must be at least %s", minDuration)
 	}
 	return nil
 }
--- a/lab/hollow/result.go
+++ b/lab/hollow/result.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Spread sums up a set of figures.
+// Spread summarizes a set of figures.
 type Spread struct {
 	Count int     `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -39,63 +39,63 @@
 	}
 }
 
-// quantile is the smallest value that at least that share does not exceed.
+// quantile returns the smallest of the sorted values that at least the given share of them does not exceed.
 func quantile(sorted []float64, share float64) float64 {
 	position := int(math.Ceil(share*float64(len(sorted)))) - 1
 	return sorted[max(position, 0)]
 }
 
-// Phase is one part of a run. Rates are per node.
+// Phase holds the figures of one part of a run. Rates are per node.
 type Phase struct {
 	Name    string  `json:"name"`
 	Seconds float64 `json:"seconds"`
-	// CPUShare is the share of one core. The process's CPU time, which holds that of
-	// the in-memory network, of the stand-ins and of measuring too, is divided among
-	// the nodes by the frames that each sent and received.
+	// CPUShare is the share of one core. The CPU time of the process, including that of
+	// the in-memory network, the simulated services and the measurement, is divided among
+	// the nodes in proportion to the frames that each sent and received.
 	CPUShare Spread `json:"cpu_share"`
-	// BytesPerSecond is sent plus received, the HTTP bodies of stand-ins among it.
+	// BytesPerSecond counts bytes sent plus received, including HTTP traffic with simulated services.
 	BytesPerSecond Spread `json:"bytes_per_second"`
-	// ByMethod holds bytes per second sent plus received of one message type.
+	// ByMethod is BytesPerSecond by message type.
 	ByMethod map[string]Spread `json:"bytes_per_second_by_method"`
-	// BusyShare is the share of time that a slice's control goroutine spent on events,
-	// by the clock: on a busy machine it holds waits for a core too.
+	// BusyShare is the share of wall-clock time that the control goroutine of each slice spent
+	// on events. On a busy machine it includes waiting for a core.
 	BusyShare map[string]Spread `json:"control_goroutine_busy_share"`
-	// Changes counts changes of members, as all nodes together saw them, by kind.
+	// Changes counts the membership changes that nodes saw, summed over all nodes, by kind.
 	Changes map[string]float64 `json:"membership_changes"`
-	// KeyValuePerSecond is operations of all nodes together.
+	// KeyValuePerSecond is the rate of operations of all nodes together.
 	KeyValuePerSecond float64 `json:"key_value_operations_per_second"`
 }
 
-// Result of a run. Times are in milliseconds.
+// Result is the result of a run. Times are in milliseconds.
 type Result struct {
 	Options Options `json:"options"`
-	// StartMillis is from the last node's start until all held each other alive and had
-	// the configuration.
+	// StartMillis is the time from the start of the last node until all nodes saw each other
+	// as alive and had the configuration.
 	StartMillis float64 `json:"start_ms"`
-	// ResidentBytes is the growth of the live heap by starting all, per node; the
-	// goroutines' stacks are StackBytes.
+	// ResidentBytes is the growth of the live heap by the start, per node; StackBytes is that
+	// of the goroutine stacks.
 	ResidentBytes float64 `json:"resident_bytes_per_node"`
 	StackBytes    float64 `json:"stack_bytes_per_node"`
 	Phases        []Phase `json:"phases"`
-	// ConfigSpread is from an apply's return until the revision is in force, for each
-	// node that was up and not cut off; ConfigMissing counts those it never reached.
+	// ConfigSpread is the time from the return of Apply until the revision is in force, for
+	// each node that was up and reachable; ConfigMissing counts the nodes it never reached.
 	ConfigSpread  Spread `json:"config_spread_ms"`
 	ConfigMissing int    `json:"config_missing"`
 	Applied       int    `json:"config_applied"`
 	RevisionsBack int    `json:"config_revisions_back"`
-	// Detection is from a machine's silence until all others in its zone, and all
-	// others anywhere, held it dead.
+	// DetectedInZone and DetectedEverywhere are the times from a machine's failure until all
+	// others in its zone, and all others in total, saw it as dead.
 	DetectedInZone     Spread `json:"detected_in_zone_ms"`
 	DetectedEverywhere Spread `json:"detected_everywhere_ms"`
 	NotDetected        int    `json:"not_detected"`
-	// FalseDeaths counts pairs of nodes, one of which held the other dead, while both
-	// were up for long and nothing was cut.
+	// FalseDeaths counts pairs of nodes of which one saw the other as dead although both
+	// had been up for minUptime and no region had been isolated for as long.
 	FalseDeaths int `json:"false_deaths"`
 	Restarts    int `json:"restarts"`
 	Failures    int `json:"failures"`
-	// ZoneLostMillis is until all survivors held the whole lost zone dead, and
-	// RegionHealMillis from the heal until none held another dead; -1 is longer than
-	// the phase.
+	// ZoneLostMillis is the time until all survivors saw the whole lost zone as dead, and
+	// RegionHealMillis the time from the heal until no node saw another as dead; -1 means
+	// longer than the phase.
 	ZoneLostMillis   float64 `json:"zone_lost_ms,omitempty"`
 	RegionHealMillis float64 `json:"region_heal_ms,omitempty"`
 	LoadAverage      string  `json:"machine_load_average"`
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -12,18 +12,18 @@
 const (
 	startLimit = 2 * time.Minute
 	settleTime = 5 * time.Second
-	// catchUp is left at the end, without new changes, for the last to spread.
+	// catchUp is the time at the end, without new changes, for the last change to spread.
 	catchUp = 3 * time.Second
-	// spreadLimit is when a revision must be in force.
+	// spreadLimit is the time within which a revision must be in force.
 	spreadLimit = 8 * time.Second
-	// justStarted: a node younger than this at an apply is not judged by it.
-	justStarted = 3 * time.Second
+	// minUptimeAtChange is the minimum uptime of a node for a change to be judged on it.
+	minUptimeAtChange = 3 * time.Second
 )
 
-// notReached stands for a time that was longer than the phase.
+// notReached is the value of a time that was longer than the phase.
 const notReached = -1
 
-// Shares of the measured part that its phases take.
+// Shares of the measured part, by phase.
 const (
 	quietShare = 0.2
 	churnShare = 0.3
@@ -31,8 +31,8 @@
 	cutShare   = 0.25
 )
 
-// Run starts hollow nodes, measures them for a while and stops them. It needs about
-// 1 MB of memory per node. It ends early with ctx's error.
+// Run starts hollow nodes, measures them for options.Duration and stops them. It needs
+// about 1 MB of memory per node. If ctx ends early, it returns the error of ctx.
 func Run(ctx context.Context, options Options) (Result, error) {
 	if err := options.check(); err != nil {
 		return Result{}, err
@@ -53,7 +53,7 @@
 	defer w.stopAll()
 	started, complete := await(ctx, startLimit, func() bool { return w.allAlive(1) })
 	if !complete {
-		return result, errors.Join(ctx.Err(), fmt.Errorf("the nodes did not come to hold each other alive; changes seen: %v",
+		return result, errors.Join(ctx.Err(), fmt.Errorf("not all nodes see each other as alive after the start; membership changes: %v",
 			phaseBetween("start", before, w.read()).Changes))
 	}
 	result.StartMillis = millis(started)
@@ -69,7 +69,7 @@
 	return result, nil
 }
 
-// measure runs the phases.
+// measure runs the phases and adds their figures to result.
 func (w *world) measure(ctx context.Context, result *Result) error {
 	watch := newObserver(w)
 	change := newChurn(w, watch)
@@ -120,15 +120,15 @@
 	return time.Duration(share * float64(w.options.Duration))
 }
 
-// loseZone loses the last zone for three fifths of the phase and returns how long the
-// survivors took to know.
+// loseZone fails the last zone for three fifths of the phase and returns the time in
+// milliseconds until all survivors saw it as dead.
 func (w *world) loseZone(ctx context.Context, change *churn) float64 {
 	began := time.Now()
 	lost := change.loseZone(w.options.Zones - 1)
 	known, all := await(ctx, w.share(zoneShare*3/5), func() bool {
-		for _, each := range w.upNodes() {
-			for _, gone := range lost {
-				if up, since := each.isUp(); up && since.Before(began) && !knowsDead(each, gone) {
+		for _, survivor := range w.upNodes() {
+			for _, failed := range lost {
+				if up, since := survivor.isUp(); up && since.Before(began) && !seesDead(survivor, failed) {
 					return false
 				}
 			}
@@ -144,8 +144,8 @@
 	return millis(known)
 }
 
-// cutRegionOff cuts the last region off for half the phase and returns how long it took
-// after the heal until all held each other alive.
+// cutRegionOff isolates the last region for half the phase and returns the time in
+// milliseconds from the heal until no node saw another as dead.
 func (w *world) cutRegionOff(ctx context.Context) float64 {
 	began := time.Now()
 	w.setCut(w.options.Regions - 1)
@@ -159,17 +159,17 @@
 	return millis(healed)
 }
 
-// healed says whether all nodes that were up before a cut hold each other not dead.
-func (w *world) healed(before time.Time) bool {
+// healed reports whether no two nodes that were up before the isolation see each other as dead.
+func (w *world) healed(cutAt time.Time) bool {
 	var running []*node
-	for _, each := range w.upNodes() {
-		if _, since := each.isUp(); since.Before(before) {
-			running = append(running, each)
+	for _, survivor := range w.upNodes() {
+		if _, since := survivor.isUp(); since.Before(cutAt) {
+			running = append(running, survivor)
 		}
 	}
-	for _, each := range running {
+	for _, viewer := range running {
 		for _, other := range running {
-			if up, _ := other.isUp(); up && knowsDead(each, other) {
+			if up, _ := other.isUp(); up && seesDead(viewer, other) {
 				return false
 			}
 		}
--- a/lab/hollow/spread.go
+++ b/lab/hollow/spread.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// beforeCut: a change so shortly before a cut may not get through.
-const beforeCut = time.Second
+// cutLead is the time before a region's isolation in which a change may not reach it any more.
+const cutLead = time.Second
 
-// judgeSpread works out how soon each applied revision was in force on each node that
-// was up all the while and not cut off.
+// judgeSpread computes how long each applied revision took to be in force on each node
+// that was up and reachable.
 func (w *world) judgeSpread(result *Result) {
 	w.mutex.Lock()
 	applied := w.applied
 	w.mutex.Unlock()
 	result.Applied = len(applied)
 	var spread []float64
-	for _, each := range w.nodes {
-		each.mutex.Lock()
-		history := each.inForce
-		result.RevisionsBack += each.backs
-		each.mutex.Unlock()
+	for _, target := range w.nodes {
+		target.mutex.Lock()
+		history := target.inForce
+		result.RevisionsBack += target.decreases
+		target.mutex.Unlock()
 		for _, change := range applied {
 			took, judged, reached := spreadOn(history, change)
 			switch {
 			case !judged:
-			case reached && w.reachableAt(each, change.at):
+			case reached && w.reachableAt(target, change.at):
 				spread = append(spread, millis(took))
-			case !reached && w.reachableAt(each, change.at):
+			case !reached && w.reachableAt(target, change.at):
 				result.ConfigMissing++
 			}
 		}
@@ -32,8 +32,9 @@
 	result.ConfigSpread = spreadOf(spread)
 }
 
-// spreadOn finds when change came into force in a node's history. It is not judged
-// where the node was not up from justStarted before until then, or spreadLimit after.
+// spreadOn returns how long change took to come into force by a node's history. judged is
+// false if the node was not up from minUptimeAtChange before the change until the revision was
+// in force or spreadLimit had passed; reached is false if the revision never came into force.
 func spreadOn(history []revisionAt, change revisionAt) (took time.Duration, judged, reached bool) {
 	up := false
 	for _, entry := range history {
@@ -44,21 +45,21 @@
 		case entry.revision == revisionAtEnd && up:
 			return 0, entry.at.Sub(change.at) > spreadLimit, false
 		case entry.revision == revisionAtStart && before:
-			up = change.at.Sub(entry.at) >= justStarted
+			up = change.at.Sub(entry.at) >= minUptimeAtChange
 		case entry.revision == revisionAtStart:
 			return 0, up, false
 		case up && entry.revision >= change.revision:
-			// The watch may bring a revision before Apply has returned.
+			// The watch may deliver a revision before Apply returns.
 			return max(entry.at.Sub(change.at), 0), true, true
 		}
 	}
 	return 0, up, false
 }
 
-// reachableAt says whether a node was not cut off then.
-func (w *world) reachableAt(each *node, at time.Time) bool {
+// reachableAt reports whether the node's region was not isolated at that time.
+func (w *world) reachableAt(target *node, at time.Time) bool {
 	for _, cut := range w.cuts {
-		if each.region == cut.region && !at.Before(cut.from.Add(-beforeCut)) && at.Before(cut.until) {
+		if target.region == cut.region && !at.Before(cut.from.Add(-cutLead)) && at.Before(cut.until) {
 			return false
 		}
 	}
--- a/lab/hollow/standin.go
+++ b/lab/hollow/standin.go
@@ -12,19 +12,19 @@
 	port "github.com/sloelift/sloelift/internal/platform"
 )
 
-// httpBytes is about what a request line, headers and a response's headers take.
+// httpBytes is the estimated size of a request line, its headers and the response's headers.
 const httpBytes = 300
 
-// engines are stand-ins for all replicas, as one node calls them: load that moves with
-// each report, and no cache events. Generations are not run here.
+// engines simulates all replicas for one node: their load changes over time and they have
+// no cache events. Generations are not supported.
 type engines struct {
-	engine.Client // nil: what is not overridden is never called
+	engine.Client // nil, since methods that are not overridden are never called
 	sequence      atomic.Uint64
 	bytes         atomic.Int64
 	calls         atomic.Int64
 }
 
-// Load gives a report in which the counts change with time.
+// Load returns a report whose counts change over time.
 func (e *engines) Load(_ context.Context, to engine.Endpoint) (engine.LoadReport, error) {
 	now := time.Now()
 	step := uint64(now.UnixMilli()/200) + uint64(to.Address.Port())*2654435761
@@ -41,7 +41,7 @@
 	return report, nil
 }
 
-// CacheEvents gives none.
+// CacheEvents returns no events.
 func (e *engines) CacheEvents(_ context.Context, _ engine.Endpoint, from uint64) (engine.CacheEvents, error) {
 	page := engine.CacheEvents{Next: from}
 	e.count(page)
@@ -51,25 +51,25 @@
 func (e *engines) count(body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // These types always encode.
+		panic(err) // Encoding these types never fails.
 	}
 	e.bytes.Add(int64(len(encoded)) + httpBytes)
 	e.calls.Add(1)
 }
 
-// machineList is the stand-in that all nodes read, as one of them sees it.
+// machineList simulates the machine list for one node and counts its traffic.
 type machineList struct {
 	world *world
 	bytes atomic.Int64
 }
 
-// List returns the machines as they were bought; it lags behind all faults.
+// List returns the initial machines; it never reflects faults.
 func (l *machineList) List(context.Context) (port.MachineListing, error) {
 	l.bytes.Add(l.world.listingBytes + httpBytes)
 	return l.world.listing, nil
 }
 
-// addressOf gives each machine its own address; replicas come after the nodes.
+// addressOf returns a unique address for each machine; the numbers of replicas follow those of nodes.
 func addressOf(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(number >> 16), byte(number >> 8), byte(number)}), uint16(1024+number%60000))
 }
--- a/lab/hollow/world.go
+++ b/lab/hollow/world.go
@@ -26,10 +26,10 @@
 	delayAcrossRegion = 40 * time.Millisecond
 )
 
-// noRegion is the value of cutRegion while nothing is cut.
+// noRegion is the value of cutRegion while no region is isolated.
 const noRegion = -1
 
-// world is all nodes with their network and stand-ins.
+// world holds all nodes with their network and the simulated services.
 type world struct {
 	options      Options
 	network      *memory.Network
@@ -40,11 +40,11 @@
 	nodes        []*node
 	byAddress    map[netip.AddrPort]*node
 	seeds        []netip.AddrPort
-	// cutRegion cannot reach the others; lastCut is when a cut ended or began last, in
-	// Unix nanoseconds.
+	// cutRegion is the region that is isolated from the others; lastCut is the time at which
+	// an isolation last began or ended, in Unix nanoseconds.
 	cutRegion atomic.Int32
 	lastCut   atomic.Int64
-	// cuts belongs to the goroutine that measures.
+	// cuts is used by the measuring goroutine only.
 	cuts []cut
 
 	// mutex guards applied.
@@ -52,7 +52,7 @@
 	applied []revisionAt
 }
 
-// cut is the time in which a region could not reach the others.
+// cut is the period in which a region was isolated from the others.
 type cut struct {
 	region      int
 	from, until time.Time
@@ -103,13 +103,13 @@
 	return conditions
 }
 
-// startAll starts all nodes one after the other, evenly over the time asked for.
+// startAll starts the nodes one after the other, evenly over StartOver.
 func (w *world) startAll(ctx context.Context) error {
 	began := time.Now()
-	for number, each := range w.nodes {
+	for number, member := range w.nodes {
 		due := w.options.StartOver * time.Duration(number) / time.Duration(len(w.nodes))
 		pause(ctx, due-time.Since(began))
-		if err := each.start(); err != nil {
+		if err := member.start(); err != nil {
 			return err
 		}
 	}
@@ -118,26 +118,26 @@
 
 func (w *world) stopAll() {
 	var running sync.WaitGroup
-	for _, each := range w.nodes {
-		if up, _ := each.isUp(); up {
-			running.Go(func() { each.end(each.membership.Kill) })
+	for _, member := range w.nodes {
+		if up, _ := member.isUp(); up {
+			running.Go(func() { member.end(member.membership.Kill) })
 		}
 	}
 	running.Wait()
 }
 
-// upNodes are the nodes that run.
+// upNodes returns the running nodes.
 func (w *world) upNodes() []*node {
 	var running []*node
-	for _, each := range w.nodes {
-		if up, _ := each.isUp(); up {
-			running = append(running, each)
+	for _, member := range w.nodes {
+		if up, _ := member.isUp(); up {
+			running = append(running, member)
 		}
 	}
 	return running
 }
 
-// applyBase applies a configuration of the size asked for.
+// applyBase applies the initial configuration with all tenants.
 func (w *world) applyBase(ctx context.Context) error {
 	var file strings.Builder
 	for number := range w.options.Tenants {
@@ -147,7 +147,7 @@
 	return err
 }
 
-// applyChange replaces one tenant and notes the revision.
+// applyChange changes one tenant and records the revision.
 func (w *world) applyChange(ctx context.Context, number int) error {
 	result, err := w.store.Apply(ctx, []byte(tenant(number%w.options.Tenants, number+1)), config.AnyRevision)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return fmt.Sprintf("kind: Tenant\nname: tenant-%03d\nkeyDigests: [\"%x\"]\nrequestsPerSecond: 100\nburst: 20\n", number, digest)
 }
 
-// setCut cuts a region off from the others and from the key-value service; noRegion heals it.
+// setCut isolates a region from the others and from the key-value service; noRegion ends the isolation.
 func (w *world) setCut(region int) {
 	before := int(w.cutRegion.Swap(int32(region)))
 	now := time.Now()
@@ -184,7 +184,7 @@
 	}
 }
 
-// quietFor says whether nothing has been cut for so long.
+// quietFor reports whether no region has been isolated for duration.
 func (w *world) quietFor(duration time.Duration) bool {
 	return w.cutRegion.Load() == noRegion && time.Since(time.Unix(0, w.lastCut.Load())) > duration
 }
