--- a/lab/deployment/configuration.go
+++ b/lab/deployment/configuration.go
@@ -9,14 +9,14 @@
 	"github.com/sloelift/sloelift/lab/load"
 )
 
-// Versions of the model: engines start with modelVersion, which is declared first; the
-// weight store has both.
+// Versions of the model. Engines start with modelVersion, which is declared initially;
+// the weight store has both.
 const (
 	modelVersion = "1"
 	nextVersion  = "2"
 )
 
-// Ranks of the declared priorities. Engines count ranks from labengine.OnlineRank as online.
+// Ranks of the declared priorities. Engines treat ranks of labengine.OnlineRank and above as online.
 const (
 	rankOnline = 900
 	rankUrgent = 200
@@ -76,8 +76,9 @@
 	var file bytes.Buffer
 	err := configurationTemplate.Execute(&file, configurationValues{
 		Model: options.Profile.Model, Version: options.version, Service: options.Profile.Service,
-		Streams: options.MaxConcurrentPerReplica, BatchStreams: options.BatchConcurrentPerReplica, QueueLimit: defaultQueueLimit + options.configurationChange,
-		Online: load.PriorityOnline, Urgent: load.PriorityUrgent, Batch: load.PriorityBatch,
+		Streams: options.MaxConcurrentPerReplica, BatchStreams: options.BatchConcurrentPerReplica,
+		QueueLimit: defaultQueueLimit + options.configurationChange,
+		Online:     load.PriorityOnline, Urgent: load.PriorityUrgent, Batch: load.PriorityBatch,
 		OnlineRank: rankOnline, UrgentRank: rankUrgent, BatchRank: rankBatch,
 		Tenant: load.TenantName, KeyDigest: hex.EncodeToString(digest[:]),
 	})
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -17,22 +17,22 @@
 	labplatform "github.com/sloelift/sloelift/lab/platform"
 )
 
-// Deployment is a running fleet. Its methods are safe for concurrent use.
+// Deployment is a running fleet of nodes and engines. It is safe for concurrent use.
 type Deployment struct {
 	options  Options
 	Platform *labplatform.Server
 	Replicas []*Replica
 	Nodes    []*Node
-	// Log is what all engines did.
+	// Log records the runs of all engines.
 	Log *labengine.RunLog
-	// zoneOf tells the zone of every address of a node or an engine.
+	// zoneOf maps the addresses of nodes and engines to their zones.
 	zoneOf map[netip.AddrPort]string
-	// proxies stand before the platform and the engines where nodes are processes of their own.
+	// proxies are in front of the platform and the engines if nodes are processes of their own.
 	proxies []*proxy
 }
 
-// Start brings a deployment up and applies its configuration. On an error nothing is
-// left running.
+// Start starts a deployment, applies its configuration and waits until it is ready. On
+// an error it leaves nothing running.
 func Start(ctx context.Context, options Options) (*Deployment, error) {
 	deployment := &Deployment{options: options, Log: labengine.NewRunLog(), zoneOf: map[netip.AddrPort]string{}}
 	steps := []func(context.Context) error{
@@ -84,7 +84,7 @@
 			ID: replica.ID, Role: platform.RoleReplica, Region: profile.Region, Zone: replica.Zone,
 			State: platform.MachineLive, Address: replica.Engine.Address(), Service: profile.Service,
 		})
-		if err := d.standBefore(&machines[len(machines)-1].Address); err != nil {
+		if err := d.addProxy(&machines[len(machines)-1].Address); err != nil {
 			return err
 		}
 	}
@@ -110,7 +110,7 @@
 	byZone := map[string]netip.AddrPort{}
 	for _, zone := range profile.Zones {
 		address := d.Platform.Address(zone)
-		if err := d.standBefore(&address); err != nil {
+		if err := d.addProxy(&address); err != nil {
 			return err
 		}
 		byZone[zone] = address
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// standBefore puts a proxy before an address where nodes are processes of their own.
-func (d *Deployment) standBefore(address *netip.AddrPort) error {
+// addProxy replaces address with that of a new proxy to it if nodes are processes of their own.
+func (d *Deployment) addProxy(address *netip.AddrPort) error {
 	if d.options.Program == "" {
 		return nil
 	}
@@ -137,24 +137,24 @@
 	return nil
 }
 
-// SilenceConnections silences all connections that are open between nodes and the platform or engines, and returns their number. Only
-// nodes that are processes of their own have such.
+// SilenceConnections silences all open connections between nodes and the platform or engines and returns their number. It affects only
+// nodes that are processes of their own.
 func (d *Deployment) SilenceConnections() int {
 	count := 0
-	for _, each := range d.proxies {
-		count += each.silence()
+	for _, running := range d.proxies {
+		count += running.silence()
 	}
 	return count
 }
 
-// weightBytes is the size of one stored version.
+// weightBytes is the size of one version of the model's weights.
 const weightBytes = 1 << 30
 
-// addressesPerNode are a node's caller, admin and peer addresses.
+// addressesPerNode is the number of addresses of a node: caller, admin and peer.
 const addressesPerNode = 3
 
-// planNodes names the nodes, gives them addresses, and a data folder to as many as are
-// wanted as stores, spread over the zones.
+// planNodes creates the nodes with their settings and addresses. wantedStores of them,
+// spread over the zones, get a data folder and are stores.
 func (d *Deployment) planNodes() error {
 	profile := d.options.Profile
 	total := nodesPerZone * len(profile.Zones)
@@ -166,8 +166,8 @@
 		zone := profile.Zones[index%len(profile.Zones)]
 		own := settings.Defaults()
 		own.Node, own.Region, own.Zone = fmt.Sprintf("%s-%d", zone, index/len(profile.Zones)+1), profile.Region, zone
-		at := index * addressesPerNode
-		own.CallerAddress, own.AdminAddress, own.PeerAddress = addresses[at], addresses[at+1], addresses[at+2]
+		first := index * addressesPerNode
+		own.CallerAddress, own.AdminAddress, own.PeerAddress = addresses[first], addresses[first+1], addresses[first+2]
 		own.Ledger = settings.Ledger{Partitions: partitions, Replicas: wantedStores, WriteQuorum: writeQuorum}
 		own.LogLevel = d.options.NodeLogLevel
 		if index < wantedStores {
@@ -176,7 +176,7 @@
 				return err
 			}
 		}
-		for _, address := range addresses[at : at+addressesPerNode] {
+		for _, address := range addresses[first : first+addressesPerNode] {
 			d.zoneOf[address] = zone
 		}
 		d.Nodes = append(d.Nodes, &Node{ID: own.Node, Zone: zone, Settings: own, options: d.options.NodeOptions, logger: d.options.Logger,
@@ -190,11 +190,11 @@
 }
 
 func (d *Deployment) startNodes(ctx context.Context) error {
-	return d.eachNode(func(node *Node) error { return node.start(ctx) })
+	return d.forEachNode(func(node *Node) error { return node.start(ctx) })
 }
 
-// eachNode runs act for all nodes at once.
-func (d *Deployment) eachNode(act func(*Node) error) error {
+// forEachNode runs act for all nodes concurrently.
+func (d *Deployment) forEachNode(act func(*Node) error) error {
 	failures := make([]error, len(d.Nodes))
 	var wait sync.WaitGroup
 	for index, node := range d.Nodes {
@@ -215,11 +215,11 @@
 	return targets
 }
 
-// Close ends everything at once.
+// Close kills all nodes and engines and stops the platform.
 func (d *Deployment) Close() {
-	_ = d.eachNode(func(node *Node) error { node.kill(); return nil })
-	for _, each := range d.proxies {
-		each.close()
+	_ = d.forEachNode(func(node *Node) error { node.kill(); return nil })
+	for _, running := range d.proxies {
+		running.close()
 	}
 	if d.Platform != nil {
 		d.Platform.Stop()
--- a/lab/deployment/doc.go
+++ b/lab/deployment/doc.go
@@ -1,4 +1,4 @@
-// Package deployment builds a whole deployment on loopback in one process: the
-// platform's stand-ins, engines in zones, and nodes, with the faults that can
-// befall each of them.
+// Package deployment runs a whole deployment on loopback addresses: the simulated
+// platform, emulated engines in zones, and nodes, in this process or as processes of
+// their own. It can inject faults into each of them.
 package deployment
--- a/lab/deployment/faults.go
+++ b/lab/deployment/faults.go
@@ -9,7 +9,7 @@
 	labplatform "github.com/sloelift/sloelift/lab/platform"
 )
 
-// NodeByID finds a node.
+// NodeByID returns the node with the given id.
 func (d *Deployment) NodeByID(id string) (*Node, error) {
 	for _, node := range d.Nodes {
 		if node.ID == id {
@@ -30,7 +30,7 @@
 	return stores
 }
 
-// KillNode ends a node without a goodbye.
+// KillNode ends a node without notice.
 func (d *Deployment) KillNode(node *Node) { node.kill() }
 
 // StartNode starts a node that was killed or stopped and waits until it serves.
@@ -41,10 +41,10 @@
 	return d.awaitNode(ctx, node)
 }
 
-// StopNode stops a node as planned: new callers go elsewhere, streams run to their end.
+// StopNode is the planned stop of a node: new requests go to other nodes and streams run to their end.
 func (d *Deployment) StopNode(ctx context.Context, node *Node) error { return node.stop(ctx) }
 
-// LoseDisk kills a store, empties its data folder and starts it anew.
+// LoseDisk kills stores, empties their data folders and starts them again.
 func (d *Deployment) LoseDisk(ctx context.Context, nodes ...*Node) error {
 	for _, node := range nodes {
 		node.kill()
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// PauseNode holds back everything that a node sends and receives; callers go elsewhere.
+// PauseNode suspends all that a node sends and receives; callers use other nodes.
 func (d *Deployment) PauseNode(node *Node) {
 	node.setServing(false)
 	node.pause(true)
@@ -74,7 +74,7 @@
 	node.setServing(true)
 }
 
-// CutZone separates a zone from all others and from the platform.
+// CutZone isolates a zone from all others and from the platform.
 func (d *Deployment) CutZone(zone string) {
 	for _, node := range d.Nodes {
 		inside := node.Zone == zone
@@ -86,7 +86,7 @@
 	d.Platform.Faults().Set(labplatform.Fault{Zone: zone, Outage: labplatform.OutageDrops})
 }
 
-// HealZone ends a cut.
+// HealZone ends the isolation of a zone.
 func (d *Deployment) HealZone(zone string) {
 	d.Platform.Faults().Clear(zone, labplatform.AnyService)
 	for _, node := range d.Nodes {
@@ -94,15 +94,15 @@
 	}
 }
 
-// LeaveReplica starts the planned end of a replica: the machine list says so, late,
-// and the engine refuses new runs.
+// LeaveReplica starts the planned stop of a replica: the machine list shows it as
+// leaving, after the list's lag, and the engine refuses new runs.
 func (d *Deployment) LeaveReplica(replica *Replica) {
 	d.Platform.Machines().SetState(replica.ID, platform.MachineLeaving)
 	replica.Engine.Leave()
 }
 
-// AnnounceLeaving tells only the machine list that a replica will leave; the engine
-// still takes runs, so that a dispatch after the sign shows in its record.
+// AnnounceLeaving marks a replica as leaving in the machine list only. The engine still
+// accepts runs, so that dispatches after the announcement appear in its records.
 func (d *Deployment) AnnounceLeaving(replica *Replica) {
 	d.Platform.Machines().SetState(replica.ID, platform.MachineLeaving)
 }
--- a/lab/deployment/machine.go
+++ b/lab/deployment/machine.go
@@ -16,33 +16,33 @@
 	labengine "github.com/sloelift/sloelift/lab/engine"
 )
 
-// Replica is one engine with its zone.
+// Replica is an engine and its zone.
 type Replica struct {
 	ID     string
 	Zone   string
 	Engine *labengine.Engine
 }
 
-// Node is one node of the deployment; its process can end and start anew.
+// Node is one node of the deployment, whose process can be stopped and started again.
 type Node struct {
 	ID       string
 	Zone     string
 	Settings settings.Settings
 	options  []node.Option
 	logger   zerolog.Logger
-	// program is run for the node; where it is empty the node runs in this process.
+	// program is the path of the node's program; if empty, the node runs in this process.
 	program string
-	// folder is for the program's settings and log.
+	// folder holds the program's settings and log.
 	folder string
 
-	// mutex guards all below. serving says that callers may use the node.
+	// mutex guards the fields below. serving is set if callers may use the node.
 	mutex     sync.Mutex
 	running   process
 	serving   bool
 	reachable func(netip.AddrPort) bool
 }
 
-// start builds and starts the node's process; callers are sent there once it serves.
+// start starts the node's process. Callers use the node once it is set to serving.
 func (n *Node) start(ctx context.Context) error {
 	started, err := n.startProcess(ctx)
 	if err != nil {
@@ -61,26 +61,27 @@
 	n.mutex.Lock()
 	reachable := n.reachable
 	n.mutex.Unlock()
-	return startInside(ctx, n.Settings, n.logger, n.options, reachable)
+	return startInProcess(ctx, n.Settings, n.logger, n.options, reachable)
 }
 
-// stop is the planned stop: callers are sent elsewhere first, as a load balancer does.
+// stop is the planned stop: like a load balancer, it sends callers to other nodes first.
 func (n *Node) stop(ctx context.Context) error {
-	running := n.take()
+	running := n.detach()
 	if running == nil {
 		return nil
 	}
 	return running.stop(ctx)
 }
 
-// kill ends the process as a machine that vanishes does.
+// kill ends the process like the loss of its machine.
 func (n *Node) kill() {
-	if running := n.take(); running != nil {
+	if running := n.detach(); running != nil {
 		running.kill()
 	}
 }
 
-func (n *Node) take() process {
+// detach marks the node as down and returns its process, nil if there is none.
+func (n *Node) detach() process {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	running := n.running
@@ -88,7 +89,7 @@
 	return running
 }
 
-// IsServing tells whether callers are sent to the node.
+// IsServing reports whether callers may use the node.
 func (n *Node) IsServing() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -101,7 +102,7 @@
 	n.serving = serving && n.running != nil
 }
 
-// pause holds back all that the node does or sends; with false it goes on.
+// pause suspends the node's process, or resumes it if paused is false.
 func (n *Node) pause(paused bool) {
 	n.mutex.Lock()
 	running := n.running
@@ -111,7 +112,7 @@
 	}
 }
 
-// setReachable limits whom the node can reach; nil is everybody.
+// setReachable limits the addresses that the node can reach; nil means no limit.
 func (n *Node) setReachable(reachable func(netip.AddrPort) bool) {
 	n.mutex.Lock()
 	n.reachable = reachable
@@ -122,7 +123,7 @@
 	}
 }
 
-// loseDisk empties the data folder; the node must not run.
+// loseDisk empties the data folder. The node must not be running.
 func (n *Node) loseDisk() error {
 	entries, err := os.ReadDir(n.Settings.DataFolder)
 	if err != nil {
@@ -136,18 +137,19 @@
 	return nil
 }
 
-// Nodes listen on addresses of their own, so that no outgoing connection, which takes a
-// port of 127.0.0.1 above the range below, is in the way when a node starts anew.
+// Range of the ports on which nodes listen. Outgoing connections use ports of 127.0.0.1
+// above it and nodes have other host addresses, so that no connection occupies a node's
+// port when the node restarts.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// freeAddresses returns loopback addresses that were free a moment ago. Processes that run
-// at once use different numbers in 127.0.0.0/8.
+// freeAddresses returns loopback addresses that were free when checked. Concurrent processes
+// use different hosts in 127.0.0.0/8.
 func freeAddresses(count int) ([]netip.AddrPort, error) {
-	process := os.Getpid()
-	host := netip.AddrFrom4([4]byte{127, 1 + byte(process>>16&0x3f), byte(process >> 8), byte(process)})
+	pid := os.Getpid()
+	host := netip.AddrFrom4([4]byte{127, 1 + byte(pid>>16&0x3f), byte(pid >> 8), byte(pid)})
 	addresses := make([]netip.AddrPort, 0, count)
 	for port := uint16(firstPort); port < lastPort && len(addresses) < count; port++ {
 		address := netip.AddrPortFrom(host, port)
--- a/lab/deployment/options.go
+++ b/lab/deployment/options.go
@@ -19,24 +19,24 @@
 	Logger zerolog.Logger
 	// NodeLogLevel is the level of the nodes' own log.
 	NodeLogLevel string
-	// ChangeEngine changes the options of each engine; nil changes nothing.
+	// ChangeEngine modifies the options of each engine; it may be nil.
 	ChangeEngine func(*labengine.Options)
-	// NodeOptions are given to every node that runs in this process.
+	// NodeOptions are passed to every node that runs in this process.
 	NodeOptions []node.Option
-	// Program is the path of the program that runs as a process for each node; where it is empty all nodes run in this process.
+	// Program is the path of the program to run as one process per node; if empty, all nodes run in this process.
 	Program string
-	// MachineListLag is how late the machine list is.
+	// MachineListLag is the lag of the machine list.
 	MachineListLag time.Duration
-	// BatchConcurrentPerReplica and MaxConcurrentPerReplica are declared for the service.
+	// BatchConcurrentPerReplica and MaxConcurrentPerReplica are the limits declared for the service.
 	BatchConcurrentPerReplica int
 	MaxConcurrentPerReplica   int
-	// configurationChange makes one file differ from another.
+	// configurationChange makes configuration files differ from each other.
 	configurationChange int
-	// version is the model's declared version.
+	// version is the declared version of the model.
 	version string
 }
 
-// Numbers of a deployment that profiles share.
+// Sizes and limits that are the same for all profiles.
 const (
 	nodesPerZone        = 2
 	wantedStores        = 4
--- a/lab/deployment/process.go
+++ b/lab/deployment/process.go
@@ -18,23 +18,25 @@
 
 // process is a running node.
 type process interface {
-	// stop is the planned stop; it returns when the process has ended.
+	// stop is the planned stop; it returns when the node has ended.
 	stop(ctx context.Context) error
-	// kill ends it without a goodbye.
+	// kill ends the node without notice.
 	kill()
-	// pause holds it back; with false it goes on.
+	// pause suspends the node, or resumes it if paused is false.
 	pause(paused bool)
-	// setReachable limits whom it can reach; nil is everybody.
+	// setReachable limits the addresses that the node can reach; nil means no limit.
 	setReachable(reachable func(netip.AddrPort) bool)
 }
 
-// inside is a node that runs in this process.
-type inside struct {
+// inProcess is a node that runs in this process.
+type inProcess struct {
 	running   *node.Node
 	severable *network.Severable
 }
 
-func startInside(ctx context.Context, own settings.Settings, logger zerolog.Logger, options []node.Option, reachable func(netip.AddrPort) bool) (process, error) {
+func startInProcess(
+	ctx context.Context, own settings.Settings, logger zerolog.Logger, options []node.Option, reachable func(netip.AddrPort) bool,
+) (process, error) {
 	severable := network.NewSeverable(network.System{})
 	severable.SetReachable(reachable)
 	created, err := node.New(own, logger, append([]node.Option{node.WithNetwork(severable)}, options...)...)
@@ -44,17 +46,17 @@
 	if err := created.Start(ctx); err != nil {
 		return nil, err
 	}
-	return &inside{running: created, severable: severable}, nil
+	return &inProcess{running: created, severable: severable}, nil
 }
 
-func (i *inside) stop(ctx context.Context) error { return i.running.Stop(ctx) }
+func (i *inProcess) stop(ctx context.Context) error { return i.running.Stop(ctx) }
 
-func (i *inside) kill() {
+func (i *inProcess) kill() {
 	i.severable.Sever()
 	i.running.Kill()
 }
 
-func (i *inside) pause(paused bool) {
+func (i *inProcess) pause(paused bool) {
 	if paused {
 		i.severable.Pause()
 	} else {
@@ -62,11 +64,11 @@
 	}
 }
 
-func (i *inside) setReachable(reachable func(netip.AddrPort) bool) {
+func (i *inProcess) setReachable(reachable func(netip.AddrPort) bool) {
 	i.severable.SetReachable(reachable)
 }
 
-// program is a node that runs as a process of its own. Whom it reaches cannot be limited.
+// program is a node that runs as a process of its own. It does not support setReachable.
 type program struct{ running *programs.Process }
 
 var settingsTemplate = template.Must(template.New("settings").Parse(`node: {{.Node}}
@@ -88,7 +90,8 @@
 logLevel: {{.LogLevel}}
 `))
 
-// startProgram starts the program at path with a settings file; its output goes to a file that stays over restarts.
+// startProgram writes the settings file and starts the program at path. The program's output is appended to a log file, which is kept
+// over restarts.
 func startProgram(path, folder string, own settings.Settings) (process, error) {
 	settingsPath := filepath.Join(folder, own.Node+".yaml")
 	file, err := os.Create(settingsPath)
--- a/lab/deployment/proxy.go
+++ b/lab/deployment/proxy.go
@@ -9,19 +9,19 @@
 	"sync/atomic"
 )
 
-// proxy passes connections on to one address, and can silence those that are open: they swallow all bytes from then on, without a reset,
-// while new ones work.
+// proxy forwards TCP connections to one address. It can silence the open connections: these drop all bytes from then on without being
+// reset, while new connections work.
 type proxy struct {
-	to       netip.AddrPort
+	target   netip.AddrPort
 	listener net.Listener
 
 	// mutex guards open.
 	mutex sync.Mutex
-	open  map[*passing]bool
+	open  map[*forwarded]bool
 }
 
-// passing is one connection and the one that it is passed on to.
-type passing struct {
+// forwarded is a caller's connection and the connection that it is forwarded to.
+type forwarded struct {
 	near, far net.Conn
 	silent    atomic.Bool
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	started := &proxy{to: to, listener: listener, open: map[*passing]bool{}}
+	started := &proxy{target: to, listener: listener, open: map[*forwarded]bool{}}
 	go started.accept()
 	return started, nil
 }
@@ -44,35 +44,35 @@
 		if err != nil {
 			return
 		}
-		go p.pass(near)
+		go p.forward(near)
 	}
 }
 
-func (p *proxy) pass(near net.Conn) {
-	far, err := net.Dial("tcp", p.to.String())
+func (p *proxy) forward(near net.Conn) {
+	far, err := net.Dial("tcp", p.target.String())
 	if err != nil {
-		// The process behind is not there: the end of the connection says so to the caller, which counts it.
+		// The target is down: the caller notices by the closed connection.
 		_ = near.Close()
 		return
 	}
-	passed := &passing{near: near, far: far}
+	connection := &forwarded{near: near, far: far}
 	p.mutex.Lock()
-	p.open[passed] = true
+	p.open[connection] = true
 	p.mutex.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { passed.copy(near, far) })
-	both.Go(func() { passed.copy(far, near) })
-	both.Wait()
-	// Ends that were passed on leave both half closed, and their descriptors open; those closed before give an error, which is of no matter.
+	var directions sync.WaitGroup
+	directions.Go(func() { connection.copy(near, far) })
+	directions.Go(func() { connection.copy(far, near) })
+	directions.Wait()
+	// After half-closes in both directions the descriptors are still open. Errors for connections that are already closed can be ignored.
 	_, _ = near.Close(), far.Close()
 	p.mutex.Lock()
-	delete(p.open, passed)
+	delete(p.open, connection)
 	p.mutex.Unlock()
 }
 
-// copy passes bytes one way until the end, which it passes on too. Once silent it drops them, and the end of a caller closes both. Errors of
-// writing and closing need no word: the side that reads next finds the connection ended.
-func (c *passing) copy(to, from net.Conn) {
+// copy forwards bytes in one direction and then the end of the stream. Once the connection is silent, it drops the bytes, and only the
+// end of the caller's connection closes both. Errors on writing and closing are ignored, since the next read reports the closed connection.
+func (c *forwarded) copy(to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
@@ -83,8 +83,8 @@
 		if err == nil {
 			continue
 		}
-		if half, is := to.(*net.TCPConn); is && errors.Is(err, io.EOF) && !silent {
-			_ = half.CloseWrite()
+		if writer, isTCP := to.(*net.TCPConn); isTCP && errors.Is(err, io.EOF) && !silent {
+			_ = writer.CloseWrite()
 			return
 		}
 		if !silent || from == c.near {
@@ -94,12 +94,12 @@
 	}
 }
 
-// silence silences what is open and returns the number.
+// silence silences the open connections and returns their number.
 func (p *proxy) silence() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for each := range p.open {
-		each.silent.Store(true)
+	for connection := range p.open {
+		connection.silent.Store(true)
 	}
 	return len(p.open)
 }
@@ -108,7 +108,7 @@
 	_ = p.listener.Close()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for each := range p.open {
-		_, _ = each.near.Close(), each.far.Close()
+	for connection := range p.open {
+		_, _ = connection.near.Close(), connection.far.Close()
 	}
 }
--- a/lab/deployment/readiness.go
+++ b/lab/deployment/readiness.go
@@ -17,10 +17,10 @@
 
 const (
 	readyTimeout = 30 * time.Second
-	// rollTimeout is for a few replicas at a time, each of which is drained first.
-	rollTimeout = 60 * time.Second
-	readyPause  = 50 * time.Millisecond
-	callTimeout = 5 * time.Second
+	// rollTimeout is the timeout for rolling out a model version, which drains and updates a few replicas at a time.
+	rollTimeout  = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
+	callTimeout  = 5 * time.Second
 
 	pathApply  = "/v1/config/apply"
 	pathModels = "/v1/models"
@@ -28,11 +28,11 @@
 	pathStatus = "/v1/status"
 	pathChat   = "/v1/chat/completions"
 
-	// warmUpKeys are enough to meet nearly every partition of the ledger.
+	// warmUpKeys is the number of idempotency keys for the warm-up, enough to hit nearly every partition of the ledger.
 	warmUpKeys = 48
 )
 
-// applyConfiguration gives the operators' file to a node, and to others until one takes it.
+// applyConfiguration sends the operators' file to one node after the other until one accepts it.
 func (d *Deployment) applyConfiguration(ctx context.Context) error {
 	file, err := Configuration(d.options)
 	if err != nil {
@@ -47,8 +47,8 @@
 	})
 }
 
-// ChangeConfiguration gives a changed file to a node in service, to others until one
-// takes it, and returns the accepted revision. The same change twice is one file.
+// ChangeConfiguration sends a changed file to one node in service after the other until one
+// accepts it, and returns the accepted revision. The same change gives the same file.
 func (d *Deployment) ChangeConfiguration(ctx context.Context, change int) (revision int64, err error) {
 	options := d.options
 	options.configurationChange = change + 1
@@ -56,7 +56,7 @@
 }
 
 // RollVersion declares the next version of the model and waits until every replica serves
-// that one alone.
+// only that version.
 func (d *Deployment) RollVersion(ctx context.Context) error {
 	options := d.options
 	options.version = nextVersion
@@ -66,15 +66,15 @@
 	return awaitFor(ctx, rollTimeout, "roll the model's version", func(context.Context) error {
 		for _, replica := range d.Replicas {
 			if !replica.Engine.Serves(d.options.Profile.Model, nextVersion) {
-				return fmt.Errorf("replica %s does not serve version %s alone", replica.ID, nextVersion)
+				return fmt.Errorf("replica %s does not serve version %s only", replica.ID, nextVersion)
 			}
 		}
 		return nil
 	})
 }
 
-// apply gives the file of options to the first node in service that takes it, from the
-// given one on.
+// apply sends the file for options to one node in service after the other, starting at
+// index first, until one accepts it.
 func (d *Deployment) apply(ctx context.Context, options Options, first int) (revision int64, err error) {
 	file, err := Configuration(options)
 	if err != nil {
@@ -85,7 +85,7 @@
 		node := d.Nodes[attempt%len(d.Nodes)]
 		attempt++
 		if !node.IsServing() {
-			return fmt.Errorf("node %s does not serve", node.ID)
+			return fmt.Errorf("node %s is not in service", node.ID)
 		}
 		content, err := call(ctx, http.MethodPost, node.Settings.AdminAddress, pathApply, file)
 		if err != nil {
@@ -118,11 +118,11 @@
 
 // awaitReady waits until every node serves the declared model.
 func (d *Deployment) awaitReady(ctx context.Context) error {
-	return d.eachNode(func(node *Node) error { return d.awaitNode(ctx, node) })
+	return d.forEachNode(func(node *Node) error { return d.awaitNode(ctx, node) })
 }
 
-// awaitNode waits until a node is ready and serves the declared model, and then sends callers
-// there, as a load balancer does.
+// awaitNode waits until a node is ready and serves the declared model, and then lets callers
+// use it, like a load balancer.
 func (d *Deployment) awaitNode(ctx context.Context, node *Node) error {
 	err := await(ctx, "wait for node "+node.ID, func(ctx context.Context) error {
 		if _, err := call(ctx, http.MethodGet, node.Settings.AdminAddress, pathReady, nil); err != nil {
@@ -140,8 +140,8 @@
 	return err
 }
 
-// awaitLedger waits until marked requests are served, which needs owners of the ledger's
-// partitions, so that a run does not measure the first seconds of a new deployment.
+// awaitLedger waits until marked requests are served, which requires that the ledger's
+// partitions have owners, so that a run does not include the start of the deployment.
 func (d *Deployment) awaitLedger(ctx context.Context) error {
 	failures := make([]error, warmUpKeys)
 	var wait sync.WaitGroup
@@ -164,12 +164,12 @@
 	return err
 }
 
-// await calls check until it succeeds or readyTimeout ends.
-func await(ctx context.Context, what string, check func(context.Context) error) error {
-	return awaitFor(ctx, readyTimeout, what, check)
+// await calls check until it succeeds or readyTimeout has passed.
+func await(ctx context.Context, operation string, check func(context.Context) error) error {
+	return awaitFor(ctx, readyTimeout, operation, check)
 }
 
-func awaitFor(ctx context.Context, timeout time.Duration, what string, check func(context.Context) error) error {
+func awaitFor(ctx context.Context, timeout time.Duration, operation string, check func(context.Context) error) error {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
@@ -179,15 +179,15 @@
 		}
 		select {
 		case <-bounded.Done():
-			return fmt.Errorf("%s: %w", what, errors.Join(err, bounded.Err()))
-		case <-time.After(readyPause):
+			return fmt.Errorf("%s: %w", operation, errors.Join(err, bounded.Err()))
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 var client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// call makes one request as the lab's tenant and returns the body of a success.
+// call sends one request with the lab tenant's key and returns the body of a 200 response.
 func call(ctx context.Context, method string, to netip.AddrPort, path string, body []byte) ([]byte, error) {
 	return callWith(ctx, method, to, path, body, map[string]string{"Content-Type": "application/yaml"})
 }
