--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -1,4 +1,4 @@
-// Package process runs programs of the project as processes of their own, and signals and ends them by their ids.
+// Package process runs programs as child processes, and signals and ends them by their ids.
 package process
 
 import (
@@ -10,15 +10,15 @@
 	"syscall"
 )
 
-// Process is a started program. Its methods may be called from several goroutines.
+// Process is a started program. It is safe for concurrent use.
 type Process struct {
 	command *exec.Cmd
-	// ended is closed when the process has ended, with failure.
+	// ended is closed when the process has ended; failure is the result of Wait and valid from then on.
 	ended   chan struct{}
 	failure error
 }
 
-// Start starts the program at path; what it writes is added to the file at logPath, which stays over restarts.
+// Start starts the program at path. Its output is appended to the file at logPath, so that the log is kept over restarts.
 func Start(path, logPath string, arguments ...string) (*Process, error) {
 	output, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -26,10 +26,10 @@
 	}
 	command := exec.Command(path, arguments...)
 	command.Stdout, command.Stderr = output, output
-	// Whoever ends this process without a word leaves none behind.
+	// The child must not outlive this process, even if this process is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	err = command.Start()
-	// The process has its own descriptor of the file.
+	// The child has its own descriptor of the file.
 	_ = output.Close()
 	if err != nil {
 		return nil, err
@@ -42,53 +42,53 @@
 	return started, nil
 }
 
-// ErrKilled says that a process went on after the signal to stop, and was killed.
-var ErrKilled = errors.New("the process does not stop")
+// ErrKilled means that a process did not end in time after SIGTERM and was killed.
+var ErrKilled = errors.New("process did not stop after SIGTERM and was killed")
 
-// ID is the process's id.
+// ID returns the process id.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Stop signals the process to stop and waits for its end; where ctx ends first it is killed. A process that the signal itself ended, since it
-// came before the program listened for it, has stopped.
+// Stop sends SIGTERM and waits for the process to end. If ctx ends first, it kills the process and returns ErrKilled. A process that is
+// ended by the signal itself, because the program had not installed its handler yet, counts as stopped.
 func (p *Process) Stop(ctx context.Context) error {
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
-		return fmt.Errorf("signal the process to stop: %w", err)
+		return fmt.Errorf("send SIGTERM: %w", err)
 	}
 	select {
 	case <-p.ended:
-		return p.failureOfStop()
+		return p.stopError()
 	case <-ctx.Done():
 		p.Kill()
 		return fmt.Errorf("%w: %w", ErrKilled, ctx.Err())
 	}
 }
 
-func (p *Process) failureOfStop() error {
+func (p *Process) stopError() error {
 	var exit *exec.ExitError
 	if errors.As(p.failure, &exit) {
-		if status, is := exit.Sys().(syscall.WaitStatus); is && status.Signaled() && status.Signal() == syscall.SIGTERM {
+		if status, isWait := exit.Sys().(syscall.WaitStatus); isWait && status.Signaled() && status.Signal() == syscall.SIGTERM {
 			return nil
 		}
 	}
 	return p.failure
 }
 
-// Kill ends the process and waits for that.
+// Kill sends SIGKILL and waits for the process to end.
 func (p *Process) Kill() {
-	// A process that has ended by itself is no failure here; its absence shows in what callers see.
+	// An error means that the process has already ended.
 	_ = p.command.Process.Kill()
 	<-p.ended
 }
 
-// Pause holds the process back; with false it goes on.
+// Pause suspends the process with SIGSTOP, or resumes it with SIGCONT if paused is false.
 func (p *Process) Pause(paused bool) {
 	signal := syscall.SIGCONT
 	if paused {
 		signal = syscall.SIGSTOP
 	}
-	// A process that has ended stands still already.
+	// An error means that the process has already ended.
 	_ = p.command.Process.Signal(signal)
 }
--- a/lab/process/process_test.go
+++ b/lab/process/process_test.go
@@ -20,7 +20,7 @@
 	return started, logPath
 }
 
-// awaitOutput returns once a process has written something.
+// awaitOutput waits until the process has written something.
 func awaitOutput(t *testing.T, logPath string) {
 	t.Helper()
 	for {
@@ -35,23 +35,24 @@
 	}
 }
 
-// TestStopOfAProcess: one that the signal ends has stopped, one that ends with a failure of its own has failed, and one that goes on is killed.
+// TestStopOfAProcess guards that a process ended by SIGTERM counts as stopped, that one that exits with an error fails, and that one that
+// ignores SIGTERM is killed.
 func TestStopOfAProcess(t *testing.T) {
-	plain, _ := start(t, "/bin/sleep", "600")
-	if err := plain.Stop(t.Context()); err != nil {
+	withoutHandler, _ := start(t, "/bin/sleep", "600")
+	if err := withoutHandler.Stop(t.Context()); err != nil {
 		t.Errorf("a process without a handler: %v", err)
 	}
 	failing, _ := start(t, "/bin/sh", "-c", "exit 3")
 	<-failing.Ended()
-	if err := failing.failureOfStop(); err == nil {
+	if err := failing.stopError(); err == nil {
 		t.Error("a process that failed has stopped")
 	}
-	deaf, logPath := start(t, "/bin/sh", "-c", "trap '' TERM; echo ready; while :; do :; done")
+	ignoring, logPath := start(t, "/bin/sh", "-c", "trap '' TERM; echo ready; while :; do :; done")
 	awaitOutput(t, logPath)
-	over, cancel := context.WithTimeout(t.Context(), time.Millisecond)
+	expired, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
-	if err := deaf.Stop(over); err == nil {
+	if err := ignoring.Stop(expired); err == nil {
 		t.Error("a process that goes on has stopped")
 	}
-	<-deaf.Ended()
+	<-ignoring.Ended()
 }
