--- a/lab/histogram/histogram.go
+++ b/lab/histogram/histogram.go
@@ -1,4 +1,4 @@
-// Package histogram records durations from many goroutines and gives their percentiles.
+// Package histogram records durations from many goroutines and returns their percentiles.
 package histogram
 
 import (
@@ -8,13 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// Range of values in microseconds, and significant digits.
 const (
-	histogramLowest  = 1
-	histogramHighest = int64(10 * time.Minute / time.Microsecond)
-	histogramDigits  = 3
+	lowestMicros      = 1
+	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Distribution gives percentiles in milliseconds.
+// Distribution holds percentiles in milliseconds.
 type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -31,25 +32,25 @@
 
 // New returns an empty histogram.
 func New() *Histogram {
-	return &Histogram{values: hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)}
+	return &Histogram{values: hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
 }
 
 // Record adds one duration.
 func (h *Histogram) Record(value time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	// A value beyond the range can't be: runs are shorter.
-	_ = h.values.RecordValue(max(value.Microseconds(), histogramLowest))
+	// Values are within the range, since runs are shorter than its maximum.
+	_ = h.values.RecordValue(max(value.Microseconds(), lowestMicros))
 }
 
 // Distribution returns the percentiles so far.
 func (h *Histogram) Distribution() Distribution {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	at := func(quantile float64) float64 { return float64(h.values.ValueAtQuantile(quantile)) / 1000 }
+	millisAt := func(quantile float64) float64 { return float64(h.values.ValueAtQuantile(quantile)) / 1000 }
 	return Distribution{
 		Count: h.values.TotalCount(),
-		P50:   at(50), P95: at(95), P99: at(99),
+		P50:   millisAt(50), P95: millisAt(95), P99: millisAt(99),
 		Max: float64(h.values.Max()) / 1000,
 	}
 }
