--- a/lab/soak/doc.go
+++ b/lab/soak/doc.go
@@ -1,3 +1,3 @@
-// Package soak plays scenarios that are drawn from seeds on the real program, one process for each node, and judges what callers and
-// engines saw.
+// Package soak runs scenarios that are drawn from seeds against the real program, with one process per node, and checks invariants on
+// what callers and engines saw.
 package soak
--- a/lab/soak/draw.go
+++ b/lab/soak/draw.go
@@ -9,39 +9,39 @@
 	"github.com/sloelift/sloelift/lab/experiment"
 )
 
-// Draw returns the scenario of a seed: two to five faults, alone and overlapping, within duration.
+// Draw returns the scenario of a seed: up to five faults within duration, which may overlap.
 func Draw(seed uint64, duration time.Duration) experiment.Scenario {
 	random := rand.New(rand.NewPCG(seed, 0x50a4))
 	scenario := experiment.Scenario{
 		Name: fmt.Sprint("soak-", seed), Description: "Drawn from a seed.", Duration: duration,
 	}
-	single := map[experiment.FaultKind]bool{}
+	drawnOnce := map[experiment.FaultKind]bool{}
 	for range 2 + random.IntN(4) {
 		kind := kinds[random.IntN(len(kinds))]
-		if single[kind.kind] {
+		if drawnOnce[kind.kind] {
 			continue
 		}
-		single[kind.kind] = kind.once
+		drawnOnce[kind.kind] = kind.once
 		scenario.Faults = append(scenario.Faults, kind.draw(random, duration))
 	}
-	slices.SortFunc(scenario.Faults, func(one, other experiment.Fault) int { return int(one.At - other.At) })
+	slices.SortFunc(scenario.Faults, func(a, b experiment.Fault) int { return int(a.At - b.At) })
 	return scenario
 }
 
-// drawn is a kind of fault as it is drawn.
-type drawn struct {
+// kindRange describes how a kind of fault is drawn.
+type kindRange struct {
 	kind experiment.FaultKind
-	// shortest and longest bound how long it lasts.
+	// shortest and longest bound the duration of the fault.
 	shortest, longest time.Duration
 	target            experiment.Target
 	count             int
 	share             float64
 	lag               time.Duration
-	// once says that a scenario has it once: more would lose more than the ledger survives, or it lasts to the end.
+	// once limits the fault to one per scenario, because more would exceed what the ledger tolerates or because it lasts until the end.
 	once bool
 }
 
-var kinds = []drawn{
+var kinds = []kindRange{
 	{kind: experiment.FaultKillNode, shortest: 500 * time.Millisecond, longest: 4 * time.Second, target: experiment.TargetStore, once: true},
 	{kind: experiment.FaultKillNode, shortest: 500 * time.Millisecond, longest: 4 * time.Second, target: experiment.TargetGateway},
 	{kind: experiment.FaultLoseDisk, target: experiment.TargetStore, once: true},
@@ -58,10 +58,10 @@
 	{kind: experiment.FaultSilence},
 }
 
-func (d drawn) draw(random *rand.Rand, duration time.Duration) experiment.Fault {
+func (d kindRange) draw(random *rand.Rand, duration time.Duration) experiment.Fault {
 	fault := experiment.Fault{
 		Kind: d.kind, Target: d.target, Count: d.count, Share: d.share, Lag: d.lag,
-		// The last quarter shows that the system goes on.
+		// No fault begins in the last quarter, which shows that the system recovers.
 		At: time.Duration(random.Float64() * 0.75 * float64(duration)).Round(10 * time.Millisecond),
 	}
 	if d.longest > 0 {
--- a/lab/soak/draw_test.go
+++ b/lab/soak/draw_test.go
@@ -10,8 +10,8 @@
 	"github.com/sloelift/sloelift/lab/experiment"
 )
 
-// TestDrawnScenariosAreSound: a seed gives the same scenario each time; each has faults that can be carried out, within its time, and none
-// loses more than the ledger survives.
+// TestDrawnScenariosAreSound guards that a seed always gives the same scenario, that its faults are valid and within its time, and that
+// none loses more disks than the ledger tolerates.
 func TestDrawnScenariosAreSound(t *testing.T) {
 	const duration = 12 * time.Second
 	seen := map[experiment.FaultKind]bool{}
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -16,30 +16,31 @@
 
 // Options of a soak.
 type Options struct {
-	// Program is the path of the program that runs for each node.
+	// Program is the path of the program to run as one process per node.
 	Program string
 	Profile load.Profile
-	// FirstSeed is the first of Runs seeds, each of which is played for Each.
+	// FirstSeed is the first of Runs consecutive seeds; Each is how long work arrives in each run.
 	FirstSeed uint64
 	Runs      int
 	Each      time.Duration
 }
 
-// Report is what a soak found.
+// Report is the result of a soak.
 type Report struct {
 	Runs   int `json:"runs"`
 	Broken int `json:"broken"`
 	Faults int `json:"faults"`
-	// OnlineSent and ItemsAccepted are what was asked of the system, OnlineCompleted and ItemsCompleted what it did.
+	// OnlineSent and ItemsAccepted count the work given to the system, OnlineCompleted and ItemsCompleted the work that it completed.
 	OnlineSent      int `json:"online_sent"`
 	OnlineCompleted int `json:"online_completed"`
 	ItemsAccepted   int `json:"items_accepted"`
 	ItemsCompleted  int `json:"items_completed"`
-	// WorstFirstToken is the highest 99th percentile of the time to the first token of a run, in milliseconds.
+	// WorstFirstToken is the maximum over all runs of the 99th percentile of the time to first token, in milliseconds.
 	WorstFirstToken float64 `json:"worst_first_token_p99_ms"`
 }
 
-// Run plays the seeds in turn and writes a line on each, and the folder with the logs of a run that broke.
+// Run plays the seeds one after the other. For each it writes a summary line to output, with the folder of the logs if the run failed, and
+// the violations found.
 func Run(ctx context.Context, options Options, output io.Writer) (Report, error) {
 	var report Report
 	for run := range uint64(options.Runs) {
@@ -90,8 +91,9 @@
 	if result.Failed {
 		state = "BROKEN, logs in " + result.Folder
 	}
-	_, err := fmt.Fprintf(output, "seed %d: %s; online %d of %d, items %d of %d; %s\n", seed, state, result.Verdict.OnlineCompleted, result.Verdict.OnlineSent,
-		result.Verdict.ItemsCompleted, result.Verdict.ItemsAccepted, strings.Join(faults, " "))
+	_, err := fmt.Fprintf(output, "seed %d: %s; online %d of %d, items %d of %d; %s\n", seed, state,
+		result.Verdict.OnlineCompleted, result.Verdict.OnlineSent, result.Verdict.ItemsCompleted, result.Verdict.ItemsAccepted,
+		strings.Join(faults, " "))
 	for _, broken := range append(result.Verdict.Broken, result.FaultErrors...) {
 		if err == nil {
 			_, err = fmt.Fprintln(output, "  ", broken)
