--- a/lab/ledgerbench/cluster.go
+++ b/lab/ledgerbench/cluster.go
@@ -22,13 +22,13 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// openWait bounds the wait for owners; pollInterval is how often it is looked.
+// ownerTimeout is the timeout for a partition to get an owner; pollInterval is the interval of the checks.
 const (
-	openWait     = 20 * time.Second
+	ownerTimeout = 20 * time.Second
 	pollInterval = 5 * time.Millisecond
 )
 
-// view is what all nodes see; it is safe for concurrent use.
+// view is the membership view of all nodes. It is safe for concurrent use.
 type view struct {
 	mutex   sync.Mutex
 	members []membership.Member
@@ -40,7 +40,7 @@
 	return &membership.View{Members: append([]membership.Member(nil), v.members...)}
 }
 
-// Subscribe is not needed: the ledger also looks at intervals.
+// Subscribe does nothing, since the ledger also polls the view.
 func (v *view) Subscribe(func(*membership.View)) func() { return func() {} }
 
 func (v *view) add(member membership.Member) {
@@ -49,7 +49,7 @@
 	v.members = append(v.members, member)
 }
 
-func (v *view) dead(id membership.NodeID) {
+func (v *view) markDead(id membership.NodeID) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for i := range v.members {
@@ -59,7 +59,7 @@
 	}
 }
 
-// machine is a state machine that only counts what it applies.
+// machine is a state machine that only counts the records it applies.
 type machine struct {
 	node    *node
 	owned   ledger.Owned
@@ -88,27 +88,27 @@
 	}
 }
 
-// node is one store, owner and transport.
+// node has a store, a transport and a manager that can own partitions.
 type node struct {
 	id        membership.NodeID
 	store     *store.Store
 	transport *transport.TCP
 	manager   *ledger.Manager
 
-	mutex  sync.Mutex
-	serves map[ledger.PartitionID]*machine
+	mutex    sync.Mutex
+	machines map[ledger.PartitionID]*machine
 }
 
 func (n *node) set(partition ledger.PartitionID, served *machine) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.serves[partition] = served
+	n.machines[partition] = served
 }
 
-func (n *node) served(partition ledger.PartitionID) *machine {
+func (n *node) machineOf(partition ledger.PartitionID) *machine {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.serves[partition]
+	return n.machines[partition]
 }
 
 func (n *node) stop() error {
@@ -124,12 +124,14 @@
 	nodes      []*node
 }
 
-// openCluster starts replicas nodes with disks below folder and waits until all partitions have owners.
+// openCluster starts as many nodes as replicas, with disks below folder, and waits until all partitions have owners.
 func openCluster(ctx context.Context, folder string, replicas, writeQuorum, partitions int) (*cluster, error) {
 	c := &cluster{view: &view{}, partitions: partitions}
 	values := platformtest.NewKeyValue()
 	for index := range replicas {
-		if err := c.add(folder, index, values, settings.Ledger{Partitions: partitions, Replicas: replicas, WriteQuorum: writeQuorum}); err != nil {
+		if err := c.add(folder, index, values, settings.Ledger{
+			Partitions: partitions, Replicas: replicas, WriteQuorum: writeQuorum,
+		}); err != nil {
 			return nil, errors.Join(err, c.close())
 		}
 	}
@@ -145,7 +147,7 @@
 }
 
 func (c *cluster) add(folder string, index int, values platform.KeyValue, numbers settings.Ledger) error {
-	n := &node{id: membership.NodeID(fmt.Sprint("node-", index)), serves: map[ledger.PartitionID]*machine{}}
+	n := &node{id: membership.NodeID(fmt.Sprint("node-", index)), machines: map[ledger.PartitionID]*machine{}}
 	disk := filepath.Join(folder, string(n.id))
 	if err := os.MkdirAll(disk, 0o750); err != nil {
 		return err
@@ -176,15 +178,15 @@
 	return nil
 }
 
-// owner waits until some node serves the partition.
+// owner waits until a node owns the partition and returns its state machine.
 func (c *cluster) owner(ctx context.Context, partition ledger.PartitionID) (*machine, error) {
-	ctx, cancel := context.WithTimeout(ctx, openWait)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		for _, node := range c.nodes {
-			if served := node.served(partition); served != nil {
+			if served := node.machineOf(partition); served != nil {
 				return served, nil
 			}
 		}
@@ -196,14 +198,14 @@
 	}
 }
 
-// kill stops a node and tells the others.
+// kill marks a node as dead in the view and stops it.
 func (c *cluster) kill(victim *node) error {
 	for index, node := range c.nodes {
 		if node == victim {
 			c.nodes = append(c.nodes[:index:index], c.nodes[index+1:]...)
 		}
 	}
-	c.view.dead(victim.id)
+	c.view.markDead(victim.id)
 	return victim.stop()
 }
 
--- a/lab/ledgerbench/command.go
+++ b/lab/ledgerbench/command.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Command is the kong command that measures the ledger.
+// Command is the kong command that measures the ledger and prints the results.
 type Command struct {
 	Folder     string        `help:"Folder on the disk to measure; a temporary one by default." type:"existingdir" optional:""`
 	Sizes      []int         `help:"Record sizes in bytes." default:"128,1024,16384"`
@@ -20,16 +20,16 @@
 	JSON       bool          `help:"Print one JSON object."`
 }
 
-// Report is everything that one run measured.
+// Report holds all results of one run. It is written as JSON by field name.
 type Report struct {
 	Appends    []AppendResult
 	Recoveries []RecoveryResult
 }
 
-// copies are the cases compared: the single copy first.
-var copies = []struct{ replicas, writeQuorum int }{{1, 1}, {4, 3}}
+// replications are the replications that are compared, starting with a single copy.
+var replications = []struct{ replicas, writeQuorum int }{{1, 1}, {4, 3}}
 
-// Run measures and prints.
+// Run runs the command.
 func (c *Command) Run(ctx context.Context) error {
 	folder := c.Folder
 	if folder == "" {
@@ -55,9 +55,9 @@
 	var report Report
 	for _, size := range c.Sizes {
 		for _, partitions := range c.Partitions {
-			for _, copied := range copies {
+			for _, replication := range replications {
 				result, err := MeasureAppends(ctx, folder, Case{
-					Replicas: copied.replicas, WriteQuorum: copied.writeQuorum, Partitions: partitions,
+					Replicas: replication.replicas, WriteQuorum: replication.writeQuorum, Partitions: partitions,
 					RecordBytes: size, Writers: c.Writers, Duration: c.Duration,
 				})
 				if err != nil {
@@ -81,10 +81,11 @@
 	fmt.Println("copies  partitions  bytes   records/s     MB/s    p50 ms    p99 ms  fsyncs/record  bytes/record  failed")
 	for _, a := range r.Appends {
 		fmt.Printf("%6d  %10d  %5d  %10.0f  %7.1f  %8.2f  %8.2f  %13.3f  %12.0f  %6d\n",
-			a.Replicas, a.Partitions, a.RecordBytes, a.RecordsASecond, a.MegabytesSecond, a.Median, a.P99, a.FsyncsARecord, a.BytesARecord, a.FailedAppends)
+			a.Replicas, a.Partitions, a.RecordBytes, a.RecordsASecond, a.MegabytesSecond, a.Median, a.P99,
+			a.FsyncsARecord, a.BytesARecord, a.FailedAppends)
 	}
 	fmt.Println("\nlog records  bytes  without owner ms")
 	for _, recovery := range r.Recoveries {
-		fmt.Printf("%11d  %5d  %16.0f\n", recovery.Records, recovery.RecordBytes, float64(recovery.Outage.Microseconds())/microToMilli)
+		fmt.Printf("%11d  %5d  %16.0f\n", recovery.Records, recovery.RecordBytes, float64(recovery.Outage.Microseconds())/microsPerMilli)
 	}
 }
--- a/lab/ledgerbench/measure.go
+++ b/lab/ledgerbench/measure.go
@@ -12,17 +12,17 @@
 	"github.com/sloelift/sloelift/internal/ledger"
 )
 
-// Case is one measurement of appends.
+// Case describes one measurement of appends.
 type Case struct {
 	Replicas, WriteQuorum int
 	Partitions            int
 	RecordBytes           int
-	// Writers append to each partition at the same time, one record at a time.
+	// Writers is the number of concurrent writers per partition; each appends one record at a time.
 	Writers  int
 	Duration time.Duration
 }
 
-// AppendResult is what a Case gave. Latencies are in milliseconds; fsyncs and bytes are of all stores together.
+// AppendResult is the result of a Case. Median and P99 are latencies in milliseconds; fsyncs and bytes are summed over all stores.
 type AppendResult struct {
 	Case
 	Records         int64
@@ -35,9 +35,9 @@
 }
 
 const (
-	highestLatency   = int64(time.Minute / time.Microsecond)
-	significantDigit = 3
-	microToMilli     = 1000.0
+	highestLatency    = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
+	microsPerMilli    = 1000.0
 )
 
 // MeasureAppends runs one case on fresh disks below folder.
@@ -58,18 +58,18 @@
 	records := float64(max(result.Records, 1))
 	result.RecordsASecond = records / measured.Duration.Seconds()
 	result.MegabytesSecond = result.RecordsASecond * float64(measured.RecordBytes) / (1 << 20)
-	result.Median = float64(latencies.ValueAtQuantile(50)) / microToMilli
-	result.P99 = float64(latencies.ValueAtQuantile(99)) / microToMilli
+	result.Median = float64(latencies.ValueAtQuantile(50)) / microsPerMilli
+	result.P99 = float64(latencies.ValueAtQuantile(99)) / microsPerMilli
 	result.FsyncsARecord = float64(c.fsyncs()-fsyncs) / records
 	result.BytesARecord = float64(c.bytesWritten()-written) / records
 	return result, nil
 }
 
-// write appends from all writers for the case's duration.
+// write runs all writers for the duration of the case.
 func (c *cluster) write(ctx context.Context, measured Case) (*hdrhistogram.Histogram, int64) {
 	ctx, cancel := context.WithTimeout(ctx, measured.Duration)
 	defer cancel()
-	total := hdrhistogram.New(1, highestLatency, significantDigit)
+	total := hdrhistogram.New(1, highestLatency, significantDigits)
 	var failed int64
 	var mutex sync.Mutex
 	var writers sync.WaitGroup
@@ -89,7 +89,7 @@
 }
 
 func (c *cluster) writer(ctx context.Context, partition ledger.PartitionID, size int) (*hdrhistogram.Histogram, int64) {
-	latencies := hdrhistogram.New(1, highestLatency, significantDigit)
+	latencies := hdrhistogram.New(1, highestLatency, significantDigits)
 	owner, err := c.owner(ctx, partition)
 	if err != nil {
 		return latencies, 1
@@ -109,7 +109,7 @@
 	return latencies, failed
 }
 
-// incompressible returns size bytes that the database's compression can't shrink much.
+// incompressible returns size pseudo-random bytes, which the database's compression can hardly shrink.
 func incompressible(size int) []byte {
 	payload := make([]byte, size)
 	state := uint64(88172645463325252)
@@ -122,8 +122,8 @@
 	return payload
 }
 
-// RecoveryResult is how long a partition was without an owner after its owner died, and how much of that
-// the new owner's state machine took to apply the log.
+// RecoveryResult holds how long a partition had no owner after its owner died, including the time for the
+// new owner to apply the log.
 type RecoveryResult struct {
 	Records     int
 	RecordBytes int
@@ -132,7 +132,7 @@
 
 const recoveryBatch = 500
 
-// MeasureRecovery writes a log without snapshots, kills the owner and waits for the next.
+// MeasureRecovery writes a log without snapshots, kills the owner and waits for the next owner.
 func MeasureRecovery(ctx context.Context, folder string, records, recordBytes int) (result RecoveryResult, err error) {
 	disks, err := os.MkdirTemp(folder, "recovery-")
 	if err != nil {
