--- a/lab/report/doc.go
+++ b/lab/report/doc.go
@@ -1,2 +1,2 @@
-// Package report turns the results of experiments into pages with plots.
+// Package report renders the results of experiments as HTML pages with plots.
 package report
--- a/lab/report/input.go
+++ b/lab/report/input.go
@@ -9,7 +9,7 @@
 	"github.com/sloelift/sloelift/lab/experiment"
 )
 
-// Input is what a report shows: comparisons of policies and runs of scenarios.
+// Input is the content of a report: comparisons of policies and runs of scenarios.
 type Input struct {
 	Comparisons []experiment.Comparison
 	Runs        []experiment.Result
@@ -30,7 +30,7 @@
 	return input, nil
 }
 
-// add takes a list of results, a comparison or one result.
+// add adds the JSON of a list of results, a comparison or one result.
 func (i *Input) add(content []byte) error {
 	if bytes.HasPrefix(bytes.TrimSpace(content), []byte("[")) {
 		var runs []experiment.Result
--- a/lab/report/page.go
+++ b/lab/report/page.go
@@ -47,7 +47,7 @@
 	Images     []template.URL
 }
 
-// Write writes the page, with its plots inside.
+// Write writes the report as one HTML page with embedded plots.
 func Write(out io.Writer, input Input) error {
 	values := pageValues{Runs: input.Runs}
 	for _, comparison := range input.Comparisons {
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -54,10 +54,10 @@
 	return image.Bytes(), nil
 }
 
-// comparisonPlots draws what a comparison of policies is about.
+// comparisonPlots draws the plots of a comparison as PNG images.
 func comparisonPlots(comparison experiment.Comparison) ([][]byte, error) {
 	var labels []string
-	over := func(value func(experiment.PolicySummary) float64) []float64 {
+	valuesOf := func(value func(experiment.PolicySummary) float64) []float64 {
 		var values []float64
 		for _, summary := range comparison.Medians {
 			values = append(values, value(summary))
@@ -72,24 +72,24 @@
 		groups      []series
 	}{
 		{"Online first token", "ms", []series{
-			{"p50", over(func(s experiment.PolicySummary) float64 { return s.FirstTokenP50 })},
-			{"p95", over(func(s experiment.PolicySummary) float64 { return s.FirstTokenP95 })},
-			{"p99", over(func(s experiment.PolicySummary) float64 { return s.FirstTokenP99 })},
+			{"p50", valuesOf(func(s experiment.PolicySummary) float64 { return s.FirstTokenP50 })},
+			{"p95", valuesOf(func(s experiment.PolicySummary) float64 { return s.FirstTokenP95 })},
+			{"p99", valuesOf(func(s experiment.PolicySummary) float64 { return s.FirstTokenP99 })},
 		}},
 		{"Online inter-token", "ms", []series{
-			{"p50", over(func(s experiment.PolicySummary) float64 { return s.InterTokenP50 })},
-			{"p95", over(func(s experiment.PolicySummary) float64 { return s.InterTokenP95 })},
-			{"p99", over(func(s experiment.PolicySummary) float64 { return s.InterTokenP99 })},
+			{"p50", valuesOf(func(s experiment.PolicySummary) float64 { return s.InterTokenP50 })},
+			{"p95", valuesOf(func(s experiment.PolicySummary) float64 { return s.InterTokenP95 })},
+			{"p99", valuesOf(func(s experiment.PolicySummary) float64 { return s.InterTokenP99 })},
 		}},
 		{"Online p99 at engines, in engine time", "ms", []series{
-			{"first token", over(func(s experiment.PolicySummary) float64 { return s.EngineFirstP99 })},
-			{"inter-token", over(func(s experiment.PolicySummary) float64 { return s.EngineInterP99 })},
+			{"first token", valuesOf(func(s experiment.PolicySummary) float64 { return s.EngineFirstP99 })},
+			{"inter-token", valuesOf(func(s experiment.PolicySummary) float64 { return s.EngineInterP99 })},
 		}},
 		{"Batch throughput", "items/s", []series{
-			{"items/s", over(func(s experiment.PolicySummary) float64 { return s.ItemsPerSecond })},
+			{"items/s", valuesOf(func(s experiment.PolicySummary) float64 { return s.ItemsPerSecond })},
 		}},
 		{"Share of idle capacity used", "share", []series{
-			{"used", over(func(s experiment.PolicySummary) float64 { return s.IdleCapacityUsed })},
+			{"used", valuesOf(func(s experiment.PolicySummary) float64 { return s.IdleCapacityUsed })},
 		}},
 	}
 	var images [][]byte
