--- a/lab/roles/caller.go
+++ b/lab/roles/caller.go
@@ -116,7 +116,8 @@
 
 // guaranteesNotRun reports whether status guarantees that the request has not run and will not run.
 func guaranteesNotRun(status int) bool {
-	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
+	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
+		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
 // mayRetry reports whether a caller may retry a request to path that ended with status.
@@ -125,7 +126,9 @@
 }
 
 // attempt sends one request to a random edge and checks its response; retryAfter is the delay before a retry.
-func (c *callers) attempt(ctx context.Context, client *http.Client, path string, payload work, deadline time.Time) (sent *onlineAttempt, retryAfter time.Duration) {
+func (c *callers) attempt(
+	ctx context.Context, client *http.Client, path string, payload work, deadline time.Time,
+) (sent *onlineAttempt, retryAfter time.Duration) {
 	edge := draw(c, c.fleet.ready.pick)
 	sent = &onlineAttempt{id: draw(c, newID), path: path, mark: payload.Mark, edge: edge.name}
 	c.update(func() { c.attempts = append(c.attempts, sent) })
--- a/lab/roles/check.go
+++ b/lab/roles/check.go
@@ -74,7 +74,8 @@
 		v.addViolation("request %s at %s: %s", attempt.id, attempt.edge, attempt.violation)
 	}
 	if ran > maxAttempts[attempt.path] {
-		v.addViolation("request %s at %s ran on %d replicas, %d allowed: %s", attempt.id, attempt.edge, ran, maxAttempts[attempt.path], describeRuns(runs))
+		v.addViolation("request %s at %s ran on %d replicas, %d allowed: %s",
+			attempt.id, attempt.edge, ran, maxAttempts[attempt.path], describeRuns(runs))
 	}
 	if whole > 1 && (attempt.path == pathChange || attempt.path == pathDigest) {
 		v.addViolation("request %s at %s, not to be repeated, ran %d times: %s", attempt.id, attempt.edge, whole, describeRuns(runs))
@@ -143,7 +144,8 @@
 	v.counts.Items += len(batchJob.items)
 	v.counts.ItemsDone += len(batchJob.results)
 	if unlisted := batchJob.missingItems(); len(unlisted) > 0 {
-		v.addViolation("job %s: %d of %d items are listed at the end%s", batchJob.id, len(batchJob.results), len(batchJob.items), describeItems(unlisted, received))
+		v.addViolation("job %s: %d of %d items are listed at the end%s",
+			batchJob.id, len(batchJob.results), len(batchJob.items), describeItems(unlisted, received))
 	}
 	v.judgeResults(batchJob, received)
 }
@@ -161,7 +163,8 @@
 		switch {
 		case result.State == "succeeded" && result.Text != submitted.work.text():
 			v.addViolation("job %s: item %s has another text than its own", batchJob.id, result.ID)
-		case result.State != "succeeded" && submitted.work.Fail == 0 && countStatus(received.runsOf(result.ID), http.StatusInternalServerError) < maxAttempts[pathJobs]:
+		case result.State != "succeeded" && submitted.work.Fail == 0 &&
+			countStatus(received.runsOf(result.ID), http.StatusInternalServerError) < maxAttempts[pathJobs]:
 			v.addViolation("job %s: item %s is given up without %d failures", batchJob.id, result.ID, maxAttempts[pathJobs])
 		}
 	}
@@ -213,7 +216,8 @@
 		v.counts.OverAttempts++
 	}
 	if failures > maxItemAttemptRounds*maxAttempts[pathJobs] || rejections > maxItemRejections {
-		v.addViolation("item %s of job %s was answered %d times with 500 and %d times with 422: %s", jobItem.id, batchJob.id, failures, rejections, describeRuns(runs))
+		v.addViolation("item %s of job %s was answered %d times with 500 and %d times with 422: %s",
+			jobItem.id, batchJob.id, failures, rejections, describeRuns(runs))
 	}
 	if batchJob.refusedOnly && slices.ContainsFunc(runs, func(run sentRun) bool { return run.started }) {
 		v.addViolation("item %s of job %s ran, though the job was refused", jobItem.id, batchJob.id)
--- a/lab/roles/check_test.go
+++ b/lab/roles/check_test.go
@@ -44,25 +44,73 @@
 		runs    []*sentRun
 		broken  string
 	}{
-		"two replicas, two allowed":     {attempt: &onlineAttempt{id: "i", path: pathAsk}, runs: []*sentRun{runAt(a, 1, 0, true), runAt(b, 2, 200, true)}},
-		"three replicas, two allowed":   {attempt: &onlineAttempt{id: "i", path: pathAsk}, runs: []*sentRun{runAt(a, 1, 0, true), runAt(b, 2, 0, true), runAt(c, 3, 200, true)}, broken: "3 replicas, 2 allowed"},
-		"one of three ended before":     {attempt: &onlineAttempt{id: "i", path: pathAsk}, runs: []*sentRun{runAt(endedReplica("x", 2), 1, 0, true), runAt(b, 2, 0, true), runAt(c, 3, 200, true)}},
-		"one of three ended after":      {attempt: &onlineAttempt{id: "i", path: pathAsk}, runs: []*sentRun{runAt(endedReplica("x", 9), 1, 0, true), runAt(b, 2, 0, true), runAt(c, 3, 200, true)}, broken: "3 replicas"},
-		"one of three did not begin":    {attempt: &onlineAttempt{id: "i", path: pathAsk}, runs: []*sentRun{runAt(a, 1, 503, false), runAt(b, 2, 0, true), runAt(c, 3, 200, true)}},
-		"not to be repeated, twice":     {attempt: &onlineAttempt{id: "i", path: pathChange}, runs: []*sentRun{runAt(endedReplica("x", 2), 1, 0, true), runAt(b, 2, 200, true)}, broken: "not to be repeated, ran 2"},
-		"refused and ran":               {attempt: &onlineAttempt{id: "i", path: pathAsk, status: 503}, runs: []*sentRun{runAt(a, 1, 0, true)}, broken: "was refused with 503"},
-		"refused":                       {attempt: &onlineAttempt{id: "i", path: pathAsk, status: 503}, runs: []*sentRun{runAt(a, 1, 503, false)}},
-		"wrong answer":                  {attempt: &onlineAttempt{id: "i", path: pathAsk, violation: "event 2 follows event 0"}, broken: "event 2 follows"},
+		"two replicas, two allowed": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk},
+			runs:    []*sentRun{runAt(a, 1, 0, true), runAt(b, 2, 200, true)},
+		},
+		"three replicas, two allowed": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk},
+			runs:    []*sentRun{runAt(a, 1, 0, true), runAt(b, 2, 0, true), runAt(c, 3, 200, true)},
+			broken:  "3 replicas, 2 allowed",
+		},
+		"one of three ended before": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk},
+			runs:    []*sentRun{runAt(endedReplica("x", 2), 1, 0, true), runAt(b, 2, 0, true), runAt(c, 3, 200, true)},
+		},
+		"one of three ended after": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk},
+			runs:    []*sentRun{runAt(endedReplica("x", 9), 1, 0, true), runAt(b, 2, 0, true), runAt(c, 3, 200, true)},
+			broken:  "3 replicas",
+		},
+		"one of three did not begin": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk},
+			runs:    []*sentRun{runAt(a, 1, 503, false), runAt(b, 2, 0, true), runAt(c, 3, 200, true)},
+		},
+		"not to be repeated, twice": {
+			attempt: &onlineAttempt{id: "i", path: pathChange},
+			runs:    []*sentRun{runAt(endedReplica("x", 2), 1, 0, true), runAt(b, 2, 200, true)},
+			broken:  "not to be repeated, ran 2",
+		},
+		"refused and ran": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk, status: 503},
+			runs:    []*sentRun{runAt(a, 1, 0, true)},
+			broken:  "was refused with 503",
+		},
+		"refused": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk, status: 503},
+			runs:    []*sentRun{runAt(a, 1, 503, false)},
+		},
+		"wrong answer": {
+			attempt: &onlineAttempt{id: "i", path: pathAsk, violation: "event 2 follows event 0"},
+			broken:  "event 2 follows",
+		},
 		"item done":                     {job: jobOf(good, done), runs: times(1, 200)},
 		"item fails as often as it may": {job: jobOf(poison, dead), runs: times(9, 500)},
 		"item fails too often":          {job: jobOf(poison, dead), runs: times(10, 500), broken: "10 times with 500"},
-		"item is rejected too often":    {job: jobOf(work{Events: 2, Mark: "m", Fail: 422}, dead), runs: times(4, 422), broken: "4 times with 422"},
+		"item is rejected too often": {
+			job:    jobOf(work{Events: 2, Mark: "m", Fail: 422}, dead),
+			runs:   times(4, 422),
+			broken: "4 times with 422",
+		},
 		"item given up without a cause": {job: jobOf(good, dead), runs: times(2, 500), broken: "given up without"},
-		"item with another text":        {job: jobOf(good, wire.JobResult{ID: "i", State: "succeeded", Text: "x"}), broken: "another text"},
-		"item lost":                     {job: jobOf(good), broken: "0 of 1 items"},
-		"item listed twice":             {job: &job{id: "j", accepted: true, items: []item{{id: "i", work: good}, {id: "k", work: good}}, results: []wire.JobResult{done, done}}, broken: "listed twice"},
-		"item of a refused job ran":     {job: &job{id: "j", refusedOnly: true, items: []item{{id: "i", work: good}}}, runs: times(1, 200), broken: "though the job was refused"},
-		"results that changed":          {job: &job{id: "j", accepted: true, violation: "position 0 holds another result than before"}, broken: "position 0"},
+		"item with another text": {
+			job:    jobOf(good, wire.JobResult{ID: "i", State: "succeeded", Text: "x"}),
+			broken: "another text",
+		},
+		"item lost": {job: jobOf(good), broken: "0 of 1 items"},
+		"item listed twice": {
+			job:    &job{id: "j", accepted: true, items: []item{{id: "i", work: good}, {id: "k", work: good}}, results: []wire.JobResult{done, done}},
+			broken: "listed twice",
+		},
+		"item of a refused job ran": {
+			job:    &job{id: "j", refusedOnly: true, items: []item{{id: "i", work: good}}},
+			runs:   times(1, 200),
+			broken: "though the job was refused",
+		},
+		"results that changed": {
+			job:    &job{id: "j", accepted: true, violation: "position 0 holds another result than before"},
+			broken: "position 0",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received, clients := newRecord(), &callers{}
--- a/lab/roles/configuration.go
+++ b/lab/roles/configuration.go
@@ -33,17 +33,22 @@
 	f.mutex.Unlock()
 	online := func(path, kind string, resumable bool) wire.RouteEntry {
 		return wire.RouteEntry{
-			Name: "r" + path, Host: hostOnline, Prefix: path, Type: kind, Service: service, Attempts: maxAttempts[path], TimeoutMs: 5000, ObjectiveMs: 400,
-			GapMs: 300, Resumable: resumable,
+			Name: "r" + path, Host: hostOnline, Prefix: path, Type: kind, Service: service, Attempts: maxAttempts[path],
+			TimeoutMs: 5000, ObjectiveMs: 400, GapMs: 300, Resumable: resumable,
 		}
 	}
 	idle := online(fmt.Sprintf("/idle-%d/", version), "idempotent", false)
 	configuration := wire.ConfigurationEntry{
 		Version: version,
 		Routes: []wire.RouteEntry{
-			online(pathAsk, "streaming", true), online(pathDigest, "streaming", false), online(pathLook, "idempotent", false), online(pathChange, "non_idempotent", false), idle,
+			online(pathAsk, "streaming", true),
+			online(pathDigest, "streaming", false),
+			online(pathLook, "idempotent", false),
+			online(pathChange, "non_idempotent", false),
+			idle,
 			{
-				Name: "jobs", Host: hostJobs, Prefix: pathJobs, Type: "batch", Service: service, Attempts: maxAttempts[pathJobs], TimeoutMs: 30000, ObjectiveMs: 400,
+				Name: "jobs", Host: hostJobs, Prefix: pathJobs, Type: "batch", Service: service, Attempts: maxAttempts[pathJobs],
+				TimeoutMs: 30000, ObjectiveMs: 400,
 				Priority: 2, Resumable: true, CompletionMs: 20000, RetentionS: 600, MaxQueued: 1_600_000,
 			},
 		},
--- a/lab/roles/crashing.go
+++ b/lab/roles/crashing.go
@@ -48,7 +48,9 @@
 // judgeCrashing counts, for each crashing request, the attempts that reached a replica more than contactTimeout after its third crash.
 // Attempts at an edge that was started less than contactTimeout earlier are not counted: the platform's documentation treats such an edge as
 // out of contact.
-func (v *verdict) judgeCrashing(clients *callers, received *record, replicas []*replica, startedShortlyBefore func(edge string, before time.Time) bool) {
+func (v *verdict) judgeCrashing(
+	clients *callers, received *record, replicas []*replica, startedShortlyBefore func(edge string, before time.Time) bool,
+) {
 	for _, request := range clients.crashing {
 		crashes := crashTimes(request.Mark, replicas)
 		v.counts.MostCrashed = max(v.counts.MostCrashed, len(crashes))
--- a/lab/roles/fleet.go
+++ b/lab/roles/fleet.go
@@ -145,7 +145,8 @@
 		seeds = append(seeds, store.address(portAdmin).String())
 	}
 	fields := map[string]any{
-		"node": target.name, "machine_class": target.class, "region": region, "zone": target.zone, "ip": target.ip.String(), "zones": zones, "seeds": seeds,
+		"node": target.name, "machine_class": target.class, "region": region, "zone": target.zone,
+		"ip": target.ip.String(), "zones": zones, "seeds": seeds,
 		"ephemeral_ports": []string{fmt.Sprint(portPeers), fmt.Sprint(portMetrics)},
 		"platform":        map[string]any{"address": f.platform.Address(target.name).String()},
 		"limits":          map[string]any{"memory_mb": 300, "disk_mb": 0, "max_fds": 4096},
@@ -234,7 +235,7 @@
 	}
 	pause.Sleep(f.ctx, replacementDelay)
 	if f.ctx.Err() == nil {
-		// On an error the fleet goes on with one replica fewer; the guarantees to callers are judged all the same.
+		// On an error the fleet continues with one replica fewer; the guarantees to callers are checked regardless.
 		_ = f.addReplica("", anyAddress, watched.zone)
 	}
 }
--- a/lab/roles/run.go
+++ b/lab/roles/run.go
@@ -198,8 +198,9 @@
 	}
 	counts := found.counts
 	_, err := fmt.Fprintf(output, "seed %d: %s; online %d of %d, items %d of %d; most replicas of a request %d, of an item: answers of 500 %d, of 422 %d, sends %d; replicas ended by one item %d, crashed by one request %d; %s\n",
-		options.Seed, state, counts.OnlineServed, counts.OnlineSent, counts.ItemsDone, counts.Items, counts.MostReplicas, counts.MostFailures, counts.MostRejections,
-		counts.MostSends, counts.MostEnded, counts.MostCrashed, strings.Join(texts, " "))
+		options.Seed, state, counts.OnlineServed, counts.OnlineSent, counts.ItemsDone, counts.Items,
+		counts.MostReplicas, counts.MostFailures, counts.MostRejections, counts.MostSends, counts.MostEnded, counts.MostCrashed,
+		strings.Join(texts, " "))
 	for _, broken := range found.violations {
 		if err == nil {
 			_, err = fmt.Fprintln(output, "  ", broken)
--- a/lab/roles/run_test.go
+++ b/lab/roles/run_test.go
@@ -181,7 +181,8 @@
 		for _, fault := range drawn {
 			seen[fault.Kind] = true
 			kind := defaultKinds[slices.IndexFunc(defaultKinds, func(candidate kindRange) bool { return candidate.kind == fault.Kind })]
-			if fault.Start < 0 || fault.Start > length*3/4 || fault.Duration < kind.shortest-10*time.Millisecond || fault.Duration > kind.longest+10*time.Millisecond {
+			if fault.Start < 0 || fault.Start > length*3/4 ||
+				fault.Duration < kind.shortest-10*time.Millisecond || fault.Duration > kind.longest+10*time.Millisecond {
 				t.Errorf("seed %d: %s", seed, fault)
 			}
 			if fault.Kind == loseDisk {
--- a/lab/roles/template_test.go
+++ b/lab/roles/template_test.go
@@ -43,7 +43,8 @@
 		if err != nil {
 			t.Fatalf("settings of %s: %v\n%s", machine.name, err, content)
 		}
-		if read.Node != machine.name || string(read.Role) != machine.class || read.PeerAddress != machine.address(portPeers) || len(read.Zones) != 3 || len(read.SeedMachines) != 3 {
+		if read.Node != machine.name || string(read.Role) != machine.class || read.PeerAddress != machine.address(portPeers) ||
+			len(read.Zones) != 3 || len(read.SeedMachines) != 3 {
 			t.Errorf("settings of %s are %+v", machine.name, read)
 		}
 		if strings.Contains(string(content), "{{") {
