--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -238,7 +238,9 @@
 }
 
 // do sends a request and returns a *StatusError for a response other than 2xx.
-func (c *Caller) do(ctx context.Context, method string, node netip.AddrPort, path, contentType string, body io.Reader, headers map[string]string) (*http.Response, error) {
+func (c *Caller) do(
+	ctx context.Context, method string, node netip.AddrPort, path, contentType string, body io.Reader, headers map[string]string,
+) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+node.String()+path, body)
 	if err != nil {
 		return nil, err
