--- a/cmd/sloelift-lab/roles_command.go
+++ b/cmd/sloelift-lab/roles_command.go
@@ -35,10 +35,10 @@
 		return err
 	}
 	report, err := roles.Run(ctx, roles.Options{
-		Program: c.Program, Template: c.Template, Busy: []string{own, "busy"}, Seed: c.Seed, Runs: c.Runs, Each: c.Each,
+		Program: c.Program, Template: c.Template, BusyCommand: []string{own, "busy"}, Seed: c.Seed, Runs: c.Runs, Duration: c.Each,
 		Zones: c.Zones, Edges: c.Edges, Stores: c.Stores, Replicas: c.Replicas, OnlinePerSecond: c.Online, JobsPerSecond: c.Jobs,
-		Before: c.Before, ItemEvents: c.ItemEvents, EndingItems: c.EndingItems, CrashingRequests: c.CrashingRequests,
-		Only: c.Only, Keep: c.Keep,
+		PreviousProgram: c.Before, ItemEvents: c.ItemEvents, EndingItems: c.EndingItems, CrashingRequests: c.CrashingRequests,
+		FaultKinds: c.Only, KeepLogs: c.Keep,
 	}, os.Stdout)
 	if err != nil {
 		return err
--- a/cmd/sloelift-lab/soak_command.go
+++ b/cmd/sloelift-lab/soak_command.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	report, err := soak.Run(ctx, soak.Options{
-		Program: c.Program, Profile: profile, FirstSeed: c.Seed, Runs: c.Runs, Each: c.Each,
+		Program: c.Program, Profile: profile, FirstSeed: c.Seed, Runs: c.Runs, Duration: c.Each,
 	}, os.Stdout)
 	if err != nil {
 		return err
--- a/lab/engine/answer.go
+++ b/lab/engine/answer.go
@@ -52,8 +52,8 @@
 	return text.String()
 }
 
-// Whole returns the full text.
-func (a Answer) Whole() string { return a.Text(0, a.Tokens) }
+// FullText returns the full text.
+func (a Answer) FullText() string { return a.Text(0, a.Tokens) }
 
 func (a Answer) writeToken(text *strings.Builder, index int) {
 	value := mix(a.seed + uint64(index)*0x9e3779b97f4a7c15)
--- a/lab/engine/engine_test.go
+++ b/lab/engine/engine_test.go
@@ -91,8 +91,8 @@
 	status, _, stream := call(t, e, "POST", completions, `{"model":"m","prompt":"hello","max_tokens":20}`, headerRequestID, "a")
 	text, _ := textOf(t, stream)
 	want := AnswerTo("hello", 20)
-	if status != http.StatusOK || text != want.Whole() {
-		t.Fatalf("status %d, text %q, want %q", status, text, want.Whole())
+	if status != http.StatusOK || text != want.FullText() {
+		t.Fatalf("status %d, text %q, want %q", status, text, want.FullText())
 	}
 	if !strings.Contains(stream, fmt.Sprintf("id: %d\n", want.Tokens)) || !strings.HasSuffix(stream, "data: [DONE]\n\n") {
 		t.Fatalf("stream has no last id or no end: %s", stream)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 func TestBoundIsTheWorkWhereThereIsRoomAndTheRoomWhereThereIsNot(t *testing.T) {
 	small := load.Registry()
 	small.Online.RequestsPerSecond, small.Online.BurstRequestsPerSecond = 0, 0
-	small.Batch.JobsPerHeap, small.Batch.ItemsPerJob = 1, 4
+	small.Batch.JobsPerBurst, small.Batch.ItemsPerJob = 1, 4
 	plan := load.NewPlan(small, 16*time.Second, 1)
 	tokens := 0
 	for _, job := range plan.Jobs {
--- a/lab/experiment/print.go
+++ b/lab/experiment/print.go
@@ -19,7 +19,7 @@
 	row("completed", "%d online, %d items", v.OnlineCompleted, v.ItemsCompleted)
 	row("refused", "%d online, %d jobs", v.OnlineRefused, v.JobsRefused)
 	row("cancelled", "%d jobs, %d items", v.JobsCancelled, v.ItemsCancelled)
-	row("indeterminate", "%d online, %d items", v.OnlineIndeterminate, v.ItemsUncertain)
+	row("indeterminate", "%d online, %d items", v.OnlineIndeterminate, v.ItemsIndeterminate)
 	row("lost", "%d", v.Lost)
 	row("duplicated", "%d", v.Duplicated)
 	row("answers cut / wrong", "%d / %d", v.AnswersCut, v.AnswersWrong+v.ItemsWrong)
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -36,15 +36,15 @@
 	FaultErrors      []string `json:"fault_errors,omitempty"`
 	// Configuration is set if the scenario changes the configuration.
 	Configuration *ConfigurationResult `json:"configuration,omitempty"`
-	Load          LoadDescribed        `json:"load"`
+	Load          LoadSummary          `json:"load"`
 	Folder        string               `json:"folder,omitempty"`
 	// TimerLateness shows how busy the machine was, by how late timers of 2 ms fired.
 	TimerLateness histogram.Distribution `json:"timer_lateness"`
-	Engines       EngineAccounts         `json:"engines"`
+	Engines       EngineSummary          `json:"engines"`
 }
 
-// LoadDescribed counts what arrived.
-type LoadDescribed struct {
+// LoadSummary counts what arrived.
+type LoadSummary struct {
 	OnlineRequests int `json:"online_requests"`
 	Jobs           int `json:"jobs"`
 	Items          int `json:"items"`
@@ -78,8 +78,8 @@
 	BatchOfPerfect  float64 `json:"batch_of_perfect"`
 }
 
-// EngineAccounts holds the engines' totals at the end of arrivals.
-type EngineAccounts struct {
+// EngineSummary holds the engines' totals at the end of arrivals.
+type EngineSummary struct {
 	Totals labengine.Totals `json:"totals_at_end_of_arrivals"`
 }
 
@@ -91,8 +91,8 @@
 		Verdict: verdict, Failed: verdict.Failed(),
 		FirstToken: seen.FirstToken, FirstTokenMarked: seen.FirstTokenMarked, FirstTokenUnmarked: seen.FirstTokenUnmarked,
 		InterToken: seen.InterToken,
-		Load:       LoadDescribed{OnlineRequests: len(plan.Online), Jobs: len(plan.Jobs)},
-		Engines:    EngineAccounts{Totals: atEnd},
+		Load:       LoadSummary{OnlineRequests: len(plan.Online), Jobs: len(plan.Jobs)},
+		Engines:    EngineSummary{Totals: atEnd},
 	}
 	for _, job := range plan.Jobs {
 		result.Load.Items += len(job.Items)
--- a/lab/experiment/run_test.go
+++ b/lab/experiment/run_test.go
@@ -16,7 +16,7 @@
 	profile.Replicas = 3
 	profile.Online.RequestsPerSecond, profile.Online.BurstRequestsPerSecond = 20, 0
 	profile.Online.NotRepeatableShare = 0.3
-	profile.Batch.FirstHeap, profile.Batch.JobsPerHeap, profile.Batch.ItemsPerJob = 200*time.Millisecond, 3, 20
+	profile.Batch.FirstBurst, profile.Batch.JobsPerBurst, profile.Batch.ItemsPerJob = 200*time.Millisecond, 3, 20
 	return Options{
 		Profile: profile, Seed: 5, Duration: 2 * time.Second, Policy: PolicySloelift, LogLevel: zerolog.InfoLevel,
 		Scenario: Scenario{Name: "test", Duration: 2 * time.Second, Faults: faults},
--- a/lab/load/online.go
+++ b/lab/load/online.go
@@ -91,7 +91,7 @@
 	}
 	result.Sent++
 	result.Text, result.PromptTokens, result.CachedTokens = received.text, streamed.PromptTokens, streamed.CachedTokens
-	if received.text != arrival.Expected().Whole() {
+	if received.text != arrival.Expected().FullText() {
 		result.Outcome = OnlineWrong
 		result.Detail = "answer differs from the right one, finish reason " + streamed.FinishReason
 		return nil
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -123,9 +123,9 @@
 	shape := profile.Batch
 	random := rand.New(rand.NewPCG(seed, streamBatch))
 	var jobs []JobArrival
-	for heap := shape.FirstHeap; heap < duration && shape.HeapEvery > 0; heap += nearMean(random, shape.HeapEvery) {
-		for range shape.JobsPerHeap {
-			at := heap + time.Duration(random.Int64N(int64(200*time.Millisecond)))
+	for burst := shape.FirstBurst; burst < duration && shape.BurstEvery > 0; burst += nearMean(random, shape.BurstEvery) {
+		for range shape.JobsPerBurst {
+			at := burst + time.Duration(random.Int64N(int64(200*time.Millisecond)))
 			jobs = append(jobs, newJob(random, profile, fmt.Sprintf("%s-job-%d-%d", profile.Name, seed, len(jobs)), at))
 		}
 	}
--- a/lab/load/profile.go
+++ b/lab/load/profile.go
@@ -42,13 +42,13 @@
 	ResendShare        float64
 }
 
-// BatchShape describes the arrivals of batch jobs, which come in heaps of several jobs.
+// BatchShape describes the arrivals of batch jobs, which come in bursts of several jobs.
 type BatchShape struct {
-	// HeapEvery is the time between heaps; it varies by a tenth.
-	HeapEvery time.Duration
-	// FirstHeap is the time at which the first heap arrives.
-	FirstHeap    time.Duration
-	JobsPerHeap  int
+	// BurstEvery is the time between bursts; it varies by a tenth.
+	BurstEvery time.Duration
+	// FirstBurst is the time at which the first burst arrives.
+	FirstBurst   time.Duration
+	JobsPerBurst int
 	ItemsPerJob  int
 	PrefixBytes  int
 	ContentBytes int
@@ -91,7 +91,7 @@
 			NotRepeatableShare: 0.05, ResendShare: 0.3,
 		},
 		Batch: BatchShape{
-			HeapEvery: 8 * time.Second, FirstHeap: time.Second, JobsPerHeap: 6, ItemsPerJob: 40,
+			BurstEvery: 8 * time.Second, FirstBurst: time.Second, JobsPerBurst: 6, ItemsPerJob: 40,
 			PrefixBytes: 1024, ContentBytes: 1024, MaxTokens: 96,
 			UrgentShare: 0.2, NotRepeatableShare: 0.17, ResendShare: 0.3,
 			Deadline: 4 * time.Hour,
@@ -117,7 +117,7 @@
 			NotRepeatableShare: 0.03, ResendShare: 0.3,
 		},
 		Batch: BatchShape{
-			HeapEvery: 9 * time.Second, FirstHeap: time.Second, JobsPerHeap: 6, ItemsPerJob: 60,
+			BurstEvery: 9 * time.Second, FirstBurst: time.Second, JobsPerBurst: 6, ItemsPerJob: 60,
 			PrefixBytes: 2048, ContentBytes: 1024, MaxTokens: 96,
 			UrgentShare: 0.35, NotRepeatableShare: 0.1, ResendShare: 0.3,
 			Deadline: 3 * time.Hour,
--- a/lab/load/verdict.go
+++ b/lab/load/verdict.go
@@ -25,14 +25,14 @@
 	// OnlineReconnects counts streams that broke and were retried by their caller.
 	OnlineReconnects int `json:"online_reconnects"`
 
-	JobsAccepted    int `json:"jobs_accepted"`
-	JobsRefused     int `json:"jobs_refused"`
-	JobsCancelled   int `json:"jobs_cancelled"`
-	ItemsAccepted   int `json:"items_accepted"`
-	ItemsCompleted  int `json:"items_completed"`
-	ItemsCancelled  int `json:"items_cancelled"`
-	ItemsUncertain  int `json:"items_indeterminate"`
-	ItemsUnfinished int `json:"items_unfinished"`
+	JobsAccepted       int `json:"jobs_accepted"`
+	JobsRefused        int `json:"jobs_refused"`
+	JobsCancelled      int `json:"jobs_cancelled"`
+	ItemsAccepted      int `json:"items_accepted"`
+	ItemsCompleted     int `json:"items_completed"`
+	ItemsCancelled     int `json:"items_cancelled"`
+	ItemsIndeterminate int `json:"items_indeterminate"`
+	ItemsUnfinished    int `json:"items_unfinished"`
 
 	// Must be 0.
 	Lost                    int `json:"lost"`
@@ -238,7 +238,7 @@
 	case len(texts) > 1 || len(texts) == 1 && failure != "":
 		v.Duplicated++
 		j.violation("%s: %d results", item.CustomID, len(texts))
-	case len(texts) == 1 && texts[0] != item.Expected().Whole():
+	case len(texts) == 1 && texts[0] != item.Expected().FullText():
 		v.ItemsWrong++
 		j.violation("%s: wrong result %q", item.CustomID, texts[0])
 	case len(texts) == 1:
@@ -246,7 +246,7 @@
 	case job.Cancelled:
 		v.ItemsCancelled++
 	case failure != "" && job.Arrival.NotRepeatable:
-		v.ItemsUncertain++
+		v.ItemsIndeterminate++
 		j.indeterminate(item.CustomID, failure)
 	case job.EndedAt.IsZero():
 		v.ItemsUnfinished++
--- a/lab/load/verdict_test.go
+++ b/lab/load/verdict_test.go
@@ -10,7 +10,7 @@
 var (
 	now       = time.Unix(1000, 0)
 	goodItem  = JobItem{CustomID: "job-item-0", Content: "text\njob-item-0", MaxTokens: 8}
-	goodText  = goodItem.Expected().Whole()
+	goodText  = goodItem.Expected().FullText()
 	onlineOne = OnlineArrival{Marker: "one", Content: "text\none", MaxTokens: 8}
 )
 
@@ -82,7 +82,7 @@
 
 func TestJudgeAcceptsWhatIsRight(t *testing.T) {
 	seen := Observations{
-		Online: []OnlineResult{{Arrival: onlineOne, Outcome: OnlineCompleted, Accepted: true, Text: onlineOne.Expected().Whole()}},
+		Online: []OnlineResult{{Arrival: onlineOne, Outcome: OnlineCompleted, Accepted: true, Text: onlineOne.Expected().FullText()}},
 		Jobs:   []JobOutcome{goodJob()},
 	}
 	verdict := Judge(seen, ran(goodItem.CustomID, 2, now), Expectations{})
--- a/lab/roles/fault.go
+++ b/lab/roles/fault.go
@@ -225,7 +225,7 @@
 			running.Kill()
 		}
 	}()
-	command := f.fleet.options.Busy
+	command := f.fleet.options.BusyCommand
 	if len(command) == 0 {
 		return nil
 	}
--- a/lab/roles/fleet.go
+++ b/lab/roles/fleet.go
@@ -109,7 +109,7 @@
 	add := func(class string, number int) {
 		planned := &machine{
 			name: fmt.Sprintf("%s-%d", class, number+1), class: class, zone: f.options.zone(number),
-			ip: loopback(len(f.machines)), program: cmp.Or(f.options.Before, f.options.Program),
+			ip: loopback(len(f.machines)), program: cmp.Or(f.options.PreviousProgram, f.options.Program),
 		}
 		planned.setPaths(f.folder)
 		planned.writeSettings = func() error { return f.writeSettings(planned) }
--- a/lab/roles/run.go
+++ b/lab/roles/run.go
@@ -18,32 +18,32 @@
 
 // Options of a soak.
 type Options struct {
-	// Program is the path of the program and Template the path of its settings template. Busy is a command that keeps a core busy; if it
-	// is empty, the busy-machine fault does nothing.
-	Program  string
-	Template string
-	Busy     []string
-	// Seed is the first of Runs consecutive seeds; Each is how long callers send requests in each run.
-	Seed uint64
-	Runs int
-	Each time.Duration
+	// Program is the path of the program and Template the path of its settings template. BusyCommand is a command that keeps a core
+	// busy; if it is empty, the busy-machine fault does nothing.
+	Program     string
+	Template    string
+	BusyCommand []string
+	// Seed is the first of Runs consecutive seeds; Duration is how long callers send requests in each run.
+	Seed     uint64
+	Runs     int
+	Duration time.Duration
 	// Zones, Edges, Stores and Replicas are the sizes of the deployment.
 	Zones, Edges, Stores, Replicas int
 	// OnlinePerSecond and JobsPerSecond are the mean arrival rates of online requests and jobs.
 	OnlinePerSecond, JobsPerSecond float64
-	// ItemEvents is the maximum number of events of an item, 0 for defaultMaxItemEvents; EndingItems is the share of items that end every replica
-	// that runs them.
+	// ItemEvents is the maximum number of events of an item, 0 for defaultMaxItemEvents; EndingItems is the share of items that end
+	// every replica that runs them.
 	ItemEvents  int
 	EndingItems float64
 	// CrashingRequests is the number of online requests that crash every replica that runs them; callers send them repeatedly.
 	CrashingRequests int
-	// Before is the path of another build that all machines start with; they are upgraded to Program one by one during the run. Empty
-	// means no upgrade.
-	Before string
-	// Only names the kinds of faults to draw from; empty means all default kinds.
-	Only []string
-	// Keep keeps the logs of all runs, not only those of failed ones.
-	Keep bool
+	// PreviousProgram is the path of another build that all machines start with; they are upgraded to Program one by one
+	// during the run. Empty means no upgrade.
+	PreviousProgram string
+	// FaultKinds names the kinds of faults to draw from; empty means all default kinds.
+	FaultKinds []string
+	// KeepLogs keeps the logs of all runs, not only those of failed ones.
+	KeepLogs bool
 }
 
 // Check validates the options.
@@ -56,7 +56,7 @@
 	case o.Edges+o.Stores > maxMachines:
 		return fmt.Errorf("at most %d machines are possible, one for each loopback address", maxMachines)
 	}
-	for _, program := range []string{o.Program, cmp.Or(o.Before, o.Program)} {
+	for _, program := range []string{o.Program, cmp.Or(o.PreviousProgram, o.Program)} {
 		if _, err := os.Stat(program); err != nil {
 			return fmt.Errorf("program: %w", err)
 		}
@@ -109,14 +109,14 @@
 	if err := options.Check(); err != nil {
 		return report, err
 	}
-	kinds, err := selectKinds(options.Only)
+	kinds, err := selectKinds(options.FaultKinds)
 	if err != nil {
 		return report, err
 	}
 	first := options.Seed
 	for number := range uint64(options.Runs) {
 		options.Seed = first + number
-		drawn := drawFaults(options.Seed, options.Each, kinds)
+		drawn := drawFaults(options.Seed, options.Duration, kinds)
 		found, folder, err := playSeed(ctx, options, drawn)
 		if err != nil {
 			return report, fmt.Errorf("seed %d: %w", options.Seed, err)
@@ -146,12 +146,12 @@
 	clients := newCallers(running, options.Seed)
 	defer clients.close()
 	faults := &injector{fleet: running}
-	loading, stopLoad := context.WithTimeout(ctx, options.Each)
+	loading, stopLoad := context.WithTimeout(ctx, options.Duration)
 	defer stopLoad()
 	var tasks sync.WaitGroup
 	tasks.Go(func() { faults.play(ctx, drawn) })
-	if options.Before != "" {
-		tasks.Go(func() { faults.upgradeInTurn(ctx, options.Each) })
+	if options.PreviousProgram != "" {
+		tasks.Go(func() { faults.upgradeInTurn(ctx, options.Duration) })
 	}
 	tasks.Go(func() { clients.startAtRate(loading, options.OnlinePerSecond, func() { clients.sendOnline(ctx) }) })
 	tasks.Go(func() { clients.startAtRate(loading, options.JobsPerSecond, func() { clients.submit(loading) }) })
@@ -176,7 +176,7 @@
 			result.addViolation("the process of %s ended by itself", machine.name)
 		}
 	}
-	if len(result.violations) > 0 || options.Keep {
+	if len(result.violations) > 0 || options.KeepLogs {
 		running.saveMetrics()
 		return result, folder, nil
 	}
@@ -193,7 +193,7 @@
 	state := "kept"
 	if len(found.violations) > 0 {
 		state = "BROKEN, logs in " + folder
-	} else if options.Keep {
+	} else if options.KeepLogs {
 		state = "kept, logs in " + folder
 	}
 	counts := found.counts
--- a/lab/roles/run_test.go
+++ b/lab/roles/run_test.go
@@ -73,7 +73,7 @@
 		only []string
 	}{{504, 2, ownersChange}, {100, 3, nil}} {
 		report := playWithoutViolations(t, Options{
-			Program: program, Seed: set.seed, Runs: set.runs, Each: 8 * time.Second, Only: set.only, Replicas: 5, OnlinePerSecond: 30, JobsPerSecond: 1,
+			Program: program, Seed: set.seed, Runs: set.runs, Duration: 8 * time.Second, FaultKinds: set.only, Replicas: 5, OnlinePerSecond: 30, JobsPerSecond: 1,
 		})
 		if report.Counts.OnlineServed == 0 || report.Counts.ItemsDone == 0 || report.Counts.MostFailures == 0 {
 			t.Errorf("nothing was shown: %+v", report.Counts)
@@ -98,7 +98,7 @@
 		t.Skip("plays real processes for half a minute")
 	}
 	report := playWithoutViolations(t, Options{
-		Program: buildProgram(t), Seed: seed, Runs: 1, Each: 15 * time.Second, Only: namesOf(only), ItemEvents: 350, EndingItems: endsReplicaShare,
+		Program: buildProgram(t), Seed: seed, Runs: 1, Duration: 15 * time.Second, FaultKinds: namesOf(only), ItemEvents: 350, EndingItems: endsReplicaShare,
 		Replicas: 10, OnlinePerSecond: 40, JobsPerSecond: 2.5,
 	})
 	if report.Counts.ItemsDone == 0 || endsReplicaShare > 0 && report.Counts.MostEnded == 0 {
@@ -132,7 +132,7 @@
 		t.Skip("plays real processes for half a minute")
 	}
 	report := playWithoutViolations(t, Options{
-		Program: buildProgram(t), Seed: seed, Runs: 1, Each: 20 * time.Second, Only: namesOf(only), CrashingRequests: 2,
+		Program: buildProgram(t), Seed: seed, Runs: 1, Duration: 20 * time.Second, FaultKinds: namesOf(only), CrashingRequests: 2,
 		Replicas: 10, OnlinePerSecond: 30, JobsPerSecond: 0.5,
 	})
 	if report.Counts.OnlineServed == 0 || report.Counts.MostCrashed == 0 {
@@ -154,8 +154,8 @@
 	good := Options{Program: settingsTemplate, Zones: 1, Edges: 1, Stores: 1, Replicas: 1, Runs: 1}
 	for name, change := range map[string]func(*Options){
 		"no edge": func(o *Options) { o.Edges = 0 }, "no program": func(o *Options) { o.Program = "nowhere" }, "no run": func(o *Options) { o.Runs = 0 },
-		"too many machines": func(o *Options) { o.Edges = maxMachines }, "unknown fault": func(o *Options) { o.Only = []string{"rain"} },
-		"no build before": func(o *Options) { o.Before = "nowhere" }, "short items": func(o *Options) { o.ItemEvents = 9 },
+		"too many machines": func(o *Options) { o.Edges = maxMachines }, "unknown fault": func(o *Options) { o.FaultKinds = []string{"rain"} },
+		"no build before": func(o *Options) { o.PreviousProgram = "nowhere" }, "short items": func(o *Options) { o.ItemEvents = 9 },
 	} {
 		changed := good
 		change(&changed)
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -19,10 +19,10 @@
 	// Program is the path of the program to run as one process per node.
 	Program string
 	Profile load.Profile
-	// FirstSeed is the first of Runs consecutive seeds; Each is how long work arrives in each run.
+	// FirstSeed is the first of Runs consecutive seeds; Duration is how long work arrives in each run.
 	FirstSeed uint64
 	Runs      int
-	Each      time.Duration
+	Duration  time.Duration
 }
 
 // Report is the result of a soak.
@@ -45,9 +45,9 @@
 	var report Report
 	for run := range uint64(options.Runs) {
 		seed := options.FirstSeed + run
-		scenario := Draw(seed, options.Each)
+		scenario := Draw(seed, options.Duration)
 		result, err := experiment.Run(ctx, experiment.Options{
-			Profile: options.Profile, Seed: seed, Duration: options.Each, Scenario: scenario, Policy: experiment.PolicySloelift,
+			Profile: options.Profile, Seed: seed, Duration: options.Duration, Scenario: scenario, Policy: experiment.PolicySloelift,
 			Program: options.Program, LogLevel: zerolog.InfoLevel, KeepFolder: true,
 		})
 		if err != nil {
