--- a/lab/roles/caller.go
+++ b/lab/roles/caller.go
@@ -34,7 +34,7 @@
 	// edge is the machine that the request was sent to; status is 0 if there was no response.
 	edge   string
 	status int
-	// complete is set if the response was read to its end; fault describes what was wrong with its content.
+	// complete is set if the response was read to its end; violation describes what was wrong with its content.
 	complete  bool
 	violation string
 }
--- a/lab/roles/check.go
+++ b/lab/roles/check.go
@@ -11,7 +11,7 @@
 	// sent again; maxItemRejections is the maximum number of 422 responses. Both bounds come from the platform's documentation.
 	maxItemAttemptRounds = 3
 	maxItemRejections    = 3
-	// deadlineSlackMillis, in milliseconds, is how far the deadline sent to a replica may exceed the caller's.
+	// deadlineSlackMillis is how far the deadline sent to a replica may exceed the caller's.
 	deadlineSlackMillis = 500
 	// maxReplicasEndedByItem is the maximum number of replicas that one item may end.
 	maxReplicasEndedByItem = 3
--- a/lab/roles/fault.go
+++ b/lab/roles/fault.go
@@ -112,8 +112,8 @@
 	case killInTurn, stopInTurn:
 		return f.endInTurn(ctx, drawn)
 	default:
-		for _, each := range f.fleet.machines {
-			if err := f.restart(ctx, each, drawn.Duration); err != nil {
+		for _, restarted := range f.fleet.machines {
+			if err := f.restart(ctx, restarted, drawn.Duration); err != nil {
 				return err
 			}
 		}
--- a/lab/roles/job.go
+++ b/lab/roles/job.go
@@ -49,15 +49,15 @@
 	accepted, refusedOnly bool
 	// cancelled is set once the caller has sent a cancel.
 	cancelled bool
-	// results are the results read so far, in order; fault describes what was wrong with them.
+	// results are the results read so far, in order; violation describes what was wrong with them.
 	results   []wire.JobResult
 	violation string
 }
 
 func (j *job) done() bool { return j.cancelled || len(j.missingItems()) == 0 }
 
-// missingItems returns the items whose results are still missing. Items that end their replicas are left out: they are quarantined and get no
-// result before the retention of their route is over.
+// missingItems returns the items whose results are still missing. Items that end their replicas are left out: they are quarantined and get
+// no result before the retention of their route is over.
 func (j *job) missingItems() []item {
 	listed := map[string]bool{}
 	for _, result := range j.results {
--- a/lab/roles/run_test.go
+++ b/lab/roles/run_test.go
@@ -90,8 +90,8 @@
 	return names
 }
 
-// playLongItems plays a seed with items that run for a second or more, so that some are running when their replica ends; endsReplicaShare is the
-// share of items that end every replica that runs them.
+// playLongItems plays a seed with items that run for a second or more, so that some are running when their replica ends;
+// endsReplicaShare is the share of items that end every replica that runs them.
 func playLongItems(t *testing.T, seed uint64, only []faultKind, endsReplicaShare float64) {
 	t.Helper()
 	if testing.Short() {
--- a/lab/roles/work.go
+++ b/lab/roles/work.go
@@ -14,7 +14,7 @@
 type work struct {
 	// Events is the number of events of the stream.
 	Events int `json:"events"`
-	// Fail is the status with which every run fails, 0 if it succeeds.
+	// Fail is the status with which every run fails after the time for its prompt, 0 if it succeeds.
 	Fail int `json:"fail,omitempty"`
 	// EndsReplicaAt is the number of the event at which every run crashes its replica, 0 for none.
 	EndsReplicaAt int `json:"ends_replica_at,omitempty"`
