--- a/cmd/sloelift-lab/part_command.go
+++ b/cmd/sloelift-lab/part_command.go
@@ -20,7 +20,7 @@
 type engineCommand struct {
 	Listen  netip.AddrPort `help:"Address to serve on." default:"127.0.0.1:9101"`
 	Replica string         `help:"Name of the replica." default:"replica-1"`
-	Profile string         `help:"Profile whose step time and model it has." default:"registry"`
+	Profile string         `help:"Profile that gives the step time and the model." default:"registry"`
 	LoadLag time.Duration  `help:"Age of load reports." default:"100ms"`
 }
 
@@ -49,7 +49,7 @@
 	Seed uint64 `help:"Seed of the stand-ins' faults." default:"1"`
 }
 
-// Run keeps a deployment up until interrupted and prints where it is.
+// Run starts a deployment, prints its addresses and keeps it running until interrupted.
 func (c *upCommand) Run(ctx context.Context) error {
 	options, err := c.options()
 	if err != nil {
@@ -83,12 +83,12 @@
 	Nodes    []netip.AddrPort `help:"Callers' addresses of nodes." required:""`
 	Profile  string           `help:"Profile of the arrivals." default:"registry"`
 	Duration time.Duration    `help:"How long work arrives." default:"15s"`
-	Drain    time.Duration    `help:"How long to wait for what has arrived." default:"60s"`
+	Drain    time.Duration    `help:"How long to wait for unfinished work." default:"60s"`
 	Seed     uint64           `help:"Seed of the arrivals." default:"1"`
 }
 
-// Run plays a load and judges the answers; the engines' own records are not at hand,
-// so that runs of marked requests are not checked.
+// Run plays a load and checks the responses. Since the engines' records are not
+// available, the number of runs of marked requests is not checked.
 func (c *loadCommand) Run(ctx context.Context) error {
 	profile, err := load.ProfileByName(c.Profile)
 	if err != nil {
--- a/lab/experiment/print.go
+++ b/lab/experiment/print.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Print writes a result as a table.
+// Print writes the result as a table.
 func (r Result) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name string, format string, values ...any) {
@@ -19,7 +19,7 @@
 	row("completed", "%d online, %d items", v.OnlineCompleted, v.ItemsCompleted)
 	row("refused", "%d online, %d jobs", v.OnlineRefused, v.JobsRefused)
 	row("cancelled", "%d jobs, %d items", v.JobsCancelled, v.ItemsCancelled)
-	row("indeterminate", "%d online, %d items", v.OnlineIndeterminate, v.ItemsUncertain)
+	row("indeterminate", "%d online, %d items", v.OnlineIndeterminate, v.ItemsIndeterminate)
 	row("lost", "%d", v.Lost)
 	row("duplicated", "%d", v.Duplicated)
 	row("answers cut / wrong", "%d / %d", v.AnswersCut, v.AnswersWrong+v.ItemsWrong)
--- a/lab/load/verdict_test.go
+++ b/lab/load/verdict_test.go
@@ -10,11 +10,11 @@
 var (
 	now       = time.Unix(1000, 0)
 	goodItem  = JobItem{CustomID: "job-item-0", Content: "text\njob-item-0", MaxTokens: 8}
-	goodText  = goodItem.Expected().Whole()
+	goodText  = goodItem.Expected().FullText()
 	onlineOne = OnlineArrival{Marker: "one", Content: "text\none", MaxTokens: 8}
 )
 
-// goodJob is a job of one item that completed.
+// goodJob returns a completed job with one item.
 func goodJob() JobOutcome {
 	return JobOutcome{
 		Arrival: JobArrival{Key: "job", Items: []JobItem{goodItem}}, ID: "id", Accepted: true, Status: "completed", EndedAt: now,
@@ -22,7 +22,7 @@
 	}
 }
 
-// ran returns the records of a marker that engines started count times.
+// ran returns the record of a marker that engines started count times.
 func ran(marker string, count int, at time.Time) map[string]labengine.RunRecord {
 	record := labengine.RunRecord{Marker: marker, Starts: count, FreshStarts: count}
 	for range count {
@@ -82,7 +82,7 @@
 
 func TestJudgeAcceptsWhatIsRight(t *testing.T) {
 	seen := Observations{
-		Online: []OnlineResult{{Arrival: onlineOne, Outcome: OnlineCompleted, Accepted: true, Text: onlineOne.Expected().Whole()}},
+		Online: []OnlineResult{{Arrival: onlineOne, Outcome: OnlineCompleted, Accepted: true, Text: onlineOne.Expected().FullText()}},
 		Jobs:   []JobOutcome{goodJob()},
 	}
 	verdict := Judge(seen, ran(goodItem.CustomID, 2, now), Expectations{})
