--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets that people and .ci/run use. The build needs Go and a C compiler only.
+# Targets for developers and .ci/run. The build needs only Go and a C compiler.
 GO ?= go
 TOOL = $(GO) tool -modfile=tools/go.mod
 PROFILE ?= registry
@@ -8,10 +8,11 @@
 build:
 	$(GO) build -o bin/ ./cmd/...
 
-# KNOWN_RED are the tests of KNOWN-RED.txt: faults that are known and not mended yet. They are run apart and reported.
+# KNOWN_RED are the tests listed in KNOWN-RED.txt, which fail because of known faults. The target test skips and prints them.
 KNOWN_RED = $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\) .*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|' -)
 
-# RAPID_SEED fixes what property tests draw, so that one state of the sources has one verdict; explore draws anew.
+# RAPID_SEED is the seed of the property tests, so that the same sources always have the same result; explore uses random
+# seeds.
 RAPID_SEED ?= 1
 EXPLORED = $(sort $(dir $(shell grep -rl pgregory.net/rapid --include=*_test.go internal)))
 
@@ -33,8 +34,8 @@
 	$(GO) vet ./...
 	$(TOOL) staticcheck ./...
 
-# generate writes the committed protobuf code anew. The plugin is built first, and given time: on a busy new machine that took longer than the
-# two minutes that buf waits for it.
+# generate regenerates the committed protobuf code. The plugin is built first, and buf gets a longer timeout: on a busy new
+# machine the build took longer than the two minutes that buf waits by default.
 generate:
 	$(TOOL) protoc-gen-go --version
 	$(TOOL) buf generate --timeout 15m
@@ -42,7 +43,7 @@
 demo: build
 	bin/sloelift-lab demo --profile $(PROFILE) --duration 15s --seed 1
 
-# spec checks the core protocol with Spin; spec-mutants shows that each guard is needed.
+# spec checks the models of the core protocols with Spin; spec-mutants checks that each guard in them is needed.
 spec:
 	$(MAKE) -C spec check
 
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Checks one model exhaustively with Spin.
-# usage: check.sh holds|fails MODEL [-DNAME=VALUE ...]
-# "holds" wants a whole search without a violation, "fails" wants a violation.
+# Usage: check.sh holds|fails MODEL [-DNAME=VALUE ...]
+# "holds" requires a complete search without a violation, "fails" requires a violation.
 set -euo pipefail
 expected=$1
 model=$2
@@ -14,7 +14,7 @@
 
 spin "$@" -a "$here/$model" > spin.out || { cat spin.out; exit 1; }
 cc -O2 -DSAFETY -DMEMLIM=8000 -w -o pan pan.c
-# -E: processes that wait for ever are no violation. -m: a search deeper than this is not whole.
+# -E: processes that wait forever are not a violation. -m: the maximum search depth; a deeper search is incomplete.
 ./pan -E -m2000000 -w25 > pan.out || { cat pan.out; exit 1; }
 
 states=$(awk '/states, stored/ {print $1; exit}' pan.out)
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,8 +1,10 @@
 /*
- * Configuration: two operators race for revisions at the key-value service, whose
- * answers can be lost; three nodes hear revisions from it and from each other, late and
- * out of order. A node's revision never falls, a revision has one content, and an
- * operator is told the truth about its file.
+ * Distribution of the configuration. Two operators race to write revisions to the
+ * key-value service, whose answers can be lost. Three nodes receive revisions from it and
+ * from each other, late and out of order.
+ *
+ * Properties: a node's revision never decreases, a revision has one content, and an
+ * operator that is told that its file was accepted or in conflict is told the truth.
  */
 #ifndef REVISIONS
 #define REVISIONS 4
@@ -14,11 +16,11 @@
 #define UNKNOWN 3
 
 byte head = 0;
-/* Which operator's file made a revision: operator + 1. */
+/* The operator whose file became a revision: operator + 1. */
 byte writer[REVISIONS + 1];
 byte inForce[NODES];
 byte contentInForce[NODES];
-/* One message under way to each node: a revision somebody once had. */
+/* One message in flight to each node: the newest revision of its sender when it was sent. */
 byte message[NODES];
 byte messageContent[NODES];
 
@@ -46,19 +48,19 @@
 }
 
 proctype Operator(byte operator) {
-  /* The operator looks at a revision and writes a file against it. */
+  /* The operator reads a revision and submits a file based on it. */
   d_step { expected[operator] = head };
   do
   :: d_step { (outcome[operator] == PENDING) && HEAD_IS(expected[operator]) && head < REVISIONS -> commit(operator); outcome[operator] = ACCEPTED }
-  /* The answer is lost after the change took effect. */
+  /* The answer is lost after the write took effect. */
   :: d_step { (outcome[operator] == PENDING) && HEAD_IS(expected[operator]) && head < REVISIONS -> commit(operator); outcome[operator] = UNKNOWN }
-  /* The call is lost before. */
+  /* The call is lost before the write takes effect. */
   :: d_step { (outcome[operator] == PENDING) -> outcome[operator] = UNKNOWN }
   :: d_step { (outcome[operator] == PENDING) && !HEAD_IS(expected[operator]) -> outcome[operator] = CONFLICT }
 #ifdef MUTANT_BLIND_RETRY
   :: d_step { outcome[operator] == UNKNOWN -> expected[operator] = head; outcome[operator] = PENDING }
 #else
-  /* settle: read the write id of the next revision back. */
+  /* settle: read back the write id of the next revision, which names its writer. */
   :: d_step { outcome[operator] == UNKNOWN && head > expected[operator] -> outcome[operator] = (writer[expected[operator] + 1] == operator + 1 -> ACCEPTED : CONFLICT) }
   :: d_step { outcome[operator] == UNKNOWN && head == expected[operator] -> outcome[operator] = PENDING }
 #endif
@@ -70,7 +72,7 @@
 proctype NodeProcess(byte n) {
   byte before;
   do
-  /* A watch answer or a relayed message, which may be old by the time it arrives. */
+  /* A watch answer or a relayed message, which may be stale when it arrives. */
   :: d_step { head > 0 -> message[n] = head; messageContent[n] = writer[head] }
   :: d_step { inForce[(n + 1) % NODES] > 0 -> message[n] = inForce[(n + 1) % NODES]; messageContent[n] = contentInForce[(n + 1) % NODES] }
   :: d_step { inForce[(n + 2) % NODES] > 0 -> message[n] = inForce[(n + 2) % NODES]; messageContent[n] = contentInForce[(n + 2) % NODES] }
--- a/spec/ensemble.pml
+++ b/spec/ensemble.pml
@@ -1,7 +1,8 @@
 /*
- * The members of one ensemble decide on the ensemble that follows it: three owners of the same version, each with a ballot of its
- * own, want different ones. Requests are late, lost and duplicated, owners stop at any point, one disk is lost. Checked: the
- * version is decided in one way only. How an owner prepares under the next version is in ledger.pml.
+ * The members of one ensemble decide on the next ensemble. Three owners of the same version, each with its own ballot, propose
+ * different ones. Requests are delayed, lost and duplicated, owners stop at any point, one disk is lost.
+ *
+ * Property: at most one next ensemble is decided. How an owner prepares under the next version is modelled in ledger.pml.
  */
 #ifndef W
 #define W 2
@@ -10,7 +11,7 @@
 #define R 2
 #endif
 #ifndef JOINING
-/* JOINING members count for the write quorum, never for the read quorum. */
+/* The first JOINING stores are joining members: they count for the write quorum, never for the read quorum. */
 #define JOINING 0
 #endif
 #ifndef LOSSES
@@ -28,16 +29,16 @@
 byte decided = NONE;
 
 typedef Owner {
-  /* promises and answers are sets of stores. */
+  /* Sets of stores, as bit masks: those that promised, and those that accepted the proposal. */
   byte promises;
   byte answers;
-  /* What the owner proposes; NONE while it prepares. */
+  /* The value that the owner proposes; NONE while it prepares. */
   byte value;
   byte inheritedBallot;
   byte inheritedValue
 };
 
-/* Owner o has ballot o + 1 and wants value o + 1. */
+/* Owner o has ballot o + 1 and proposes value o + 1 unless it inherits another. */
 Owner owner[OWNERS];
 
 #define HAS(set, s) ((set >> (s)) & 1)
@@ -50,7 +51,7 @@
 #define MAY_ACCEPT(s, ballot) (promised[s] <= ballot)
 #endif
 
-/* prepare: a promise that comes after the read quorum is complete counts no more. */
+/* prepare: a promise that arrives after the owner has proposed is not counted. */
 inline prepare(o, s) {
   d_step {
     promised[s] = o + 1;
--- a/spec/job.pml
+++ b/spec/job.pml
@@ -1,11 +1,12 @@
 /*
- * Jobs, items and idempotency keys on one partition's log, and the engines' runs.
+ * One job with its items on a partition's log, and the items' runs at engines.
  * docs/design/0017-specification.md maps each action to its Go function.
  *
- * The log is what ledger.pml proves it to be: an append by the present owner stands for
- * good, one by a replaced owner is refused. Two nodes own the partition in turn; a
- * replaced one can be paused and go on with what it knew. Item 0 is repeatable, item 1 is
- * not. Calls to engines can arrive late. Two clients race with one key.
+ * The log has the properties that ledger.pml checks: an append by the current owner is
+ * durable, one by a replaced owner is rejected. Two nodes own the partition in turn; a
+ * replaced owner can be paused and later continue with stale state. Item 0 is repeatable,
+ * item 1 is not (MARKED). Calls to engines can arrive late. Two clients can submit the job
+ * with the same key; idempotency keys of single requests are in key.pml.
  */
 #ifndef TAKEOVERS
 #define TAKEOVERS 2
@@ -20,7 +21,7 @@
 #define INDETERMINATE 9
 #define NOBODY 2
 
-/* What the log says. A result is the number of the run that made it. */
+/* The state recorded in the log. A result is the number of the run that produced it. */
 typedef Log {
   bit accepted;
   bit cancelled;
@@ -30,17 +31,18 @@
 
 typedef Node {
   bit up;
-  /* What the node has read or appended itself. */
+  /* The part of the log that the node has read or appended. */
   Log known;
-  /* The node may start calls: it is the owner, or was until less than the window ago. */
+  /* The node may start calls: it is the owner, or was replaced less than the window ago. */
   bit window;
-  /* An item passed its checks and its call is about to begin. */
+  /* The checks before the item's call are done; the call has not been sent. */
   bit begun[2];
-  /* A call of the item by this node is under way to an engine. */
+  /* A call of the item by this node is in flight to an engine. */
   bit sent[2];
-  /* The run whose answer the node has for the item. */
+  /* The run whose answer the node has received for the item. */
   byte answer[2];
-  /* The marked item was recorded by a node before this ownership. */
+  /* The marked item may already have been called: its attempt was in the log at takeover, or this node has called it. The
+   * node then only attaches to its run. */
   bit attach
 };
 
@@ -51,10 +53,10 @@
 byte acceptances = 0;
 byte runs = 0;
 byte runsOfMarked = 0;
-/* The latest run of an item that an engine has finished. */
+/* The last run of the item that an engine has completed. */
 byte finished[2];
 bit cancelAcknowledged = 0;
-/* The first result that a client has read. */
+/* The last result that a client has read; a later read must return the same. */
 byte read[2];
 
 #ifdef MUTANT_NO_FENCE
@@ -71,7 +73,7 @@
   node[n].known.result[1] = log.result[1]
 }
 
-/* takeOver: the log is read, then the node serves. */
+/* takeOver: the node becomes the owner and reads the log before it serves. */
 inline takeOver(n) {
   takeovers++;
   owner = n;
@@ -83,7 +85,7 @@
   node[n].answer[0] = NONE; node[n].answer[1] = NONE
 }
 
-/* crash: memory is lost; calls that left the machine may still arrive. */
+/* crash: the node's memory is lost; calls that it has sent may still arrive. */
 inline crash(n) {
   node[n].up = 0;
   node[n].window = 0;
@@ -125,7 +127,7 @@
 #endif
 #endif
 
-/* begin: all checks are done; the call itself comes a moment later. */
+/* begin: all checks are done; the call itself is a later step. */
 inline begin(n, item) { node[n].begun[item] = 1 }
 
 inline call(n, item) {
@@ -138,7 +140,7 @@
   fi
 }
 
-/* startRun: a call arrives at an engine, perhaps late. */
+/* startRun: a call arrives at an engine, possibly late. */
 inline startRun(n, item) {
   runs++;
   node[n].sent[item] = 0;
@@ -149,7 +151,7 @@
   finished[item] = runs
 }
 
-/* complete: the first result in the log is the result; a cancelled job takes none. */
+/* complete: the first result of an item in the log is final; a cancelled job accepts none. */
 inline complete(n, item, with) {
   if
 #ifdef MUTANT_LAST_RESULT_WINS
@@ -186,7 +188,7 @@
   do
   :: d_step { takeovers < TAKEOVERS && owner != n -> takeOver(n) }
   :: d_step { node[n].up && takeovers < TAKEOVERS -> crash(n) }
-  /* The window of a replaced owner closes; the time that takes is not modelled. */
+  /* The window of a replaced owner closes; its duration is not modelled. */
   :: d_step { node[n].window && owner != n -> node[n].window = 0; node[n].begun[0] = 0; node[n].begun[1] = 0 }
   :: d_step { node[n].up && MAY_APPEND(n) && IS_NEW_JOB(n) -> acceptJob(n) }
   :: d_step { node[n].up && MAY_APPEND(n) && LIVE(n, MARKED) && !node[n].known.attempted -> recordAttempt(n) }
@@ -196,10 +198,10 @@
   :: d_step { node[n].begun[MARKED] && node[n].window -> call(n, MARKED) }
   :: d_step { node[n].sent[REPEATABLE] && runs < RUNS -> startRun(n, REPEATABLE) }
   :: d_step { node[n].sent[MARKED] -> startRun(n, MARKED) }
-  /* The answer arrives, or is lost for ever. */
+  /* The answer arrives; it is lost if this step is never taken. */
   :: d_step { node[n].up && finished[REPEATABLE] != NONE && node[n].known.accepted -> node[n].answer[REPEATABLE] = finished[REPEATABLE] }
   :: d_step { node[n].up && finished[MARKED] != NONE && node[n].attach -> node[n].answer[MARKED] = finished[MARKED] }
-  /* attach: no such run, or its engine is gone. */
+  /* attach: the engine has no such run, or is gone: the result is indeterminate. */
   :: d_step { node[n].up && node[n].attach && !node[n].sent[MARKED] && node[n].answer[MARKED] == NONE -> node[n].answer[MARKED] = INDETERMINATE }
   :: d_step { node[n].up && MAY_APPEND(n) && node[n].answer[REPEATABLE] != NONE -> complete(n, REPEATABLE, node[n].answer[REPEATABLE]); node[n].answer[REPEATABLE] = NONE }
   :: d_step { node[n].up && MAY_APPEND(n) && node[n].answer[MARKED] != NONE -> complete(n, MARKED, node[n].answer[MARKED]); node[n].answer[MARKED] = NONE }
--- a/spec/key.pml
+++ b/spec/key.pml
@@ -1,7 +1,10 @@
 /*
  * One idempotency key of a request that is not repeatable, claimed by two gateways.
- * The partition's log is taken as ledger.pml proves it. A gateway calls an engine only
- * when its claim is granted; an answer of the owner can be lost and is asked for again.
+ * The partition's log has the properties that ledger.pml checks. A gateway calls an engine
+ * only after its claim was granted; the owner's answer can be lost, and the gateway then
+ * asks again.
+ *
+ * Properties: at most one run, and both callers receive the same result.
  */
 #define NOBODY 2
 #define NONE 0
@@ -9,11 +12,11 @@
 
 typedef Gateway {
   bit up;
-  /* The claim was granted, as far as the gateway has heard. */
+  /* The gateway has received the answer that its claim is granted. */
   bit granted;
   bit called;
   byte answer;
-  /* What the gateway told its caller. */
+  /* The result that the gateway returned to its caller. */
   byte told
 };
 
@@ -30,7 +33,7 @@
 #define MAY_GRANT(g) (holder == NOBODY || holder == g)
 #endif
 
-/* claim: recorded once; the holder that asks again is granted again. */
+/* claim: recorded once; a holder that repeats its claim is granted again. */
 inline claim(g, answered) {
   if
   :: holder == NOBODY -> holder = g
@@ -68,7 +71,7 @@
   :: d_step { gateway[g].up && gateway[g].called && runs > 0 -> gateway[g].answer = runs }
   :: d_step { gateway[g].up && gateway[g].called && gateway[g].answer == NONE -> gateway[g].answer = INDETERMINATE }
   :: d_step { gateway[g].up && gateway[g].answer != NONE -> completeKey(g, gateway[g].answer); gateway[g].answer = NONE }
-  /* The holder is gone: the owner of the partition settles the key. */
+  /* The holder is down: the owner of the partition completes the key as indeterminate. */
   :: d_step { holder != NOBODY && result == NONE && !gateway[holder % 2].up -> result = INDETERMINATE }
   :: d_step { gateway[g].up && result != NONE -> assert(gateway[g].told == NONE || gateway[g].told == result); gateway[g].told = result; assert(gateway[1 - g].told == NONE || gateway[1 - g].told == gateway[g].told) }
   :: d_step { gateway[g].up && crashes < 1 -> crashes++; gateway[g].up = 0; gateway[g].granted = 0; gateway[g].answer = NONE }
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,18 +1,18 @@
 /*
- * The ledger's core protocol: ballots, quorum appends, recovery, the loss and the
- * replacement of a disk. docs/design/0017-specification.md maps each action to its Go function.
+ * The ledger's core protocol: ballots, quorum appends, recovery, and the loss and
+ * replacement of disks. docs/design/0017-specification.md maps each action to its Go function.
  *
- * N stores. An owner takes a ballot (ensemble version, number, owner), prepares on R full
- * members, rewrites what it read, and appends to W members. A lost disk comes back
- * empty under a new incarnation; it is swapped in as joining and promoted later, both by
- * compare-and-swap of the ensemble.
+ * There are N stores. An owner takes a ballot (ensemble version, number, owner), prepares on
+ * R full members, rewrites the records that it read, and appends to W members. A lost disk
+ * returns empty under a new incarnation; it is added to the ensemble as joining and promoted
+ * to full later, both by compare-and-swap of the ensemble.
  *
- * The property: a slot is never acknowledged with two values, and an owner that
- * acknowledges a later slot has the acknowledged value of the earlier one. Each guard
- * has a MUTANT_ flag that removes it; the checker must then find a violation.
+ * Properties: a slot is never acknowledged with two values, and an owner that acknowledges
+ * a later slot has the acknowledged value of the earlier one. Each guard has a MUTANT_ flag
+ * that removes it; the checker must then find a violation.
  *
- * Stores are interchangeable, so each action ends by sorting them (SORT): states that
- * differ only in the numbering of stores are one state.
+ * Stores are interchangeable, so each action sorts them at its end (SORT): states that
+ * differ only in the numbering of the stores become one state.
  */
 #define N 4
 #ifndef W
@@ -27,13 +27,13 @@
 #ifndef LOSSES
 #define LOSSES 2
 #endif
-/* How many ballots each owner may take. */
+/* The number of ballots that each owner may take. */
 #ifndef ROUNDS
 #define ROUNDS 2
 #endif
 
 #define NOTHING 0
-/* Owner o proposes o + 1; recovery fills a hole with NO_OPERATION. */
+/* Owner o appends the value o + 1; recovery fills a gap with NO_OPERATION. */
 #define NO_OPERATION 3
 
 #define IDLE 0
@@ -47,7 +47,7 @@
 #endif
 
 c_decl {
-  /* Sorts the N records of size bytes at base, by their bytes. */
+  /* Sorts the N (4) records of size bytes each at base, by their bytes. */
   static void sort_records(void *base, int size) {
     char held[256];
     char *records = (char *) base;
@@ -62,19 +62,19 @@
 }
 #define SORT c_code { sort_records(now.store, sizeof(now.store[0])); }
 
-/* What one owner knows of one store. */
+/* One owner's knowledge of one store, and its appends in flight to it. */
 typedef View {
-  /* The owner addresses the disk that is there now; false once that disk was lost. */
+  /* The owner knows the store's current disk; false once that disk is lost. */
   bit current;
   bit joining;
   /* The store's promise counts towards the owner's R. */
   bit promised;
   /* The store's acknowledgement counts towards the owner's W. */
   bit acknowledged[SLOTS];
-  /* An append is on its way to the store. */
+  /* An append to the store is in flight. */
   bit underWay[SLOTS];
 #ifdef LATE
-  /* An append of the owner's previous ballot is still on its way. */
+  /* An append under the owner's previous ballot is still in flight. */
   bit late[SLOTS];
 #endif
 };
@@ -83,7 +83,7 @@
   byte promised;
   byte acceptedBallot[SLOTS];
   byte acceptedValue[SLOTS];
-  /* The ensemble in the key-value service holds this disk; joining or full. */
+  /* The ensemble in the key-value service contains this disk, as joining or full. */
   bit member;
   bit joining;
   View view[2]
@@ -106,7 +106,7 @@
 Owner owner[2];
 byte ensembleVersion = 1;
 byte losses = 0;
-/* The value acknowledged to a client, by slot. */
+/* The value acknowledged to a client, per slot. */
 byte chosen[SLOTS];
 hidden byte i;
 hidden byte k;
@@ -120,7 +120,7 @@
 #define MAY_ACCEPT(s, atBallot) (store[s].promised <= (atBallot))
 #endif
 
-/* forgetRefused: an append that a store will refuse for ever is as good as gone. */
+/* forgetRefused: removes the appends in flight that store s would refuse from now on; the deliver actions make no check. */
 inline forgetRefused(s) {
   i = 0;
   do
@@ -146,7 +146,7 @@
   od
 }
 
-/* takeBallot: above the owner's last one, at an ensemble that may be out of date. */
+/* takeBallot: a ballot above the owner's previous one; without refresh under the ensemble that it has, which may be stale. */
 inline takeBallot(o, refresh) {
   i = 0;
   do
@@ -166,7 +166,7 @@
      if
      :: refresh ->
 #ifdef LATE
-        /* A late append to a disk that the owner did not know is for another disk. */
+        /* A late append was sent to a disk that has been replaced since; it never reaches the new one. */
         k = 0;
         do
         :: k < SLOTS ->
@@ -214,7 +214,7 @@
 #define MAY_READ(o, s) (!store[s].view[o].joining)
 #endif
 
-/* prepare: store s promises the ballot and, if the answer arrives, tells what it accepted. */
+/* prepare: store s promises the ballot; if the answer arrives, the owner learns what the store accepted. */
 inline prepare(o, s, answered) {
   store[s].promised = owner[o].ballot;
   if
@@ -250,7 +250,7 @@
   od
 }
 
-/* recover: rewrite what was read; a hole below it becomes a no-operation. */
+/* recover: rewrites the values that were read; a gap below them is filled with a no-operation. */
 inline recover(o) {
   owner[o].phase = APPENDING;
   i = 0;
@@ -280,16 +280,16 @@
   od
 }
 
-/* append: the owner's own value. */
+/* append: appends the owner's own value. */
 inline append(o, slot) {
   owner[o].value[slot] = o + 1;
   send(o, slot)
 }
 
 /*
- * deliver: store s takes the append. A lost acknowledgement needs no action of its own:
- * it only withholds what the owner may do, and each of its actions is optional. A lost
- * append is one that is never delivered.
+ * deliver: store s accepts the append. A lost acknowledgement needs no action of its own: it
+ * only keeps the owner from later actions, all of which are optional anyway. A lost append
+ * is one that is never delivered.
  */
 inline deliver(o, s, slot) {
   store[s].promised = owner[o].ballot;
@@ -310,7 +310,7 @@
 }
 #endif
 
-/* acknowledge: W stores have the value; the client is told. Slots are acknowledged in order. */
+/* acknowledge: W stores have the value, and the client is answered. Slots are acknowledged in order. */
 inline acknowledge(o, slot) {
   k = 0;
   do
@@ -337,7 +337,7 @@
   forgetRefused(s)
 }
 
-/* replaceMember: compare-and-swap of the ensemble; the new disk joins. */
+/* replaceMember: compare-and-swap of the ensemble; the new disk becomes a joining member. */
 inline replaceMember(s) {
   store[s].member = 1;
 #ifdef MUTANT_JOIN_AS_FULL
@@ -348,7 +348,7 @@
   ensembleVersion++
 }
 
-/* promoteMember: compare-and-swap; the joining disk has the rewritten log. */
+/* promoteMember: compare-and-swap of the ensemble, once the joining disk has the rewritten log. */
 inline promoteMember(s) {
   store[s].joining = 0;
   ensembleVersion++
@@ -361,9 +361,9 @@
 #endif
 
 /*
- * MAY_PROMOTE: every slot that recovery read was rewritten to W stores, the joining one
- * among them, under a ballot of the ensemble that it joined. Where recovery read nothing, one
- * append that the joining disk took shows that its promise is there.
+ * MAY_PROMOTE: every slot that recovery read was rewritten to W stores, including the joining
+ * one, under a ballot of the ensemble that it joined. If recovery read nothing, one append
+ * accepted by the joining disk shows that the disk has promised that ballot.
  */
 #ifdef MUTANT_FILL_UNDER_OLD_BALLOT
 #define AT_PRESENT_VERSION(o) (true)
@@ -379,7 +379,7 @@
 
 #define CAN_PREPARE(o, s) (owner[o].phase == PREPARING && store[s].view[o].current && !store[s].view[o].promised && store[s].promised <= owner[o].ballot)
 
-/* Actions of owner o towards store s. */
+/* Actions of owner o on store s. */
 #define PREPARE(s) \
   :: d_step { CAN_PREPARE(o, s) && MAY_READ(o, s) -> prepare(o, s, true); SORT } \
   :: d_step { CAN_PREPARE(o, s) && store[s].promised < owner[o].ballot -> prepare(o, s, false); SORT }
@@ -396,7 +396,7 @@
 #define ACKNOWLEDGE(slot) \
   :: d_step { owner[o].phase == APPENDING && owner[o].value[slot] != NOTHING && ACKNOWLEDGEMENTS(o, slot) >= W && chosen[slot] != owner[o].value[slot] && (slot == 0 || ACKNOWLEDGEMENTS(o, 0) >= W) -> acknowledge(o, slot) }
 
-/* The naive way: an owner learns the new member and appends to it under its old ballot. */
+/* The faulty variant: an owner learns of the new member and appends to it under its old ballot. */
 #ifdef MUTANT_FILL_UNDER_OLD_BALLOT
 #define FILL(s) \
   :: d_step { owner[o].phase == APPENDING && owner[o].value[0] != NOTHING && store[s].member && store[s].joining && !store[s].view[o].current -> \
@@ -408,7 +408,7 @@
 proctype OwnerProcess(byte o) {
   do
   :: d_step { owner[o].number < ROUNDS -> takeBallot(o, true); SORT }
-  /* The key-value service is down: the owner uses the ensemble that it has. */
+  /* The key-value service is down: the owner uses the ensemble that it knows. */
   :: d_step { owner[o].number < ROUNDS && owner[o].version > 0 && owner[o].version < ensembleVersion -> takeBallot(o, false); SORT }
   PREPARE(0) PREPARE(1) PREPARE(2) PREPARE(3)
   :: d_step { owner[o].phase == PREPARING && PROMISES(o) >= R -> recover(o); SORT }
