--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -103,7 +103,7 @@
 					c.delivered[index][entry.Key]++
 				}
 			},
-			Failed: func(err error) {
+			OnError: func(err error) {
 				c.mutex.Lock()
 				defer c.mutex.Unlock()
 				c.lastErr[index] = err
--- a/internal/discovery/bounded_store_test.go
+++ b/internal/discovery/bounded_store_test.go
@@ -104,7 +104,7 @@
 		if !more {
 			return listing, nil
 		}
-		if err := platform.TooMany(ctx, len(listing.Entries)); err != nil {
+		if err := platform.CheckMaxEntries(ctx, len(listing.Entries)); err != nil {
 			return platform.Listing{}, err
 		}
 		after = page[len(page)-1].Key
--- a/internal/discovery/replica_source.go
+++ b/internal/discovery/replica_source.go
@@ -71,12 +71,12 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	follower := s.wholeListFollower(stop)
-	follower.Long = s.keepsPart()
+	follower.LongListTimeout = s.keepsPart()
 	if s.relays != nil {
 		running.Go(func() { s.stopUnlessListKept(ctx, stop) })
 	}
-	if s.relays != nil && !follower.Long {
-		follower.MostEntries = roster.MaxFullList
+	if s.relays != nil && !follower.LongListTimeout {
+		follower.MaxEntries = roster.MaxFullList
 		running.Go(func() { s.queryRelays(ctx, stop) })
 	}
 	platform.Follow(ctx, s.store, s.translator.ReplicaPrefix(), follower)
@@ -97,7 +97,7 @@
 	ctx, stop := context.WithTimeout(ctx, duration)
 	defer stop()
 	follower := s.wholeListFollower(func() {})
-	follower.Long = true
+	follower.LongListTimeout = true
 	platform.Follow(ctx, s.store, s.translator.ReplicaPrefix(), follower)
 }
 
@@ -117,8 +117,8 @@
 			s.updateReplicas(revision, changed, deleted)
 			stopUnlessListKept()
 		},
-		Failed: s.replicasFailed,
-		Behind: s.replicas.behind,
+		OnError:       s.replicasFailed,
+		ChangesMissed: s.replicas.behind,
 	}
 }
 
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -157,10 +157,10 @@
 	s.unsubscribe = s.viewer.Subscribe(s.onView)
 	s.running.Go(func() {
 		platform.Follow(ctx, s.store, s.translator.OperatorPrefix(), platform.Follower{
-			Replace: s.replaceOperators,
-			Update:  s.updateOperators,
-			Failed:  func(err error) { s.logger.Warn().Err(err).Msg("operators_not_followed") },
-			Behind:  s.operators.behind,
+			Replace:       s.replaceOperators,
+			Update:        s.updateOperators,
+			OnError:       func(err error) { s.logger.Warn().Err(err).Msg("operators_not_followed") },
+			ChangesMissed: s.operators.behind,
 		})
 	})
 	s.running.Go(func() { s.followReplicas(ctx) })
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -49,7 +49,7 @@
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		conn, err := dialer.Dial(ctx, address)
-		network.Watch(conn, keepAlive)
+		network.DetectDeadPeer(conn, keepAlive)
 		return conn, err
 	}
 	return &HTTPClient{silenceTimeout: defaultSilenceTimeout, transport: &http.Transport{
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	Watch(connection, net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes})
+	DetectDeadPeer(connection, net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes})
 	return connection, nil
 }
 
--- a/internal/network/watch.go
+++ b/internal/network/watch.go
@@ -17,9 +17,9 @@
 	keepAliveProbes   = 3
 )
 
-// Watch makes the operating system close a TCP connection whose other end vanished silently: idle connections by keepAlive probes,
+// DetectDeadPeer makes the operating system close a TCP connection whose other end vanished silently: idle connections by keepAlive probes,
 // others after unackedTimeout. Connections that are not TCP connections of the operating system are left unchanged.
-func Watch(connection net.Conn, keepAlive net.KeepAliveConfig) {
+func DetectDeadPeer(connection net.Conn, keepAlive net.KeepAliveConfig) {
 	tcp, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
 		return
--- a/internal/platform/follow.go
+++ b/internal/platform/follow.go
@@ -25,14 +25,14 @@
 	Replace func(listing Listing)
 	// Update receives the changes of one revision; both lists are empty if only the revision has advanced.
 	Update func(revision int64, changed []Entry, deleted []string)
-	// Failed is called with each error; Follow then retries, except after KindTooLong.
-	Failed func(err error)
-	// Behind, if set, signals that changes were missed, so that the prefix is listed again.
-	Behind <-chan struct{}
-	// MostEntries is the maximum size of a listing if it is above 0: Follow ends if there are more entries.
-	MostEntries int
-	// Long allows listings longListTimeout instead of listTimeout.
-	Long bool
+	// OnError is called with each error; Follow then retries, except after KindTooLong.
+	OnError func(err error)
+	// ChangesMissed, if set, signals that changes were missed, so that the prefix is listed again.
+	ChangesMissed <-chan struct{}
+	// MaxEntries is the maximum size of a listing if it is above 0: Follow ends if there are more entries.
+	MaxEntries int
+	// LongListTimeout allows listings longListTimeout instead of listTimeout.
+	LongListTimeout bool
 }
 
 // Follow passes the content below prefix and its changes to follower, until ctx ends or there are too many entries. It lists once
@@ -56,11 +56,11 @@
 			revision = 0
 		}
 		if errorx.IsOfType(err, KindTooLong) {
-			follower.Failed(err)
+			follower.OnError(err)
 			return
 		}
 		if ctx.Err() == nil {
-			follower.Failed(err)
+			follower.OnError(err)
 		}
 		_ = retryBackoff.Wait(ctx)
 	}
@@ -69,11 +69,11 @@
 // listInto passes one listing to follower and returns its revision.
 func listInto(ctx context.Context, store KeyValue, prefix string, follower Follower) (int64, error) {
 	timeout := listTimeout
-	if follower.Long {
+	if follower.LongListTimeout {
 		timeout = longListTimeout
 	}
-	if follower.MostEntries > 0 {
-		ctx = WithMostEntries(ctx, follower.MostEntries)
+	if follower.MaxEntries > 0 {
+		ctx = WithMaxEntries(ctx, follower.MaxEntries)
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -109,7 +109,7 @@
 			if len(event.Changed)+len(event.Deleted) > 0 && !event.More && len(events) == 0 {
 				pause.Sleep(ctx, coalesceDelay)
 			}
-		case <-follower.Behind:
+		case <-follower.ChangesMissed:
 			return 0, nil
 		case <-ctx.Done():
 			return revision, ctx.Err()
--- a/internal/platform/follow_test.go
+++ b/internal/platform/follow_test.go
@@ -48,7 +48,7 @@
 		go Follow(ctx, store, "k", Follower{
 			Replace: func(Listing) {},
 			Update:  func(_ int64, changed []Entry, _ []string) { received += len(changed) },
-			Failed:  func(error) {},
+			OnError: func(error) {},
 		})
 		time.Sleep(coalesceDelay / 2)
 		synctest.Wait()
--- a/internal/platform/keyvalue.go
+++ b/internal/platform/keyvalue.go
@@ -87,14 +87,14 @@
 // maxEntriesKey is the context key of the maximum size of listings.
 type maxEntriesKey struct{}
 
-// WithMostEntries returns a context in which listings of more than maximum entries fail with KindTooLong.
-func WithMostEntries(ctx context.Context, maximum int) context.Context {
+// WithMaxEntries returns a context in which listings of more than maximum entries fail with KindTooLong.
+func WithMaxEntries(ctx context.Context, maximum int) context.Context {
 	return context.WithValue(ctx, maxEntriesKey{}, maximum)
 }
 
-// TooMany returns an error of KindTooLong if entries, the number read so far by an unfinished listing, exceeds the maximum set in ctx;
+// CheckMaxEntries returns an error of KindTooLong if entries, the number read so far by an unfinished listing, exceeds the maximum set in ctx;
 // else nil.
-func TooMany(ctx context.Context, entries int) error {
+func CheckMaxEntries(ctx context.Context, entries int) error {
 	maximum, bounded := ctx.Value(maxEntriesKey{}).(int)
 	if !bounded || entries <= maximum {
 		return nil
--- a/internal/snapshotcache/harness_test.go
+++ b/internal/snapshotcache/harness_test.go
@@ -136,7 +136,7 @@
 		platform.Follow(ctx, started.cache, prefix, platform.Follower{
 			Replace: started.takeListing,
 			Update:  started.takeChange,
-			Failed:  func(error) {},
+			OnError: func(error) {},
 		})
 	})
 	started.cache.Start()
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -123,7 +123,7 @@
 	defer cancel()
 	connection, err := p.transport.network.Dial(ctx, p.address)
 	if err == nil {
-		network.Watch(connection, keepAlive)
+		network.DetectDeadPeer(connection, keepAlive)
 	}
 	return connection, err
 }
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -185,7 +185,7 @@
 }
 
 func (t *TCP) serveInbound(connection net.Conn) {
-	network.Watch(connection, keepAlive)
+	network.DetectDeadPeer(connection, keepAlive)
 	// Interrupts the wait for the peer's hello when the transport stops.
 	cancelInterrupt := context.AfterFunc(t.ctx, func() { _ = connection.SetReadDeadline(pastDeadline) })
 	defer cancelInterrupt()
