--- a/lab/platform/metadata.go
+++ b/lab/platform/metadata.go
@@ -58,7 +58,7 @@
 }
 
 func itemOf(entry port.Entry) wire.StoreItem {
-	return wire.StoreItem{Key: entry.Key, Value: entry.Value, Revision: entry.ModRevision, Made: entry.CreateRevision, Lease: int64(entry.LeaseID)}
+	return wire.StoreItem{Key: entry.Key, Value: entry.Value, Revision: entry.ModRevision, CreateRevision: entry.CreateRevision, Lease: int64(entry.LeaseID)}
 }
 
 func (m *metadata) key(writer http.ResponseWriter, request *http.Request) {
@@ -116,7 +116,7 @@
 		answer := wire.StoreEvents{Events: []wire.StoreItem{}, At: revision}
 		for _, changedKey := range changes {
 			item := itemOf(changedKey.entry)
-			item.Gone = changedKey.deleted
+			item.Deleted = changedKey.deleted
 			answer.Events = append(answer.Events, item)
 		}
 		if len(changes) > 0 {
