--- a/cmd/sloelift/cli_test.go
+++ b/cmd/sloelift/cli_test.go
@@ -10,8 +10,8 @@
 
 func (brokenReader) Read([]byte) (int, error) { panic("broken invariant") }
 
-// TestBrokenInvariantsAreSeen guards that a panic is not mistaken for an exit request with code 0.
-func TestBrokenInvariantsAreSeen(t *testing.T) {
+// TestPanicIsNotAnExitRequest guards that a panic is not mistaken for an exit request with code 0.
+func TestPanicIsNotAnExitRequest(t *testing.T) {
 	defer func() {
 		if failure := recover(); failure != "broken invariant" {
 			t.Errorf("the panic became %v", failure)
@@ -21,7 +21,7 @@
 	t.Errorf("the program ended with code %d", code)
 }
 
-func TestHelpEndsTheProgramWell(t *testing.T) {
+func TestHelpExitsWithZero(t *testing.T) {
 	if code := run([]string{"--help"}, nil, io.Discard, io.Discard); code != 0 {
 		t.Errorf("code %d, want 0", code)
 	}
--- a/internal/admission/cluster_test.go
+++ b/internal/admission/cluster_test.go
@@ -302,7 +302,7 @@
 	})
 }
 
-func TestCreditsOfALostHomeLapse(t *testing.T) {
+func TestCreditsOfUnreachableHomeExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestPaceSparesNormalService checks that under normal traffic, with bursts of twice the base rate, paceScore penalizes at most a quarter
+// TestPaceRarelyPenalizesNormalTraffic checks that under normal traffic, with bursts of twice the base rate, paceScore penalizes at most a quarter
 // of the requests.
-func TestPaceSparesNormalService(t *testing.T) {
+func TestPaceRarelyPenalizesNormalTraffic(t *testing.T) {
 	t.Parallel()
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
--- a/internal/balance/distance_test.go
+++ b/internal/balance/distance_test.go
@@ -19,9 +19,9 @@
 	return directory, region.NewTopology(map[string]string{"n1": "north", "n2": "north", "s1": "south"})
 }
 
-// TestDistanceInThreeSteps checks that the nearest of about equally loaded replicas is picked, and that a replica on which the request
+// TestPickPrefersNearestOfEquallyLoaded checks that the nearest of about equally loaded replicas is picked, and that a replica on which the request
 // would wait loses even to one in another region.
-func TestDistanceInThreeSteps(t *testing.T) {
+func TestPickPrefersNearestOfEquallyLoaded(t *testing.T) {
 	const objective = 300 * time.Millisecond
 	for _, test := range []struct {
 		name            string
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -8,9 +8,9 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// TestChoicesOfManyNodesDoNotMeet checks that nodes that see the same load do not all pick the emptiest replica, and that a batch item
+// TestPicksOfManyNodesSpread checks that nodes that see the same load do not all pick the emptiest replica, and that a batch item
 // does.
-func TestChoicesOfManyNodesDoNotMeet(t *testing.T) {
+func TestPicksOfManyNodesSpread(t *testing.T) {
 	const replicas, choices = 30, 3000
 	directory := replica.NewDirectory()
 	var infos []replica.Info
--- a/internal/balance/scorers_test.go
+++ b/internal/balance/scorers_test.go
@@ -8,9 +8,9 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// TestRoomForOneMoreDecides checks, for replicas with few slots, that one on which the request would wait loses to one in another zone,
+// TestFullReplicaLosesToOtherZone checks, for replicas with few slots, that one on which the request would wait loses to one in another zone,
 // while a slightly fuller one with a free slot does not.
-func TestRoomForOneMoreDecides(t *testing.T) {
+func TestFullReplicaLosesToOtherZone(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
 		name      string
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestShortPromptsGoWhereLittleIsRead checks that queued prefill of other nodes counts against a replica, and that it no longer counts
+// TestPickAvoidsQueuedPrefill checks that queued prefill of other nodes counts against a replica, and that it no longer counts
 // when it is a minute old.
-func TestShortPromptsGoWhereLittleIsRead(t *testing.T) {
+func TestPickAvoidsQueuedPrefill(t *testing.T) {
 	now := time.Now()
 	directory := replica.NewDirectory()
 	directory.Replace([]replica.Info{
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestSlowReplicaIsPutBack checks that a replica on which work takes longer than usual loses to an otherwise equal one, but not to a full
+// TestSlowReplicaIsPenalized checks that a replica on which work takes longer than usual loses to an otherwise equal one, but not to a full
 // one.
-func TestSlowReplicaIsPutBack(t *testing.T) {
+func TestSlowReplicaIsPenalized(t *testing.T) {
 	now := time.Now()
 	directory := replica.NewDirectory()
 	directory.Replace([]replica.Info{
--- a/internal/batch/backlog_test.go
+++ b/internal/batch/backlog_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// TestHopelessJobIsRefusedAtOnce checks that, once the run time of items is known, a job that cannot be done within its retention is
+// TestJobThatExceedsItsRetentionIsRefused checks that, once the run time of items is known, a job that cannot be done within its retention is
 // refused with a time to retry. None of its items run, jobs accepted before are done, and the job is accepted once the backlog is
 // smaller.
-func TestHopelessJobIsRefusedAtOnce(t *testing.T) {
+func TestJobThatExceedsItsRetentionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := startOwner(t, singleReplica(slowReplica(20, 100*time.Millisecond)))
 		owner.routes.Table().Routes[0].Retention = time.Minute
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -150,7 +150,7 @@
 	node.transport.Start()
 	node.manager.Start()
 	var confined []ledger.Confined
-	for _, batchHome := range c.routes.Table().BatchHomes() {
+	for _, batchHome := range c.routes.Table().ConfinedBatchHosts() {
 		confined = append(confined, ledger.Confined{Key: batchHome.Host, Regions: batchHome.Regions})
 	}
 	node.manager.SetConfined(confined)
--- a/internal/batch/item_chance_test.go
+++ b/internal/batch/item_chance_test.go
@@ -181,12 +181,12 @@
 	return startPartition(t, unconfined, service, fleet, replicas.Network, routes, records...)
 }
 
-// TestItemThatComesOnIsDone guards against holding back harmless items. Replicas crashed some seconds apart for other reasons, and
+// TestItemWithProgressIsDone guards against holding back harmless items. Replicas crashed some seconds apart for other reasons, and
 // an item that was on two of them in turn was taken to end replicas: suspected after a run of 1959 ms, rejected 2.5 s later after a
 // resumed run of 1483 ms. No replica got it any more, and it was listed neither as done nor as given up. In each of the cases seen,
 // every run of the item had made events (5807 bytes in one of them) and had passed the point at which the run before had ended, so
 // no such point can have been the cause. Messages that did end replicas had made at most one event.
-func TestItemThatComesOnIsDone(t *testing.T) {
+func TestItemWithProgressIsDone(t *testing.T) {
 	for name, endAfter := range map[string][]time.Duration{
 		"two ends, the second run longer":  {290 * time.Millisecond, 1100 * time.Millisecond},
 		"two ends, the second run shorter": {900 * time.Millisecond, 400 * time.Millisecond},
@@ -257,11 +257,11 @@
 	}
 }
 
-// TestRecordedEndsThatTheTextHasPassedAreNotRecalled guards against holding back an item after a change of owners although each of
+// TestRecordedEndsBeforeLaterProgressAreNotRecalled guards against holding back an item after a change of owners although each of
 // its runs got further. After all storage nodes had been killed, the new owner rejected such an item with three ends: two recalled
 // from the log (runs of 3 s each), the third a grant made 135 ms before that had lapsed. The log contained the item's text, and that
 // it was longer each time, yet the recorded ends of replicas counted in full.
-func TestRecordedEndsThatTheTextHasPassedAreNotRecalled(t *testing.T) {
+func TestRecordedEndsBeforeLaterProgressAreNotRecalled(t *testing.T) {
 	text := func(events int) string { return strings.TrimSuffix(strings.Repeat("x\n", events), "\n") }
 	for name, test := range map[string]struct {
 		reached      []*uint32
@@ -292,10 +292,10 @@
 	}
 }
 
-// TestItemThatComesOnIsSuspectedNoLonger guards against keeping an item suspected that has made progress. An item waited 15 s for a
+// TestItemWithProgressIsCleared guards against keeping an item suspected that has made progress. An item waited 15 s for a
 // run apart on a busy service. A replica had ended under it at event 52; later runs, which were cut off to make room, got far beyond
 // that event (10979 bytes), but counted no more in its favour than runs without progress.
-func TestItemThatComesOnIsSuspectedNoLonger(t *testing.T) {
+func TestItemWithProgressIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newCrashingReplicas(12)
 		replicas.endAfter = []time.Duration{260 * time.Millisecond}
--- a/internal/batch/item_crash_test.go
+++ b/internal/batch/item_crash_test.go
@@ -215,9 +215,9 @@
 	})
 }
 
-// TestSuspectedItemLetsOthersGoFirst checks that a suspected item waits while the other messages that ran at the ended replica, for
+// TestSuspectedItemBacksOffAfterCrash checks that a suspected item waits while the other messages that ran at the ended replica, for
 // some of which callers wait, show what ended it, and that it continues at once when it is cleared.
-func TestSuspectedItemLetsOthersGoFirst(t *testing.T) {
+func TestSuspectedItemBacksOffAfterCrash(t *testing.T) {
 	for name, test := range map[string]struct {
 		clearAfter  time.Duration
 		from, until time.Duration
--- a/internal/batch/item_route_test.go
+++ b/internal/batch/item_route_test.go
@@ -9,10 +9,10 @@
 	"github.com/sloelift/sloelift/internal/replica/replicatest"
 )
 
-// TestOwnerBehindTheConfigurationGivesNothingUp guards against giving up an item as one without a route if its owner does not know
+// TestOwnerWithOlderConfigurationGivesUpNoItem guards against giving up an item as one without a route if its owner does not know
 // the route yet: an edge with a newer configuration had accepted the job, and the owner was cut off from that configuration for over
 // five seconds.
-func TestOwnerBehindTheConfigurationGivesNothingUp(t *testing.T) {
+func TestOwnerWithOlderConfigurationGivesUpNoItem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := startOwner(t, singleReplica(replicatest.Stream("s", true, false, eventOne)))
 		defer owner.stop()
--- a/internal/batch/saturation_test.go
+++ b/internal/batch/saturation_test.go
@@ -166,9 +166,9 @@
 	return 0
 }
 
-// TestFarTooMuchWork checks that, with three times the work that can be done, most of what can be done is done, and in time, few
+// TestOverload checks that, with three times the work that can be done, most of what can be done is done, and in time, few
 // runs are cut off, and callers' requests find room.
-func TestFarTooMuchWork(t *testing.T) {
+func TestOverload(t *testing.T) {
 	result := simulate(overload)
 	t.Logf("%+v", result)
 	free := float64(overload.slots)*(1-startFreeShare) - overload.online*startOnlineGrowth
--- a/internal/batch/state_test.go
+++ b/internal/batch/state_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestPartThatDoesNotFitIsPassedOver checks that a result that overtakes its last progress is neither listed with a gap in its text
+// TestRecordWithWrongOffsetIsIgnored checks that a result that overtakes its last progress is neither listed with a gap in its text
 // nor treated as an error, which would make the partition unreadable.
-func TestPartThatDoesNotFitIsPassedOver(t *testing.T) {
+func TestRecordWithWrongOffsetIsIgnored(t *testing.T) {
 	log := newLog(t)
 	log.add(acceptanceRecords(plainSubmission("j", 1), 1)...)
 	log.add(successRecord("j", 0, 3, "\nc"), progressRecord("j", 0, 0, "a\nb"), progressRecord("j", 0, 7, "late"))
--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -193,9 +193,9 @@
 	})
 }
 
-// TestSilentWatchersAreDoneWithout checks that nodes that receive nothing from the watchers, though these are alive by their view, watch
+// TestNodesWatchTheServiceWhenWatchersAreSilent checks that nodes that receive nothing from the watchers, though these are alive by their view, watch
 // the service themselves, and stop doing so once they receive messages again.
-func TestSilentWatchersAreDoneWithout(t *testing.T) {
+func TestNodesWatchTheServiceWhenWatchersAreSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
 		time.Sleep(2 * time.Second)
@@ -263,9 +263,9 @@
 	})
 }
 
-// TestUnansweredWatchersAreDoneWithout checks that changes are delivered after an outage of the service. Watchers without responses send
+// TestChangesArriveAfterAnOutageOfTheService checks that changes are delivered after an outage of the service. Watchers without responses send
 // no heartbeats, so that the other nodes watch the service themselves.
-func TestUnansweredWatchersAreDoneWithout(t *testing.T) {
+func TestChangesArriveAfterAnOutageOfTheService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(4)
 		time.Sleep(2 * time.Second)
--- a/internal/changefeed/late_changes_test.go
+++ b/internal/changefeed/late_changes_test.go
@@ -109,10 +109,10 @@
 	})
 }
 
-// TestChangeThatCameBeforeTheTurnEndedIsKept guards against losing a change that arrives while a node still watches the service itself.
+// TestChangeReceivedWhileWatchingServiceIsKept guards against losing a change that arrives while a node still watches the service itself.
 // The node receives nothing from the watchers, and its watch gets no response. The first message from a watcher brings a change and at the
 // same time makes the node stop watching the service; no later message contains the change.
-func TestChangeThatCameBeforeTheTurnEndedIsKept(t *testing.T) {
+func TestChangeReceivedWhileWatchingServiceIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
 		time.Sleep(2 * time.Second)
--- a/internal/coldstart/property_test.go
+++ b/internal/coldstart/property_test.go
@@ -46,7 +46,7 @@
 	return division.passes * division.requests
 }
 
-func TestColdReplicaGetsNoMoreThanItBears(t *testing.T) {
+func TestColdReplicaStaysWithinItsPasses(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{4, 23} {
 		for _, injected := range faultScenarios {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestPartsOfColdReplicasAreUsed(t *testing.T) {
+func TestPassesOfColdReplicasAreUsed(t *testing.T) {
 	t.Parallel()
 	for _, rate := range []float64{4, 23} {
 		seed := rand.Uint64()
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestCheckFindsWrongLimits(t *testing.T) {
+func TestPropertyDetectsFaultyLimiters(t *testing.T) {
 	t.Parallel()
 	for name, mutant := range map[string]func(Limiter) Limiter{
 		"no limit":                       func(Limiter) Limiter { return noLimit{} },
--- a/internal/config/relay/protocol_test.go
+++ b/internal/config/relay/protocol_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestNotReadyByARevisionBelowTheOneHeardOf(t *testing.T) {
+func TestNotReadyBelowRevisionOfMembership(t *testing.T) {
 	s := newSimulation(t.Fatalf)
 	s.settle(settleRounds, true)
 	s.restart(0, false)
--- a/internal/config/relay/service_test.go
+++ b/internal/config/relay/service_test.go
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestLostRelaysAreMadeUpFor(t *testing.T) {
+func TestLostDeltasAreRepaired(t *testing.T) {
 	onVirtualTime(t, func(_ *testing.T, c *cluster) {
 		c.lose(0.25)
 		for number := range 5 {
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestWatchesThatFellSilent(t *testing.T) {
+func TestSilentWatchesAreDetected(t *testing.T) {
 	onVirtualTime(t, func(_ *testing.T, c *cluster) {
 		c.platform.Faults().Set(platform.Fault{Service: platform.KeyValue, Outage: platform.OutageHangs})
 		time.Sleep(time.Second)
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestLostAnswerIsNeverCalledNotRun: every commit of the key-value service ends without a response. The outcome must be indeterminate.
-func TestLostAnswerIsNeverCalledNotRun(t *testing.T) {
+// TestLostResponseIsIndeterminate: every commit of the key-value service ends without a response. The outcome must be indeterminate.
+func TestLostResponseIsIndeterminate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keyValue := newFakeKeyValue()
 		keyValue.fault = func() commitFault { return lostBeforeEffect }
--- a/internal/discovery/revisions_test.go
+++ b/internal/discovery/revisions_test.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 )
 
-// TestGatheringIsNoReasonToList checks that a node does not list again for a change that the watchers batch for 600 ms before they forward
+// TestBatchedChangeCausesNoListing checks that a node does not list again for a change that the watchers batch for 600 ms before they forward
 // it, but does so if the change arrives much later.
-func TestGatheringIsNoReasonToList(t *testing.T) {
+func TestBatchedChangeCausesNoListing(t *testing.T) {
 	const gather = 600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		tracked := newRevisions(func(int64) {}, zerolog.Nop())
--- a/internal/evacuation/register_test.go
+++ b/internal/evacuation/register_test.go
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestNeverBackWhateverTheOrder: listings and changes arrive late, repeatedly and out of order. The newest state that has arrived is always in
+// TestOlderRevisionsAreIgnoredInAnyOrder: listings and changes arrive late, repeatedly and out of order. The newest state that has arrived is always in
 // force, and the last state in the end.
-func TestNeverBackWhateverTheOrder(t *testing.T) {
+func TestOlderRevisionsAreIgnoredInAnyOrder(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 1))
--- a/internal/forward/ended_replica_test.go
+++ b/internal/forward/ended_replica_test.go
@@ -13,11 +13,11 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestReplicaThatAnswersAgainHasCostAnAttempt guards against more runs than the route allows. A run whose replica is taken to have exited
+// TestRunAtReplicaThatAnswersAgainCountsAsAttempt guards against more runs than the route allows. A run whose replica is taken to have exited
 // costs a request none of its attempts, as an exited replica runs nothing. A replica that refuses connections for a moment and then
 // answers has run the request like any other. Before its run was counted, a request with two allowed attempts ran on three live
 // replicas, and with up to three such replicas on five.
-func TestReplicaThatAnswersAgainHasCostAnAttempt(t *testing.T) {
+func TestRunAtReplicaThatAnswersAgainCountsAsAttempt(t *testing.T) {
 	for name, test := range map[string]struct {
 		answersAgain bool
 		requests     int
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestRefusalsOfItsOwn(t *testing.T) {
+func TestRejectionsByTheHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{"a": replicatest.Answer(200, replicatest.Signed, "")})
 		for _, test := range []struct {
--- a/internal/forward/quarantined_test.go
+++ b/internal/forward/quarantined_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestBystandersRunAgainAtNoCost(t *testing.T) {
+func TestRetryAfterReplicaExitCostsNoBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{
 			"a": replicatest.Stream("s1", false, false, "id: 1\ndata: x\n\n"), "b": replicatest.Stream("s2", true, false, "id: 2\ndata: y\n\n"),
--- a/internal/forward/replaced_test.go
+++ b/internal/forward/replaced_test.go
@@ -10,8 +10,8 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestReplicaThatAnotherOneAnswersForIsDown: one request finds out, and later ones do not try the replica.
-func TestReplicaThatAnotherOneAnswersForIsDown(t *testing.T) {
+// TestMisdirectedReplicaIsTriedOnce: one request finds out, and later ones do not try the replica.
+func TestMisdirectedReplicaIsTriedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newEdgeUnderTest(t, route.NotRepeatable, false, map[string]replicatest.Script{
 			"a": replicatest.Answer(http.StatusMisdirectedRequest, "", "another"), "b": replicatest.Answer(http.StatusOK, replicatest.Signed, "ok"),
--- a/internal/forward/route_estimate_test.go
+++ b/internal/forward/route_estimate_test.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-func TestWaitedIsJudgedByTheUsualDeadline(t *testing.T) {
+func TestAlreadyWaitedUsesMedianTimeout(t *testing.T) {
 	expected := newRouteEstimates().forRoute(&route.Route{Name: "r", Timeout: 5 * time.Second})
 	if waited := expected.alreadyWaited(4200 * time.Millisecond); waited != 800*time.Millisecond {
 		t.Errorf("a first caller who waits 0.8 s less than the route's timeout has waited %s", waited)
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestNeededTimeIsThatOfQuickRequests(t *testing.T) {
+func TestUncontendedLatencyIsThatOfQuickRequests(t *testing.T) {
 	expected := &routeEstimate{}
 	for turn := range 2000 {
 		after := 80 * time.Millisecond
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -288,10 +288,10 @@
 	return nil
 }
 
-// TestUnawareOwnerAnswersNoReads checks reads sent to a stale owner, which has not noticed
+// TestStaleOwnerServesNoReads checks reads sent to a stale owner, which has not noticed
 // its successor. They must not return an older state of the job than was read before, nor
 // miss the job.
-func TestUnawareOwnerAnswersNoReads(t *testing.T) {
+func TestStaleOwnerServesNoReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 3)
 		faults := &faultRun{testCluster: cluster, random: rand.New(rand.NewPCG(1, 1))}
@@ -313,10 +313,10 @@
 	})
 }
 
-// TestUnawareOwnerDispatchesNothingAfterTheCancel checks that a stale owner, which has not
+// TestStaleOwnerDispatchesNothingAfterCancel checks that a stale owner, which has not
 // noticed its successor, dispatches no item after the successor acknowledged the cancel,
 // although credits become free at that moment.
-func TestUnawareOwnerDispatchesNothingAfterTheCancel(t *testing.T) {
+func TestStaleOwnerDispatchesNothingAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t, 3)
 		faults := &faultRun{testCluster: cluster, random: rand.New(rand.NewPCG(1, 1))}
--- a/internal/job/item_run_test.go
+++ b/internal/job/item_run_test.go
@@ -14,9 +14,9 @@
 	"github.com/sloelift/sloelift/internal/pause"
 )
 
-// TestRevokedMarkedItemKeepsItsRun checks that the run of an item that is not repeatable
+// TestRevokedCreditKeepsNotRepeatableRun checks that the run of an item that is not repeatable
 // continues when its credit is revoked.
-func TestRevokedMarkedItemKeepsItsRun(t *testing.T) {
+func TestRevokedCreditKeepsNotRepeatableRun(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, _ int) error {
 			pause.Sleep(ctx, time.Second)
@@ -35,9 +35,9 @@
 	})
 }
 
-// TestRevokedItemGoesOnBehindItsTokens checks that a repeatable item whose credit is revoked
+// TestItemWithRevokedCreditResumesAfterItsTokens checks that a repeatable item whose credit is revoked
 // is cancelled and resumes after the tokens received so far.
-func TestRevokedItemGoesOnBehindItsTokens(t *testing.T) {
+func TestItemWithRevokedCreditResumesAfterItsTokens(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		var offsets sync.Map
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, request engine.Request, token int) error {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -71,9 +71,9 @@
 	return r.Reader.Read(into)
 }
 
-// TestSubmissionCutOffIsNoJob checks that a submission cancelled during the upload creates
+// TestInterruptedSubmissionCreatesNoJob checks that a submission cancelled during the upload creates
 // no job and that its chunks are dropped.
-func TestSubmissionCutOffIsNoJob(t *testing.T) {
+func TestInterruptedSubmissionCreatesNoJob(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -126,10 +126,10 @@
 	})
 }
 
-// TestCancelCutsNoCallOff checks that a cancel neither interrupts engine calls that have
+// TestCancelWaitsForPendingEngineCalls checks that a cancel neither interrupts engine calls that have
 // begun nor is acknowledged before they have reached the engine: the engine could still
 // read an interrupted request after the acknowledgement.
-func TestCancelCutsNoCallOff(t *testing.T) {
+func TestCancelWaitsForPendingEngineCalls(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		answer := make(chan struct{})
 		var cut atomic.Int32
@@ -196,7 +196,7 @@
 	})
 }
 
-func TestListsGoOnBehindTheLastID(t *testing.T) {
+func TestListContinuesAfterLastID(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		want := make(map[string]bool)
 		for number := range 9 {
--- a/internal/job/owner_keys_files_test.go
+++ b/internal/job/owner_keys_files_test.go
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestFullStoresRefuseAndSayWhenToComeBack(t *testing.T) {
+func TestFullStoresRefuseWithRetryAfter(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		full := outcome.New(outcome.NotRun, outcome.ReasonStorageFull, "full").After(7 * time.Second)
 		for _, log := range cluster.logs {
--- a/internal/job/takeover_test.go
+++ b/internal/job/takeover_test.go
@@ -102,9 +102,9 @@
 	})
 }
 
-// TestMarkedItemWhoseRunIsGoneIsIndeterminate checks that an item that is not repeatable is
+// TestNotRepeatableItemWithLostRunIsIndeterminate checks that an item that is not repeatable is
 // not run again when its engine no longer has the run.
-func TestMarkedItemWhoseRunIsGoneIsIndeterminate(t *testing.T) {
+func TestNotRepeatableItemWithLostRunIsIndeterminate(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		cluster.engine.onToken = func(ctx context.Context, _ engine.Endpoint, _ engine.Request, token int) error {
 			if token == 2 {
@@ -130,9 +130,9 @@
 	})
 }
 
-// TestRequestLeavesAPausedOwnerForItsSuccessor checks that a request pending at a paused
+// TestRequestMovesFromPausedOwnerToSuccessor checks that a request pending at a paused
 // owner is sent to the new owner within a second.
-func TestRequestLeavesAPausedOwnerForItsSuccessor(t *testing.T) {
+func TestRequestMovesFromPausedOwnerToSuccessor(t *testing.T) {
 	runWithCluster(t, func(t *testing.T, cluster *testCluster) {
 		partition := cluster.nodes[0].PartitionOf(idempotencyKey("registry", "key"))
 		owner := cluster.owners[partition]
--- a/internal/ledger/confined_test.go
+++ b/internal/ledger/confined_test.go
@@ -241,9 +241,9 @@
 	}
 }
 
-// TestFormerHomesAreServed checks that a confined partition that is no longer configured is still found, also by nodes
+// TestUnconfiguredConfinedPartitionsAreServed checks that a confined partition that is no longer configured is still found, also by nodes
 // that were never configured with it.
-func TestFormerHomesAreServed(t *testing.T) {
+func TestUnconfiguredConfinedPartitionsAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		north, confined := confinedToNorth()
 		c := newRegionsCluster(t, 35, map[string]int{"north": 3, "south": 3}, confined)
@@ -268,9 +268,9 @@
 	})
 }
 
-// TestNothingConfinedCostsNothing checks that without confined keys only the head's partitions exist and an idle ledger
+// TestNoConfinedKeysMakeNoKeyValueCalls checks that without confined keys only the head's partitions exist and an idle ledger
 // makes no calls to the key-value service.
-func TestNothingConfinedCostsNothing(t *testing.T) {
+func TestNoConfinedKeysMakeNoKeyValueCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionsCluster(t, 36, map[string]int{"north": 3, "south": 3})
 		defer c.stopAll()
--- a/internal/ledger/gather_test.go
+++ b/internal/ledger/gather_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// TestGatheringEnds checks that a node waits for a member that does not come back for Timing.Gather at most.
-func TestGatheringEnds(t *testing.T) {
+// TestWaitForMembersIsBounded checks that a node waits for a member that does not come back for Timing.Gather at most.
+func TestWaitForMembersIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 12)
 		c.timing.MemberWait = 600 * time.Millisecond
--- a/internal/ledger/spare_test.go
+++ b/internal/ledger/spare_test.go
@@ -31,10 +31,10 @@
 	return acknowledged
 }
 
-// TestStoresThatDoNotAnswerDoNotTakeTurns: two stores were cut off, replaced, and are spares again. Then they are cut off
+// TestUnresponsiveStoresAreNotAddedAgain: two stores were cut off, replaced, and are spares again. Then they are cut off
 // together with two members, as if with their zone, while the membership considers all four alive. These four must not
 // replace one another in the ensemble repeatedly, which would leave it two members short for as long as it goes on.
-func TestStoresThatDoNotAnswerDoNotTakeTurns(t *testing.T) {
+func TestUnresponsiveStoresAreNotAddedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		c.ledger = settings.Ledger{Partitions: 1, Replicas: 5, WriteQuorum: 3, MembersDecide: true}
--- a/internal/loadshare/relays_test.go
+++ b/internal/loadshare/relays_test.go
@@ -23,9 +23,9 @@
 	return &frames
 }
 
-// TestNothingNewIsNotRelayed: while loads do not change, exchanges relay only every unchangedRelayInterval, however often nodes report and
+// TestUnchangedLoadIsRelayedRarely: while loads do not change, exchanges relay only every unchangedRelayInterval, however often nodes report and
 // query, and do not answer each other's messages. A change is relayed at once.
-func TestNothingNewIsNotRelayed(t *testing.T) {
+func TestUnchangedLoadIsRelayedRarely(t *testing.T) {
 	const span = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		shared := startNodes(t)
--- a/internal/membership/protocol_test.go
+++ b/internal/membership/protocol_test.go
@@ -214,7 +214,7 @@
 
 // A node whose clock went back may restart with an incarnation that it had before. Others then hold
 // revisions of the earlier run until the node learns of that incarnation and exceeds it.
-func TestLifeUnderTheIncarnationOfAFormerOne(t *testing.T) {
+func TestRestartReusesEarlierIncarnation(t *testing.T) {
 	for _, raised := range []bool{false, true} {
 		s := newSimulation(t, 0)
 		node := s.nodes[2]
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -81,7 +81,7 @@
 }
 
 // If all nodes are slow at once, the load of suspicions must not cause further suspicions.
-func TestSlownessOfAllKillsNobodyAndPasses(t *testing.T) {
+func TestGlobalSlownessCausesNoDeaths(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 70, 7, 3, 11)
 		defer c.stopAll()
--- a/internal/node/batch_regions.go
+++ b/internal/node/batch_regions.go
@@ -11,7 +11,7 @@
 func followBatchRegions(lifecycle fx.Lifecycle, routes *route.Holder, manager *ledger.Manager) {
 	apply := func(table *route.Table) {
 		var confined []ledger.Confined
-		for _, batchHome := range table.BatchHomes() {
+		for _, batchHome := range table.ConfinedBatchHosts() {
 			confined = append(confined, ledger.Confined{Key: batchHome.Host, Regions: batchHome.Regions})
 		}
 		manager.SetConfined(confined)
--- a/internal/platform/adaptive_timeout_test.go
+++ b/internal/platform/adaptive_timeout_test.go
@@ -46,7 +46,7 @@
 	return near, nil
 }
 
-func TestPatience(t *testing.T) {
+func TestAnswerTimeoutAdaptsToLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := &slowNetwork{}
 		exchanger := NewExchanger(service, netip.MustParseAddrPort("127.0.0.1:1"))
--- a/internal/platform/settle_test.go
+++ b/internal/platform/settle_test.go
@@ -113,9 +113,9 @@
 	return s.entry, nil
 }
 
-// TestCommitSettledTellsTheTruth checks that a write takes effect at most once, and that the reported outcome
+// TestCommitSettledReportsTrueOutcome checks that a write takes effect at most once, and that the reported outcome
 // is correct.
-func TestCommitSettledTellsTheTruth(t *testing.T) {
+func TestCommitSettledReportsTrueOutcome(t *testing.T) {
 	outcomes := rapid.SliceOfN(rapid.SampledFrom([]callOutcome{succeeds, refused, lostRequest, lostAnswer, delayed, delayed}), 1, 8)
 	events := rapid.SliceOfN(rapid.SampledFrom([]event{nothing, nothing, applyDelayed, applyDelayed, otherWrites}), 6, 16)
 	rapid.Check(t, func(r *rapid.T) {
--- a/internal/quarantine/aborted_test.go
+++ b/internal/quarantine/aborted_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestLongRunsThatComeOnDoNotCount(t *testing.T) {
+func TestLongRunsWithProgressDoNotCount(t *testing.T) {
 	for name, test := range map[string]struct {
 		ran    time.Duration
 		ending Ending
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestEndsApartCountWhateverElseRanThere guards the bound of three ended replicas when another message that crashes
+// TestEndsUnderGrantCountDespiteOtherCause guards the bound of three ended replicas when another message that crashes
 // replicas ran at the same two replicas, each time beside many others.
-func TestEndsApartCountWhateverElseRanThere(t *testing.T) {
+func TestEndsUnderGrantCountDespiteOtherCause(t *testing.T) {
 	crowd := func(round int) []string {
 		names := []string{"cause", "other"}
 		for number := range 8 {
@@ -276,9 +276,9 @@
 	}
 }
 
-// TestKeyIsThatOfTheBuildBefore guards against a change of the digest: nodes of two builds run side by side during an
+// TestKeyMatchesPreviousBuild guards against a change of the digest: nodes of two builds run side by side during an
 // upgrade, and must count the same items together.
-func TestKeyIsThatOfTheBuildBefore(t *testing.T) {
+func TestKeyMatchesPreviousBuild(t *testing.T) {
 	for want, message := range map[string]Message{
 		"9119a2aa1cdc": {Method: "POST", Host: "h", Target: "/jobs/1", PromptParts: "a:1,b:2"},
 		"23c128f0595d": {Method: "POST", Host: "h", Target: "/jobs/1", Body: []byte("text")},
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -268,11 +268,11 @@
 	})
 }
 
-// TestGrantThatIsGivenBackBeforeItIsAskedForIsNotGiven guards items against rejection by a grant that nobody held. A
+// TestRunReleasedBeforeItsRequestIsNotGranted guards items against rejection by a grant that nobody held. A
 // keeper was paused while the owner asked three times without reaching it and released each request, with nine calls
 // that failed. When the keeper continued it handled the requests in any order, gave a grant after its release, and
 // counted its lapse as a third ended replica: the item was held back for good, though only two replicas had ended.
-func TestGrantThatIsGivenBackBeforeItIsAskedForIsNotGiven(t *testing.T) {
+func TestRunReleasedBeforeItsRequestIsNotGranted(t *testing.T) {
 	inCluster(t, 1, 2, func(t *testing.T, c *cluster) {
 		member, key := c.nodes[0], keyOf("a")
 		member.Recall(key, recordedEnds(1), 0)
--- a/internal/quarantine/progress_test.go
+++ b/internal/quarantine/progress_test.go
@@ -23,9 +23,9 @@
 	return store
 }
 
-// TestWhatAnAnswerHasPassedDoesNotCount: a message that crashes replicas does so at the same point of its answer. An
+// TestEndsThatTheAnswerProgressedPastDoNotCount: a message that crashes replicas does so at the same point of its answer. An
 // end at a point that the answer has progressed past was not caused by the message.
-func TestWhatAnAnswerHasPassedDoesNotCount(t *testing.T) {
+func TestEndsThatTheAnswerProgressedPastDoNotCount(t *testing.T) {
 	for name, test := range map[string]struct {
 		ends []endWithProgress
 		want Verdict
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestNewOwnerClearsWhatTheTextHasPassed: the previous owner of an item shared the end of a replica and was killed. The
+// TestNewOwnerClearsEndsThatTheAnswerProgressedPast: the previous owner of an item shared the end of a replica and was killed. The
 // log shows the new owner that the answer has progressed past that point.
-func TestNewOwnerClearsWhatTheTextHasPassed(t *testing.T) {
+func TestNewOwnerClearsEndsThatTheAnswerProgressedPast(t *testing.T) {
 	for events, want := range map[int]Verdict{52: Apart, 300: Allowed} {
 		inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
 			key, next := keyOf("item"), c.nodes[1]
--- a/internal/quota/lender_test.go
+++ b/internal/quota/lender_test.go
@@ -46,10 +46,10 @@
 	share     float64
 }
 
-// TestPartBringsItsLimitOnce: in any span, the borrowers of one part may spend at most its rate times the span, plus its burst, plus
+// TestLeasesOfAPartStayWithinItsLimit: in any span, the borrowers of one part may spend at most its rate times the span, plus its burst, plus
 // startupShare of the rate for leaseDuration with each restart of the lender. This holds for any order of requests, any delay of answers and
 // any number of restarts.
-func TestPartBringsItsLimitOnce(t *testing.T) {
+func TestLeasesOfAPartStayWithinItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const (
 			step  = 50 * time.Millisecond
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestNothingIsGivenTwice: requests granted before all edges were killed are not granted again after their restart.
-func TestNothingIsGivenTwice(t *testing.T) {
+// TestRestartGrantsNothingTwice: requests granted before all edges were killed are not granted again after their restart.
+func TestRestartGrantsNothingTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 9)
 		holder := limitedTenant()
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestOldBucketIsNoBurst: the level that an edge had left from an earlier partition is not granted again in addition to the grantor on the
+// TestLevelOfEarlierPartitionIsNotGrantedAgain: the level that an edge had left from an earlier partition is not granted again in addition to the grantor on the
 // other side of the present one.
-func TestOldBucketIsNoBurst(t *testing.T) {
+func TestLevelOfEarlierPartitionIsNotGrantedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10)
 		holder := limitedTenant()
@@ -215,8 +215,8 @@
 	})
 }
 
-// TestLowerLimitTakesHold: the grantor uses the limit of the newest configuration that any edge sends.
-func TestLowerLimitTakesHold(t *testing.T) {
+// TestNewestConfigurationDecidesLimit: the grantor uses the limit of the newest configuration that any edge sends.
+func TestNewestConfigurationDecidesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 9)
 		holder := limitedTenant()
--- a/internal/quota/zone_cut_test.go
+++ b/internal/quota/zone_cut_test.go
@@ -80,8 +80,8 @@
 	})
 }
 
-// TestEdgeIsNoSignOfItsOwnZone: an isolated edge does not count its own answer as one from its zone.
-func TestEdgeIsNoSignOfItsOwnZone(t *testing.T) {
+// TestIsolatedEdgeDoesNotAnswerItsOwnProbe: an isolated edge does not count its own answer as one from its zone.
+func TestIsolatedEdgeDoesNotAnswerItsOwnProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 6)
 		cluster.assignZones(2)
--- a/internal/replica/cold_test.go
+++ b/internal/replica/cold_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestAheadCountsFromWhatAReplicaBore(t *testing.T) {
+func TestPaceExcessIsRelativeToUsualRate(t *testing.T) {
 	t.Parallel()
 	start := time.Now().Truncate(time.Second)
 	var counted pace
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestColdReplicasAreLittleRoom checks that a cold replica counts for one slot in capacity estimates, by which requests are held back and
+// TestColdReplicaCountsOneSlot checks that a cold replica counts for one slot in capacity estimates, by which requests are held back and
 // batch items yield.
-func TestColdReplicasAreLittleRoom(t *testing.T) {
+func TestColdReplicaCountsOneSlot(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		directory := boundedDirectory(true)
--- a/internal/replica/report_test.go
+++ b/internal/replica/report_test.go
@@ -16,9 +16,9 @@
 	return load, err
 }
 
-// TestReportOfAnotherLifeIsNotNoted checks that a load report of another incarnation is not recorded, and that one of a later incarnation
+// TestLoadReportOfAnotherIncarnationIsRejected checks that a load report of another incarnation is not recorded, and that one of a later incarnation
 // shows that the one in the directory has ended. A report or entry without a start time matches any incarnation.
-func TestReportOfAnotherLifeIsNotNoted(t *testing.T) {
+func TestLoadReportOfAnotherIncarnationIsRejected(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1000")
 	for _, test := range []struct {
 		name              string
--- a/internal/roster/relay_test.go
+++ b/internal/roster/relay_test.go
@@ -88,7 +88,7 @@
 
 // A node that did not receive the last answer reports the version before it, and is sent its whole
 // part.
-func TestLostAnswerIsMadeGood(t *testing.T) {
+func TestLostAnswerResendsWholePart(t *testing.T) {
 	roster := rosterOf(1000)
 	relay := relayOf(roster)
 	first := mustAnswer(t, relay, questionOf(0, nil, 0))
@@ -103,7 +103,7 @@
 // A node that does not hold the list answers with an error at the end of the hold. One that only
 // knows that the list is long answers that other nodes keep it. One with a short list answers that
 // each node keeps all of it.
-func TestWhatIsNotKeptIsNotAnswered(t *testing.T) {
+func TestAnswerWithoutWholeList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		roster := New()
 		relay := relayOf(roster)
--- a/internal/route/homes.go
+++ b/internal/route/homes.go
@@ -31,9 +31,9 @@
 	Regions region.Set
 }
 
-// BatchHomes returns the confined homes of all batch routes, with and without each tenant, sorted and without duplicates; nil if the table
+// ConfinedBatchHosts returns the confined homes of all batch routes, with and without each tenant, sorted and without duplicates; nil if the table
 // confines no data.
-func (t *Table) BatchHomes() []ConfinedHost {
+func (t *Table) ConfinedBatchHosts() []ConfinedHost {
 	var found []ConfinedHost
 	for _, batchRoute := range t.Routes {
 		if batchRoute.Kind != Batch {
--- a/internal/route/homes_test.go
+++ b/internal/route/homes_test.go
@@ -56,13 +56,13 @@
 		tenantWith("free"), tenantWith("south", "south"), tenantWith("both", "north", "south"),
 	})
 	var got []string
-	for _, home := range table.BatchHomes() {
+	for _, home := range table.ConfinedBatchHosts() {
 		got = append(got, home.Host+" "+strings.Join(home.Regions.Names(), ","))
 	}
 	if want := []string{"b north,south", "b south", "c north"}; !slices.Equal(got, want) {
 		t.Errorf("homes %v, want %v", got, want)
 	}
-	if homes := NewTable(1, []*Route{{Name: "free", Kind: Batch}}, nil, Limits{}).BatchHomes(); homes != nil {
+	if homes := NewTable(1, []*Route{{Name: "free", Kind: Batch}}, nil, Limits{}).ConfinedBatchHosts(); homes != nil {
 		t.Errorf("a table that confines nothing has homes %v", homes)
 	}
 }
--- a/internal/session/non_repeatable_test.go
+++ b/internal/session/non_repeatable_test.go
@@ -16,7 +16,7 @@
 	return request
 }
 
-func TestMarkedRequestSentAgainGetsTheSameAnswer(t *testing.T) {
+func TestResentNonRepeatableRequestGetsTheSameAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes, claimer := newFakeFleet(), newFakeClaimer()
 		for attempt := range 3 {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestMarkedRequestThatWasRefusedRunsWhenSentAgain(t *testing.T) {
+func TestRefusedNonRepeatableRequestRunsWhenResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refused := fault{open: "refused"}
 		fakes, claimer := newFakeFleet(refused, refused, refused, refused), newFakeClaimer()
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestMarkedRequestIsNotRunWithoutItsClaim(t *testing.T) {
+func TestNonRepeatableRequestIsNotRunWithoutItsClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes, claimer := newFakeFleet(), newFakeClaimer()
 		claimer.down = true
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestMarkedRunThatWasLostIsIndeterminateForAll(t *testing.T) {
+func TestLostNonRepeatableRunIsIndeterminateForAllCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes, claimer := newFakeFleet(fault{cut: 2}, fault{forget: true}), newFakeClaimer()
 		for attempt := range 2 {
--- a/internal/session/runner_test.go
+++ b/internal/session/runner_test.go
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestHungEngineIsLeft has an engine that sends nothing on an open stream: the runner waits if
+// TestRequestOnAHungEngineIsRetriedElsewhere has an engine that sends nothing on an open stream: the runner waits if
 // the engine answers probes, and retries on another replica if it does not.
-func TestHungEngineIsLeft(t *testing.T) {
+func TestRequestOnAHungEngineIsRetriedElsewhere(t *testing.T) {
 	for hung, starts := range map[string]int{"": 1, "r1": 2} {
 		synctest.Test(t, func(t *testing.T) {
 			fakes := newFakeFleet()
@@ -236,9 +236,9 @@
 	}
 }
 
-// TestMarkedRequestOnAHungEngineStaysThere guards against starting a non-repeatable request on a
+// TestNonRepeatableRequestWaitsForAHungEngine guards against starting a non-repeatable request on a
 // second replica: the runner waits for the replica that may have run it.
-func TestMarkedRequestOnAHungEngineStaysThere(t *testing.T) {
+func TestNonRepeatableRequestWaitsForAHungEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := newFakeFleet()
 		fakes.block, fakes.hungReplica = make(chan struct{}), "r1"
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestOverridesGoFirst(t *testing.T) {
+func TestOverridesTakePrecedence(t *testing.T) {
 	want := netip.MustParseAddrPort("127.0.0.1:9090")
 	source := strings.ReplaceAll(validFile, "zone: shadman-hall\n", "")
 	loaded, err := Parse([]byte(source), Overrides{AdminAddress: want, Zone: "gulberg-hall"})
--- a/internal/snapshotcache/cache_test.go
+++ b/internal/snapshotcache/cache_test.go
@@ -14,8 +14,8 @@
 // soon is longer than a starting node needs to get copies from nodes that respond at once.
 const soon = 2 * firstListingTimeout
 
-// TestNormalStartAsksNobody: if the service answers at once, no other node is asked and the service is called once per node.
-func TestNormalStartAsksNobody(t *testing.T) {
+// TestNoFetchWhenServiceAnswers: if the service answers at once, no other node is asked and the service is called once per node.
+func TestNoFetchWhenServiceAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		store := serviceAt(5)
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestSlowServiceIsTakenOver: the service takes 300 ms to answer. The node uses one copy until then, and none after the listing.
-func TestSlowServiceIsTakenOver(t *testing.T) {
+// TestSlowListingReplacesCopy: the service takes 300 ms to answer. The node uses one copy until then, and none after the listing.
+func TestSlowListingReplacesCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		holder := c.start(1, nodeOptions{store: serviceAt(5)})
@@ -145,8 +145,8 @@
 	})
 }
 
-// TestCutOffNodeAsksSeldom: a node that reaches no other node limits its rate of fetches, and gets a copy once the network heals.
-func TestCutOffNodeAsksSeldom(t *testing.T) {
+// TestIsolatedNodeLimitsFetches: a node that reaches no other node limits its rate of fetches, and gets a copy once the network heals.
+func TestIsolatedNodeLimitsFetches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		holder := c.start(1, nodeOptions{store: serviceAt(5)})
@@ -168,8 +168,8 @@
 	})
 }
 
-// TestSeedsThatAreGoneCostLittle: no seed answers, by timeout or by an immediate error. The node gets a copy from a member that it knows.
-func TestSeedsThatAreGoneCostLittle(t *testing.T) {
+// TestUnreachableSeedsDoNotDelayCopy: no seed answers, by timeout or by an immediate error. The node gets a copy from a member that it knows.
+func TestUnreachableSeedsDoNotDelayCopy(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t)
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestAnswerBehindListingIsDropped: a copy that arrives after the listing is dropped even if it is newer, since the watch delivers newer
+// TestCopyAfterListingIsDropped: a copy that arrives after the listing is dropped even if it is newer, since the watch delivers newer
 // content.
-func TestAnswerBehindListingIsDropped(t *testing.T) {
+func TestCopyAfterListingIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		c.network.SetConditions(func(netip.AddrPort, netip.AddrPort) memory.Conditions {
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -86,7 +86,7 @@
 	return given, nil
 }
 
-func TestPromisedLengthTakesNoMemoryAhead(t *testing.T) {
+func TestLengthPrefixAllocatesNoMemoryInAdvance(t *testing.T) {
 	reader := &fillReader{count: 100}
 	if _, err := readBody(reader, MaxFrameBytes); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatalf("got %v", err)
--- a/internal/transport/tcp_test.go
+++ b/internal/transport/tcp_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestUnreachablePeerNeverHadTheMessage(t *testing.T) {
+func TestCallToUnreachablePeerIsNotSent(t *testing.T) {
 	client, _ := newNode(t, loopback, nil)
 	gone, _ := newNode(t, loopback, nil)
 	gone.Stop()
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestBoundIsTheWorkWhereThereIsRoomAndTheRoomWhereThereIsNot(t *testing.T) {
+func TestBoundIsMinimumOfWorkAndCapacity(t *testing.T) {
 	small := load.Registry()
 	small.Online.RequestsPerSecond, small.Online.BurstRequestsPerSecond = 0, 0
 	small.Batch.JobsPerBurst, small.Batch.ItemsPerJob = 1, 4
--- a/lab/platform/metadata_test.go
+++ b/lab/platform/metadata_test.go
@@ -20,8 +20,8 @@
 	return store
 }
 
-// TestMetadataStoreSpeaksThePlatformsWords guards that the product's client and the simulated platform agree on the protocol of every call.
-func TestMetadataStoreSpeaksThePlatformsWords(t *testing.T) {
+// TestMetadataStoreProtocol guards that the product's client and the simulated platform agree on the protocol of every call.
+func TestMetadataStoreProtocol(t *testing.T) {
 	server := startServer(t, platform.Options{})
 	store, ctx := metadataClient(t, server), t.Context()
 	lease, err := store.GrantLease(ctx, time.Minute)
--- a/lab/roles/check_test.go
+++ b/lab/roles/check_test.go
@@ -22,8 +22,8 @@
 	return ended
 }
 
-// TestEachBrokenPromiseIsFound guards that every check reports its violation and reports nothing for a correct run.
-func TestEachBrokenPromiseIsFound(t *testing.T) {
+// TestEachViolationIsReported guards that every check reports its violation and reports nothing for a correct run.
+func TestEachViolationIsReported(t *testing.T) {
 	a, b, c := &replica{id: "a"}, &replica{id: "b"}, &replica{id: "c"}
 	good := work{Events: 2, Mark: "m"}
 	poison := work{Events: 2, Mark: "m", Fail: http.StatusInternalServerError}
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestUnlistedItemIsFoundBesideOneThatIsKept: an item that ends its replicas may be missing from the results, but a result for it must
+// TestMissingItemIsReportedDespiteResultOfQuarantinedItem: an item that ends its replicas may be missing from the results, but a result for it must
 // not make up for another item that is missing.
-func TestUnlistedItemIsFoundBesideOneThatIsKept(t *testing.T) {
+func TestMissingItemIsReportedDespiteResultOfQuarantinedItem(t *testing.T) {
 	kept, plain := item{id: "kept", work: work{EndsReplicaAt: 1}}, item{id: "plain"}
 	for name, test := range map[string]struct {
 		listed []wire.JobResult
--- a/lab/roles/run_test.go
+++ b/lab/roles/run_test.go
@@ -58,10 +58,10 @@
 	return report
 }
 
-// TestSeedsOfRealProcessesKeepTheirPromises plays the built program in both roles. Counts and contents are checked, not timings, so that
+// TestRealProcessesUnderDrawnFaults plays the built program in both roles. Counts and contents are checked, not timings, so that
 // the verdict does not depend on the speed of the machine. The first set makes partitions change owners repeatedly, which once caused
 // failing items to be sent more often than allowed; the second set draws from all faults.
-func TestSeedsOfRealProcessesKeepTheirPromises(t *testing.T) {
+func TestRealProcessesUnderDrawnFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays real processes for a minute")
 	}
@@ -113,9 +113,9 @@
 	playLongItems(t, 8000, []faultKind{crashInTurn}, 0)
 }
 
-// TestItemsThatEndReplicasEndThreeBesideCrashes guards that an item that ends its replicas ends at most three, even while other replicas
+// TestItemEndsAtMostThreeReplicas guards that an item that ends its replicas ends at most three, even while other replicas
 // crash.
-func TestItemsThatEndReplicasEndThreeBesideCrashes(t *testing.T) {
+func TestItemEndsAtMostThreeReplicas(t *testing.T) {
 	playLongItems(t, 8200, []faultKind{crashInTurn, crashReplica}, 0.02)
 }
 
