--- a/cmd/sloelift/role.go
+++ b/cmd/sloelift/role.go
@@ -24,7 +24,7 @@
 			return platform.NewStore(exchanger, watchWait)
 		},
 		Report: platform.LoadReport,
-		Batch:  func(door *batch.Client) node.BatchCalls { return platform.NewBatch(door) },
+		Batch:  func(client *batch.Client) node.BatchCalls { return platform.NewBatch(client) },
 	}
 }
 
--- a/internal/batch/door.go
+++ b/internal/batch/client.go
@@ -53,17 +53,17 @@
 	logger    zerolog.Logger
 }
 
-// NewClient returns a Door and registers its relay method.
+// NewClient returns a Client and registers its relay method.
 func NewClient(
 	locator ledger.Locator, homes ledger.ConfinedLocator, caller transport.Caller, registrar transport.Registrar, viewer membership.Viewer,
 	logger zerolog.Logger,
 ) *Client {
-	door := &Client{
+	client := &Client{
 		locator: locator, homes: homes, caller: caller, viewer: viewer, unreached: unreached.NewPeers(unreachableWindow),
 		logger: logger.With().Str(logging.FieldSlice, "batch").Logger(),
 	}
-	transport.Handle(registrar, methodRelay, func() *batchpb.RelayRequest { return &batchpb.RelayRequest{} }, door.serveRelay)
-	return door
+	transport.Handle(registrar, methodRelay, func() *batchpb.RelayRequest { return &batchpb.RelayRequest{} }, client.serveRelay)
+	return client
 }
 
 // Caller identifies who calls about a job. The jobs of one tenant are invisible to all others.
--- a/internal/batch/door_homes_test.go
+++ b/internal/batch/client_regions_test.go
@@ -109,7 +109,7 @@
 				homes.homes.refusal, homes.homes.settling = test.refusal, test.settling
 				homes.jobs[test.jobIn] = []string{"j"}
 				homes.silent[test.silent] = true
-				err := homes.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, test.regions)
+				err := homes.clients[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, test.regions)
 				if failure := outcome.As(err); (err != nil) != (test.reason != "") ||
 					(err != nil && (failure.Reason != test.reason || failure.Outcome != outcome.NotRun || failure.RetryAfter == 0)) {
 					t.Errorf("submission ends with %v", err)
@@ -142,11 +142,11 @@
 				homes.jobs[test.jobIn] = []string{"j"}
 				homes.silent[test.silent] = true
 				caller := Caller{Host: testHost}
-				response, err := homes.doors[0].Read(t.Context(), caller, "j", 0, 0)
+				response, err := homes.clients[0].Read(t.Context(), caller, "j", 0, 0)
 				if (err != nil) != test.fails || (err == nil && response.Found != test.found) {
 					t.Errorf("read: %v, %v", response, err)
 				}
-				ended, err := homes.doors[0].End(t.Context(), caller, "j")
+				ended, err := homes.clients[0].End(t.Context(), caller, "j")
 				if (err != nil) != test.fails || (err == nil && ended.Found != test.found) {
 					t.Errorf("end: %v, %v", ended, err)
 				}
@@ -169,7 +169,7 @@
 					cut := (from == cutOff && to == homes.owner) || (from == homes.owner && to == cutOff)
 					return memory.Conditions{Delay: time.Millisecond, Cut: cut}
 				})
-				err := homes.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.NewSet("north"))
+				err := homes.clients[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.NewSet("north"))
 				if (err != nil) != outside || (len(homes.submitted) == 0) != outside {
 					t.Errorf("submission ends with %v, submitted to %v", err, homes.submitted)
 				}
--- a/internal/batch/door_test.go
+++ b/internal/batch/client_test.go
@@ -57,7 +57,7 @@
 // testEdges are two edges and an owner on one network.
 type testEdges struct {
 	network *memory.Network
-	doors   []*Client
+	clients []*Client
 	homes   *fixedHomes
 	owner   netip.AddrPort
 	stop    func()
@@ -106,7 +106,7 @@
 	for _, self := range members[:2] {
 		edge := connect(self.PeerAddress)
 		view := fixedView{&membership.View{Self: self.ID, Members: members}}
-		created.doors = append(created.doors, NewClient(fixedLocator{created.owner}, created.homes, edge, edge, view, zerolog.Nop()))
+		created.clients = append(created.clients, NewClient(fixedLocator{created.owner}, created.homes, edge, edge, view, zerolog.Nop()))
 	}
 	for _, endpoint := range transports {
 		endpoint.Start()
@@ -143,7 +143,7 @@
 				cluster := newEdges(t, test.answer)
 				defer cluster.stop()
 				began := time.Now()
-				err := cluster.doors[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.Set{})
+				err := cluster.clients[0].Submit(t.Context(), testSubmission("j", 1), batchRoute, region.Set{})
 				if outcome.Of(err) != test.want || (err != nil && outcome.As(err).Reason != test.reason) {
 					t.Errorf("submission ends with %v", err)
 				}
@@ -165,11 +165,11 @@
 			cut := (from == cutOff && to == cluster.owner) || (from == cluster.owner && to == cutOff)
 			return memory.Conditions{Delay: time.Millisecond, Cut: cut}
 		})
-		if err := cluster.doors[0].Submit(t.Context(), testSubmission("j1", 1), batchRoute, region.Set{}); err != nil {
+		if err := cluster.clients[0].Submit(t.Context(), testSubmission("j1", 1), batchRoute, region.Set{}); err != nil {
 			t.Errorf("first submission: %v", err)
 		}
 		began := time.Now()
-		if err := cluster.doors[0].Submit(t.Context(), testSubmission("j2", 1), batchRoute, region.Set{}); err != nil || time.Since(began) > 100*time.Millisecond {
+		if err := cluster.clients[0].Submit(t.Context(), testSubmission("j2", 1), batchRoute, region.Set{}); err != nil || time.Since(began) > 100*time.Millisecond {
 			t.Errorf("second submission: %v after %s", err, time.Since(began))
 		}
 	})
--- a/internal/batch/homes_cluster_test.go
+++ b/internal/batch/homes_cluster_test.go
@@ -43,7 +43,7 @@
 	store     *store.Store
 	transport *memory.Transport
 	manager   *ledger.Manager
-	door      *Client
+	client    *Client
 	running   bool
 }
 
@@ -146,7 +146,7 @@
 		Settings: nodeSettings, Timing: timing, Logger: zerolog.Nop(), Local: node.store, Caller: caller, Registry: node.transport,
 		KeyValue: c.keyValue, Viewer: clusterView{c, node.id}, Factory: service.Factory(),
 	})
-	node.door = NewClient(node.manager, node.manager, caller, node.transport, clusterView{c, node.id}, zerolog.Nop())
+	node.client = NewClient(node.manager, node.manager, caller, node.transport, clusterView{c, node.id}, zerolog.Nop())
 	node.transport.Start()
 	node.manager.Start()
 	var confined []ledger.Confined
@@ -193,7 +193,7 @@
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			c.connected = node.address
-			return node.door
+			return node.client
 		}
 	}
 	return nil
@@ -245,22 +245,22 @@
 }
 
 // submit retries until the job is accepted.
-func (c *regionsCluster) submit(door *Client, job string, regions region.Set) {
+func (c *regionsCluster) submit(client *Client, job string, regions region.Set) {
 	c.t.Helper()
 	c.eventually("accepted "+job, func() error {
 		submission := testSubmission(job, 2)
 		for _, item := range submission.Items {
 			item.Body = []byte(secret)
 		}
-		return door.Submit(c.t.Context(), submission, c.routes.Table().Routes[0], regions)
+		return client.Submit(c.t.Context(), submission, c.routes.Table().Routes[0], regions)
 	})
 }
 
-// awaitResults waits until the door lists all results of the job.
-func (c *regionsCluster) awaitResults(door *Client, job string) {
+// awaitResults waits until the client lists all results of the job.
+func (c *regionsCluster) awaitResults(client *Client, job string) {
 	c.t.Helper()
 	c.eventually("results of "+job, func() error {
-		response, err := door.Read(c.t.Context(), Caller{Host: testHost}, job, 0, time.Second)
+		response, err := client.Read(c.t.Context(), Caller{Host: testHost}, job, 0, time.Second)
 		if err == nil && len(response.Results) < 2 {
 			err = fmt.Errorf("%d results", len(response.Results))
 		}
@@ -335,12 +335,12 @@
 }
 
 // cutFromStores cuts an edge off from all nodes with a store.
-func (c *regionsCluster) cutFromStores(door *Client) {
+func (c *regionsCluster) cutFromStores(client *Client) {
 	c.t.Helper()
 	var edge netip.AddrPort
 	stores := map[netip.AddrPort]bool{}
 	for _, node := range c.nodes {
-		if node.door == door {
+		if node.client == client {
 			edge = node.address
 		}
 		stores[node.address] = node.disk != nil
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -20,7 +20,7 @@
 // allowedUses maps files to their number of legitimate uses of package time: for the time of day, the deadline of a connection or an
 // incarnation.
 var allowedUses = map[string]int{
-	"batch/door.go": 1, "batch/partition.go": 1, "forward/handler.go": 1, "membership/fx.go": 1,
+	"batch/client.go": 1, "batch/partition.go": 1, "forward/handler.go": 1, "membership/fx.go": 1,
 	"job/item_record.go": 1, "job/item_result.go": 1, "job/owner_files.go": 1, "job/owner_jobs.go": 3, "job/owner_keys.go": 2,
 }
 
--- a/internal/node/role.go
+++ b/internal/node/role.go
@@ -55,7 +55,7 @@
 	// Report defines how replicas report their load.
 	Report replica.LoadReport
 	// Batch returns the HTTP calls about batch jobs.
-	Batch func(door *batch.Client) BatchCalls
+	Batch func(client *batch.Client) BatchCalls
 }
 
 // Translator decodes and encodes the entries of the key-value service.
