--- a/internal/batch/client.go
+++ b/internal/batch/client.go
@@ -86,15 +86,15 @@
 // Submit gets a job accepted whose data may be stored in regions only; the submission's tenant is that of its caller. The error is
 // an *outcome.Error: NotRun means that no item will run because of this call, with ReasonRateLimited if the job exceeds the quota;
 // with Indeterminate the job may or may not run.
-func (d *Client) Submit(ctx context.Context, submission *batchpb.Submission, matched *route.Route, regions region.Set) error {
+func (c *Client) Submit(ctx context.Context, submission *batchpb.Submission, matched *route.Route, regions region.Set) error {
 	if err := Check(submission); err != nil {
 		return err
 	}
 	submission.Route = matched.Name
 	submission.JobId = Caller{Host: submission.Host, Tenant: submission.Tenant}.jobName(submission.JobId)
-	partition, accepted, err := d.placeJob(ctx, submission, regions)
+	partition, accepted, err := c.placeJob(ctx, submission, regions)
 	if err != nil {
-		d.logger.Info().Str(logging.FieldJob, submission.JobId).Stringer("regions", regions).Err(err).Msg("job_not_placed")
+		c.logger.Info().Str(logging.FieldJob, submission.JobId).Stringer("regions", regions).Err(err).Msg("job_not_placed")
 		return err
 	}
 	if accepted {
@@ -102,8 +102,8 @@
 	}
 	request := &batchpb.SubmitRequest{Partition: partition, Submission: submission, MaxWaitingTokens: matched.MaxWaitingTokens}
 	response := &batchpb.SubmitResponse{}
-	if err := d.call(ctx, methodSubmit, request, response, submitTimeout, tryTimeout); err != nil {
-		d.logger.Info().Str(logging.FieldJob, submission.JobId).Err(err).Msg("job_not_accepted")
+	if err := c.call(ctx, methodSubmit, request, response, submitTimeout, tryTimeout); err != nil {
+		c.logger.Info().Str(logging.FieldJob, submission.JobId).Err(err).Msg("job_not_accepted")
 		return err
 	}
 	if response.OverQuota {
@@ -113,35 +113,35 @@
 }
 
 // Read returns the results of a job from a position on; it waits for the first one for at most wait.
-func (d *Client) Read(ctx context.Context, caller Caller, jobID string, since uint32, wait time.Duration) (*batchpb.ReadResponse, error) {
-	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.ReadResponse, error) {
+func (c *Client) Read(ctx context.Context, caller Caller, jobID string, since uint32, wait time.Duration) (*batchpb.ReadResponse, error) {
+	return searchPartitions(ctx, c.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.ReadResponse, error) {
 		request := &batchpb.ReadRequest{Partition: partition, JobId: caller.jobName(jobID), Since: since, WaitMicros: uint64(wait.Microseconds())}
 		response := &batchpb.ReadResponse{}
-		return response, d.call(ctx, methodRead, request, response, readTimeout+wait, tryTimeout+wait)
+		return response, c.call(ctx, methodRead, request, response, readTimeout+wait, tryTimeout+wait)
 	})
 }
 
 // Body returns the body of an item that is not listed yet.
-func (d *Client) Body(ctx context.Context, caller Caller, jobID, itemID string) (*batchpb.BodyResponse, error) {
-	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.BodyResponse, error) {
+func (c *Client) Body(ctx context.Context, caller Caller, jobID, itemID string) (*batchpb.BodyResponse, error) {
+	return searchPartitions(ctx, c.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.BodyResponse, error) {
 		request := &batchpb.BodyRequest{Partition: partition, JobId: caller.jobName(jobID), ItemId: itemID}
 		response := &batchpb.BodyResponse{}
-		return response, d.call(ctx, methodBody, request, response, readTimeout, tryTimeout)
+		return response, c.call(ctx, methodBody, request, response, readTimeout, tryTimeout)
 	})
 }
 
 // End ends a job.
-func (d *Client) End(ctx context.Context, caller Caller, jobID string) (*batchpb.EndResponse, error) {
-	return searchPartitions(ctx, d.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.EndResponse, error) {
+func (c *Client) End(ctx context.Context, caller Caller, jobID string) (*batchpb.EndResponse, error) {
+	return searchPartitions(ctx, c.partitions(caller.Host), func(ctx context.Context, partition uint32) (*batchpb.EndResponse, error) {
 		request := &batchpb.EndRequest{Partition: partition, JobId: caller.jobName(jobID)}
 		response := &batchpb.EndResponse{}
-		return response, d.call(ctx, methodEnd, request, response, endTimeout, tryTimeout)
+		return response, c.call(ctx, methodEnd, request, response, endTimeout, tryTimeout)
 	})
 }
 
 // call sends request to the owner of its partition, and retries while no owner answers; all requests are idempotent. The error is an
 // *outcome.Error that is NotRun only if no try can have had an effect.
-func (d *Client) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, total, try time.Duration) error {
+func (c *Client) call(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, total, try time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
 	backoff := platform.NewBackoffUpTo(maxRetryWait)
@@ -151,7 +151,7 @@
 		timeout = firstTryTimeout
 	}
 	for {
-		failure := d.try(ctx, method, request, response, timeout)
+		failure := c.try(ctx, method, request, response, timeout)
 		timeout = try
 		if failure == nil {
 			return nil
@@ -177,28 +177,28 @@
 }
 
 // try makes a single try, through another edge if the owner recently did not answer this one.
-func (d *Client) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, timeout time.Duration) *outcome.Error {
+func (c *Client) try(ctx context.Context, method transport.Method, request partitionRequest, response proto.Message, timeout time.Duration) *outcome.Error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	owner, failure := d.owner(ledger.PartitionID(request.GetPartition()))
+	owner, failure := c.owner(ledger.PartitionID(request.GetPartition()))
 	if failure != nil {
 		return failure
 	}
-	if d.unreached.IsUnreached(owner, clock.Now()) {
-		if edge, found := d.pickRelayEdge(ledger.PartitionID(request.GetPartition())); found {
-			return failureOrNil(d.relay(ctx, edge, method, request, response))
+	if c.unreached.IsUnreached(owner, clock.Now()) {
+		if edge, found := c.pickRelayEdge(ledger.PartitionID(request.GetPartition())); found {
+			return failureOrNil(c.relay(ctx, edge, method, request, response))
 		}
 	}
-	err := d.caller.Call(ctx, owner, method, request, response)
+	err := c.caller.Call(ctx, owner, method, request, response)
 	if errorx.IsOfType(err, transport.KindNotSent) || errorx.IsOfType(err, transport.KindNoAnswer) {
-		d.unreached.MarkUnreached(owner, clock.Now())
+		c.unreached.MarkUnreached(owner, clock.Now())
 	}
 	return failureOrNil(err)
 }
 
 // owner returns the address of the partition's owner as far as this node knows it.
-func (d *Client) owner(partition ledger.PartitionID) (netip.AddrPort, *outcome.Error) {
-	address, known := d.locator.Owner(partition)
+func (c *Client) owner(partition ledger.PartitionID) (netip.AddrPort, *outcome.Error) {
+	address, known := c.locator.Owner(partition)
 	if !known {
 		return netip.AddrPort{}, errNotOwner()
 	}
--- a/internal/batch/client_regions.go
+++ b/internal/batch/client_regions.go
@@ -14,9 +14,9 @@
 // partitions returns all partitions that may contain jobs of host: the one for jobs that are not confined, and those in the host's
 // homes, of which a deployment that confines no jobs has none. The configuration may have changed the homes since a job was
 // accepted.
-func (d *Client) partitions(host string) []uint32 {
-	found := []uint32{uint32(d.locator.PartitionOf(host))}
-	for _, partition := range d.homes.ConfinedPartitions(route.HostName(host)) {
+func (c *Client) partitions(host string) []uint32 {
+	found := []uint32{uint32(c.locator.PartitionOf(host))}
+	for _, partition := range c.homes.ConfinedPartitions(route.HostName(host)) {
 		found = append(found, uint32(partition))
 	}
 	return found
@@ -24,27 +24,27 @@
 
 // placeJob returns the partition for a submission whose data may be stored in regions only. accepted is true if another partition
 // already accepted the job before the homes changed.
-func (d *Client) placeJob(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
-	partition = uint32(d.locator.PartitionOf(submission.Host))
+func (c *Client) placeJob(ctx context.Context, submission *batchpb.Submission, regions region.Set) (partition uint32, accepted bool, err error) {
+	partition = uint32(c.locator.PartitionOf(submission.Host))
 	if regions.Limited() {
-		within, err := d.homes.ConfinedPartition(route.HostName(submission.Host), regions)
+		within, err := c.homes.ConfinedPartition(route.HostName(submission.Host), regions)
 		if err != nil {
 			return 0, false, err
 		}
 		partition = uint32(within)
 	}
-	accepted, err = d.acceptedElsewhere(ctx, submission, partition)
+	accepted, err = c.acceptedElsewhere(ctx, submission, partition)
 	return partition, accepted, err
 }
 
 // acceptedElsewhere reports whether another partition has the job. It asks only for a while after the homes have changed, when jobs
 // may be resubmitted that were accepted before.
-func (d *Client) acceptedElsewhere(ctx context.Context, submission *batchpb.Submission, partition uint32) (bool, error) {
-	if !d.homes.ConfinementChanged() {
+func (c *Client) acceptedElsewhere(ctx context.Context, submission *batchpb.Submission, partition uint32) (bool, error) {
+	if !c.homes.ConfinementChanged() {
 		return false, nil
 	}
 	var others []uint32
-	for _, id := range d.partitions(submission.Host) {
+	for _, id := range c.partitions(submission.Host) {
 		if id != partition {
 			others = append(others, id)
 		}
@@ -55,14 +55,14 @@
 	response, err := searchPartitions(ctx, others, func(ctx context.Context, other uint32) (*batchpb.ReadResponse, error) {
 		request := &batchpb.ReadRequest{Partition: other, JobId: submission.JobId, Since: math.MaxUint32}
 		response := &batchpb.ReadResponse{}
-		return response, d.call(ctx, methodRead, request, response, readTimeout, tryTimeout)
+		return response, c.call(ctx, methodRead, request, response, readTimeout, tryTimeout)
 	})
 	if err != nil {
 		// Nothing was started. Whether the other partition has the job is unknown, and it must not be in two places.
 		return false, outcome.Wrap(err, outcome.NotRun, outcome.ReasonUnavailable, "a former home of the job does not answer").After(retryAfterOwner)
 	}
 	if response.Found {
-		d.logger.Info().Str(logging.FieldJob, submission.JobId).Uint32(logging.FieldPartition, partition).Msg("job_accepted_elsewhere")
+		c.logger.Info().Str(logging.FieldJob, submission.JobId).Uint32(logging.FieldPartition, partition).Msg("job_accepted_elsewhere")
 	}
 	return response.Found, nil
 }
--- a/internal/batch/dispatcher.go
+++ b/internal/batch/dispatcher.go
@@ -51,7 +51,7 @@
 	acceptedAt int64
 	route      *route.Route
 	// attempts counts the attempts of this owner, runTime is the total time of its ended runs; startedWithText is true if an earlier
-	// owner had received a part of the text. late is the mark of the latest plan; certainlyLate is true if the item will be late
+	// owner had received a part of the text. late is true if the latest plan marked the item late; certainlyLate is true if the item will be late
 	// even if it continues.
 	attempts        int
 	runTime         time.Duration
--- a/internal/batch/item_attempt.go
+++ b/internal/batch/item_attempt.go
@@ -69,7 +69,7 @@
 	key       itemKey
 	item      *batchpb.Item
 	host      string
-	// tenant is the name of the tenant that owns the item; empty where no tenants are declared.
+	// tenant is the name of the tenant that owns the item; empty if no tenants are declared.
 	tenant string
 	route  *route.Route
 	handle *replica.Handle
--- a/internal/batch/item_chance_test.go
+++ b/internal/batch/item_chance_test.go
@@ -182,10 +182,10 @@
 }
 
 // TestItemWithProgressIsDone guards against holding back harmless items. Replicas crashed some seconds apart for other reasons, and
-// an item that was on two of them in turn was taken to end replicas: suspected after a run of 1959 ms, rejected 2.5 s later after a
-// resumed run of 1483 ms. No replica got it any more, and it was listed neither as done nor as given up. In each of the cases seen,
-// every run of the item had made events (5807 bytes in one of them) and had passed the point at which the run before had ended, so
-// no such point can have been the cause. Messages that did end replicas had made at most one event.
+// an item that ran on two of them in turn was blamed: suspected after a run of 1959 ms, rejected 2.5 s later after a resumed run of
+// 1483 ms. It was sent to no replica any more and was listed neither as done nor as given up. In all observed cases, each run of
+// the item had produced events (5807 bytes in one case) and had progressed past the point at which the previous run ended, so that
+// point cannot have been the cause. Messages that did end replicas had produced at most one event.
 func TestItemWithProgressIsDone(t *testing.T) {
 	for name, endAfter := range map[string][]time.Duration{
 		"two ends, the second run longer":  {290 * time.Millisecond, 1100 * time.Millisecond},
@@ -209,7 +209,7 @@
 }
 
 // TestItemThatEndsItsReplicasEndsThree checks that an item that does end each of its replicas, at once or at a point of its answer,
-// ends at most three, however many events its first run made.
+// ends at most three, however many events its first run produced.
 func TestItemThatEndsItsReplicasEndsThree(t *testing.T) {
 	for name, fatalEvent := range map[string]int{"at once": fatalBeforeFirstEvent, "at an event": fatalMidStream} {
 		t.Run(name, func(t *testing.T) {
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestItemThatEndsItsReplicasLateEndsThree guards the bound of three replicas for an item whose first run is long and makes events
-// before it ends its replica, also if the next owner continues it.
+// TestItemThatEndsItsReplicasLateEndsThree guards the bound of three replicas for an item whose first run is long and produces
+// events before it ends its replica, also if the next owner continues it.
 func TestItemThatEndsItsReplicasLateEndsThree(t *testing.T) {
 	for name, owners := range map[string]int{"one owner": 1, "two owners": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -258,9 +258,9 @@
 }
 
 // TestRecordedEndsBeforeLaterProgressAreNotRecalled guards against holding back an item after a change of owners although each of
-// its runs got further. After all storage nodes had been killed, the new owner rejected such an item with three ends: two recalled
-// from the log (runs of 3 s each), the third a grant made 135 ms before that had lapsed. The log contained the item's text, and that
-// it was longer each time, yet the recorded ends of replicas counted in full.
+// its runs progressed further. After all storage nodes had been killed, the new owner rejected such an item with three ends: two
+// recalled from the log (runs of 3 s each), and a grant that had lapsed 135 ms before. The log showed that the item's text was
+// longer each time, yet the recorded ends of replicas counted in full.
 func TestRecordedEndsBeforeLaterProgressAreNotRecalled(t *testing.T) {
 	text := func(events int) string { return strings.TrimSuffix(strings.Repeat("x\n", events), "\n") }
 	for name, test := range map[string]struct {
@@ -293,8 +293,8 @@
 }
 
 // TestItemWithProgressIsCleared guards against keeping an item suspected that has made progress. An item waited 15 s for a
-// run apart on a busy service. A replica had ended under it at event 52; later runs, which were cut off to make room, got far beyond
-// that event (10979 bytes), but counted no more in its favour than runs without progress.
+// run apart on a busy service. A replica had ended under it at event 52; later runs, which were cut off to make room, progressed
+// far past that event (10979 bytes), but counted no more in its favour than runs without progress.
 func TestItemWithProgressIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replicas := newCrashingReplicas(12)
--- a/internal/batch/item_deferred.go
+++ b/internal/batch/item_deferred.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// deferralDivisor divides the route's retention: an item's deciding run is deferred until the end of that part of it at the
-	// latest.
+	// deferralDivisor divides the route's retention: an item's deciding run is deferred for at most the resulting time after the
+	// job was accepted.
 	deferralDivisor = 2
 	// maxDecidingRuns bounds the concurrent deciding runs of a partition.
 	maxDecidingRuns = 16
@@ -43,31 +43,32 @@
 }
 
 // deferDecidingRun reports whether an item must wait before its deciding run: the run after which the item is sent to no replica any
-// more if the replica ends under it. The run is made while replicas hardly end for other reasons, or once the deferral is over, and
-// while few other deciding runs are in flight here, since each of them may end its replica.
+// more if the replica ends under it. The run is made while the route's services are stable, so that its replica is unlikely to end for
+// another reason, or once the deferral is over. In both cases few other deciding runs may be in flight here, since each of them may end
+// its replica.
 func (p *partition) deferDecidingRun(key itemKey, message quarantine.Key, matched *route.Route, acceptedAt int64) bool {
 	register := p.service.options.Quarantine
 	if !register.NextEndRejects(message) {
 		return false
 	}
-	calm := p.backendsCalm(matched) || p.deferralOver(matched, acceptedAt)
+	waitOver := p.backendsStable(matched) || p.deferralOver(matched, acceptedAt)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	run := p.ensureRun(key)
-	if calm && p.decidingRuns.admit(p.otherDecidingRuns(key)) {
+	if waitOver && p.decidingRuns.admit(p.otherDecidingRuns(key)) {
 		run.deciding = true
 		return false
 	}
 	if !run.deferralLogged {
 		run.deferralLogged = true
-		p.logger.Info().Str(logging.FieldJob, key.job).Int("item", key.number).Stringer("digest", message).Bool("calm", calm).Msg("item_deferred")
+		p.logger.Info().Str(logging.FieldJob, key.job).Int("item", key.number).Stringer("digest", message).Bool("calm", waitOver).Msg("item_deferred")
 	}
 	run.apartNotBefore = p.elapsed() + suspectedRetryDelay
 	return true
 }
 
-// backendsCalm reports whether replicas of all services of a route are calm.
-func (p *partition) backendsCalm(matched *route.Route) bool {
+// backendsStable reports whether all services of a route are stable by the quarantine's evidence.
+func (p *partition) backendsStable(matched *route.Route) bool {
 	for _, backend := range matched.Backends {
 		if !p.service.options.Quarantine.Stable(backend.Service) {
 			return false
@@ -87,7 +88,7 @@
 	return count
 }
 
-// deferralOver reports whether an item's deciding run no longer waits for calm replicas: at the end of the retention the item would
+// deferralOver reports whether an item's deciding run no longer waits for stable services: at the end of the retention the item would
 // be given up without that run.
 func (p *partition) deferralOver(matched *route.Route, acceptedAt int64) bool {
 	return p.olderThan(acceptedAt, matched.Retention/deferralDivisor)
--- a/internal/batch/item_plan.go
+++ b/internal/batch/item_plan.go
@@ -38,7 +38,7 @@
 	return c.mean
 }
 
-// observe notes that items may use slots of all existing slots from now on.
+// observe records that items may use the given number of slots from now on; all is the number of existing slots.
 func (c *slotCapacity) observe(slots, all int, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,9 +53,9 @@
 }
 
 // markLate marks the items that will probably not be done when they are due. It plans the items on the given slots in the order of
-// their due times; where one would be late, it drops the last due of those planned so far, those not yet started first. Dropping the
+// their due times; if one would be late, it drops the last due of those planned so far, those not yet started first. Dropping the
 // longest item would leave the most items in time (Moore, "An n job, one machine sequencing algorithm for minimizing the number of
-// late jobs", 1968), but the value of an item is about its run time, and long items would be served worst (policy.md, round 21).
+// late jobs", 1968), but the value of an item is about proportional to its run time, and long items would be served worst (policy.md, round 21).
 func markLate(items []candidate, now time.Time, slots float64) {
 	slots = max(minCapacity, slots)
 	order := make([]int, 0, len(items))
@@ -85,7 +85,7 @@
 	}
 }
 
-// lastDueFirst is a heap of indices of items: those not started before those started, and the last due first among each.
+// lastDueFirst is a heap of indices of items: those not started before those started, and within each group the last due first.
 type lastDueFirst struct {
 	items   []candidate
 	indices []int
--- a/internal/batch/item_plan_test.go
+++ b/internal/batch/item_plan_test.go
@@ -99,10 +99,10 @@
 		t.Errorf("%s left of an item twice as large as those of 5 s", left)
 	}
 	if left := pace.remaining(1000, 2000); left < 4900*time.Millisecond || left > 5100*time.Millisecond {
-		t.Errorf("%s left with half of the text made", left)
+		t.Errorf("%s left with half of the text generated", left)
 	}
 	if left := pace.remaining(1000, 9000); left <= 0 {
-		t.Errorf("%s left of an item that has made more than others", left)
+		t.Errorf("%s left of an item that has generated more text than others", left)
 	}
 }
 
@@ -110,7 +110,7 @@
 	capacity := &slotCapacity{}
 	began := time.Now()
 	if !math.IsInf(capacity.slots(), 1) {
-		t.Errorf("%f slots while nothing is known", capacity.slots())
+		t.Errorf("%f slots before the first observation", capacity.slots())
 	}
 	capacity.observe(0, 100, began)
 	if capacity.mean != 100 {
--- a/internal/batch/item_stalled.go
+++ b/internal/batch/item_stalled.go
@@ -18,7 +18,7 @@
 	stalledWaiting stallReason = "waiting"
 	// stalledSuspected items wait for a run apart, since replicas ended under their message.
 	stalledSuspected stallReason = "suspected"
-	// stalledDeferred items wait for their deciding run until their replicas are calm.
+	// stalledDeferred items wait for their deciding run until their services are stable.
 	stalledDeferred stallReason = "deferred"
 	// stalledHeldBack items are sent to no replica, since their message is rejected.
 	stalledHeldBack stallReason = "held_back"
--- a/internal/batch/relay.go
+++ b/internal/batch/relay.go
@@ -38,11 +38,11 @@
 
 // pickRelayEdge returns a random live node without a store, other than this one, that may hold records of the partition; ok is false
 // if there is none.
-func (d *Client) pickRelayEdge(partition ledger.PartitionID) (address netip.AddrPort, ok bool) {
-	view := d.viewer.View()
+func (c *Client) pickRelayEdge(partition ledger.PartitionID) (address netip.AddrPort, ok bool) {
+	view := c.viewer.View()
 	var others []netip.AddrPort
 	for _, member := range view.Members {
-		if member.ID != view.Self && !member.Store && member.State == membership.Alive && d.homes.MayHold(partition, member.Zone) {
+		if member.ID != view.Self && !member.Store && member.State == membership.Alive && c.homes.MayHold(partition, member.Zone) {
 			others = append(others, member.PeerAddress)
 		}
 	}
@@ -53,13 +53,13 @@
 }
 
 // relay makes the call through another edge.
-func (d *Client) relay(ctx context.Context, edge netip.AddrPort, method transport.Method, request partitionRequest, response proto.Message) error {
+func (c *Client) relay(ctx context.Context, edge netip.AddrPort, method transport.Method, request partitionRequest, response proto.Message) error {
 	payload, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
 	var relayed batchpb.RelayResponse
-	err = d.caller.Call(ctx, edge, methodRelay, &batchpb.RelayRequest{Partition: request.GetPartition(), Method: string(method), Payload: payload}, &relayed)
+	err = c.caller.Call(ctx, edge, methodRelay, &batchpb.RelayRequest{Partition: request.GetPartition(), Method: string(method), Payload: payload}, &relayed)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 }
 
 // serveRelay makes a call on behalf of another edge. It calls only the owner and relays no further.
-func (d *Client) serveRelay(ctx context.Context, _ netip.AddrPort, request *batchpb.RelayRequest) (*batchpb.RelayResponse, error) {
+func (c *Client) serveRelay(ctx context.Context, _ netip.AddrPort, request *batchpb.RelayRequest) (*batchpb.RelayResponse, error) {
 	messages, known := relayedMessages[transport.Method(request.Method)]
 	if !known {
 		return nil, outcome.New(outcome.NotRun, outcome.ReasonInvalid, "method is not relayed")
@@ -76,11 +76,11 @@
 	if err := proto.Unmarshal(request.Payload, inner); err != nil {
 		return nil, outcome.Wrap(err, outcome.NotRun, outcome.ReasonInvalid, "decode relayed call")
 	}
-	owner, failure := d.owner(ledger.PartitionID(request.Partition))
+	owner, failure := c.owner(ledger.PartitionID(request.Partition))
 	if failure != nil {
 		return nil, failure
 	}
-	if err := d.caller.Call(ctx, owner, transport.Method(request.Method), inner, response); err != nil {
+	if err := c.caller.Call(ctx, owner, transport.Method(request.Method), inner, response); err != nil {
 		return nil, transport.OutcomeOf(err)
 	}
 	payload, err := proto.Marshal(response)
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -50,8 +50,8 @@
 	client    *replica.Client
 	logger    zerolog.Logger
 
-	mutex sync.RWMutex
-	// mutex guards partitions and polling, the replicas that were asked for their load and have not answered yet.
+	// mutex guards partitions and polling. polling contains the replicas that were asked for their load and have not answered yet.
+	mutex      sync.RWMutex
 	partitions map[ledger.PartitionID]*partition
 	polling    map[*replica.Handle]bool
 	fleet      FleetLoad
@@ -156,8 +156,8 @@
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, loadPollTimeout)
 		defer cancel()
-		// A replica that does not answer is asked again when a choice needs its load; until then what is known of its load loses
-		// weight.
+		// A replica that does not answer is asked again when a choice needs its load; until then its last known load counts less
+		// and less.
 		_ = s.client.PollLoad(bounded, handle, s.options.Report)
 		s.mutex.Lock()
 		delete(s.polling, handle)
--- a/internal/forward/authenticate_test.go
+++ b/internal/forward/authenticate_test.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// withTenants offers a configuration with tenants. It keeps the present routes and adds a public route and a batch route.
+// withTenants sets a configuration with tenants. It keeps the current routes and adds a public route and a batch route.
 func (e *edgeUnderTest) withTenants(priority *int) {
 	before := e.routes.Table()
 	public := &route.Route{Name: "public", Host: "h.example", Prefix: "/public/", Kind: route.NotRepeatable, Attempts: 1, Public: true, Backends: before.Routes[0].Backends}
--- a/internal/forward/ended_replica_test.go
+++ b/internal/forward/ended_replica_test.go
@@ -13,9 +13,9 @@
 	"github.com/sloelift/sloelift/internal/route"
 )
 
-// TestRunAtReplicaThatAnswersAgainCountsAsAttempt guards against more runs than the route allows. A run whose replica is taken to have exited
-// costs a request none of its attempts, as an exited replica runs nothing. A replica that refuses connections for a moment and then
-// answers has run the request like any other. Before its run was counted, a request with two allowed attempts ran on three live
+// TestRunAtReplicaThatAnswersAgainCountsAsAttempt guards against more runs than the route allows. A run whose replica is taken to have ended
+// does not count as an attempt, since an ended replica runs nothing. A replica that refuses connections for a moment and then answers has
+// run the request like any other. Before its run was counted, a request with two allowed attempts ran on three live
 // replicas, and with up to three such replicas on five.
 func TestRunAtReplicaThatAnswersAgainCountsAsAttempt(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -29,7 +29,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				edge := newEdgeUnderTest(t, route.Repeatable, false, map[string]replicatest.Script{"a": replicatest.Lose()})
 				edge.addThirdReplica(replicatest.Lose())
-				edge.Handler.quarantine = &fakeRegister{exited: true, exitedFirst: 1}
+				edge.Handler.quarantine = &fakeRegister{ended: true, endedFirst: 1}
 				edge.routes.Table().Routes[0].Attempts = 2
 				for address := range edge.replicas.Scripts {
 					if address != edge.directory.View().Find("a").Info().Address {
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -46,7 +46,7 @@
 	// maxRefusals is the number of replicas that may refuse a request before its caller gets a final answer.
 	maxRefusals = 3
 	// maxUnreached is the number of replicas that may be unreachable before that. It takes two to detect that a zone is cut off
-	// (unreached.Zone): with two zones cut off from this one, four attempts are spent before all that is left is tried.
+	// (unreached.Zone), so that two zones cut off from this one cost four attempts before only the other zones are tried.
 	maxUnreached = 6
 	// minTimeLeft is the time before the deadline below which no further attempt is started.
 	minTimeLeft = 20 * time.Millisecond
@@ -92,8 +92,8 @@
 	// messageKey identifies the message in the quarantine; permit covers the current attempt. Zero and nil without a quarantine.
 	messageKey quarantine.Key
 	permit     quarantine.Permit
-	// replicaExited is set if the replica of the latest attempt was found to have exited; uncountedRuns holds all such attempts.
-	replicaExited bool
+	// replicaEnded is set if the replica of the latest attempt was found to have ended; uncountedRuns holds all such attempts.
+	replicaEnded  bool
 	uncountedRuns []uncountedRun
 	// lastStatus and lastError belong to the latest attempt: the status of its answer, and the error that ended it.
 	lastStatus int
@@ -256,8 +256,8 @@
 	if e.spentAttempts() >= max(1, e.route.Attempts) {
 		return false
 	}
-	if e.replicaExited {
-		return len(e.uncountedRuns) <= maxExitedReplicas
+	if e.replicaEnded {
+		return len(e.uncountedRuns) <= maxEndedReplicas
 	}
 	return e.retryPaid.Swap(false) || e.handler.budget.take()
 }
--- a/internal/forward/gate.go
+++ b/internal/forward/gate.go
@@ -137,7 +137,8 @@
 		gate.remove(entry)
 	}
 	g.release(entry.service, gate, clock.Now())
-	// Signals a change of use: the other nodes get the demand together with the requests in flight, and the last of those ended earlier.
+	// The other nodes receive the demand together with the number of requests in flight at replicas. The request left that number
+	// before it left the gate, so the change of demand has to be signalled separately.
 	g.directory.SignalUse()
 }
 
--- a/internal/forward/gate_test.go
+++ b/internal/forward/gate_test.go
@@ -112,7 +112,7 @@
 		gate.enter("sooner", inTime)
 		gate.enter("soonest", tight)
 		if gate.admittedCount() != 1 {
-			t.Fatalf("%d requests sent where this node's part is 1 slot", gate.admittedCount())
+			t.Fatalf("%d requests sent, want 1: this node's share is 1 slot", gate.admittedCount())
 		}
 		for _, want := range []string{"soonest", "sooner", "later", "late"} {
 			gate.leave(gate.lastAdmitted())
--- a/internal/forward/homes_test.go
+++ b/internal/forward/homes_test.go
@@ -15,7 +15,7 @@
 	"github.com/sloelift/sloelift/internal/tenant"
 )
 
-// confine offers a configuration that limits the route, and the tenant of key-1, to regions. "a" is in north, "b" in south.
+// confine sets a configuration that limits the route, and the tenant of key-1, to regions. "a" is in north, "b" in south.
 func (e *edgeUnderTest) confine(routeRegions, tenantRegions region.Set) {
 	before := e.routes.Table()
 	confined := *before.Routes[0]
--- a/internal/forward/quarantined.go
+++ b/internal/forward/quarantined.go
@@ -11,9 +11,9 @@
 	"github.com/sloelift/sloelift/internal/replica"
 )
 
-// maxExitedReplicas is the number of exited replicas after which a request is given up, whichever message made them exit: a caller that
-// waited for that many has hardly any time left.
-const maxExitedReplicas = 3
+// maxEndedReplicas is the number of ended replicas up to which a request is sent again, whichever message ended them: a caller that waited
+// for more has hardly any time left.
+const maxEndedReplicas = 3
 
 // passesQuarantine computes the key of the request's message, and reports whether the message is not rejected. It is called before the
 // request waits for capacity, so that a known message is rejected at once.
@@ -75,7 +75,7 @@
 
 // quarantinedAttempt sends the request to one replica and reports the outcome to the quarantine.
 func (e *exchange) quarantinedAttempt(ctx context.Context, handle *replica.Handle) attemptOutcome {
-	e.replicaExited = false
+	e.replicaEnded = false
 	if e.permit == nil {
 		return e.sendToReplica(ctx, handle)
 	}
@@ -93,7 +93,7 @@
 	if e.canResume() {
 		run.Progress(eventsBefore, e.eventsDelivered)
 	}
-	e.replicaExited = run.End(ctx, e.quarantineEnding(runCtx, outcome, resumedAfter))
+	e.replicaEnded = run.End(ctx, e.quarantineEnding(runCtx, outcome, resumedAfter))
 	return outcome
 }
 
@@ -115,9 +115,9 @@
 	}
 }
 
-// countRun counts an attempt that may have run, except one whose replica exited: that does not count against the route's attempts.
+// countRun counts an attempt that may have run, except one whose replica ended: that does not count against the route's attempts.
 func (e *exchange) countRun(handle *replica.Handle) {
-	if e.replicaExited {
+	if e.replicaEnded {
 		e.uncountedRuns = append(e.uncountedRuns, uncountedRun{handle: handle, concludedAt: clock.Now()})
 		e.logEvent(handle).Int("runs", e.runs).Int("replicas_ended", len(e.uncountedRuns)).Msg("run_not_counted")
 		return
@@ -125,14 +125,14 @@
 	e.runs++
 }
 
-// uncountedRun is an attempt whose replica was found to have exited.
+// uncountedRun is an attempt whose replica was found to have ended.
 type uncountedRun struct {
 	handle      *replica.Handle
 	concludedAt time.Time
 }
 
 // spentAttempts returns the number of runs that count against the route's attempts. A refused connection is taken as evidence that the
-// replica exited: one that has answered since is alive, and its run counts after all.
+// replica ended: one that has answered since is alive, and its run counts after all.
 func (e *exchange) spentAttempts() int {
 	spent := e.runs
 	for _, run := range e.uncountedRuns {
--- a/internal/forward/quarantined_test.go
+++ b/internal/forward/quarantined_test.go
@@ -25,14 +25,14 @@
 	// check is the verdict of Check; admit holds the verdicts of the next attempts, after which all are Allowed.
 	check quarantine.Verdict
 	admit []quarantine.Verdict
-	// exited reports the replicas of lost runs as exited; cancelFirst cancels the first run after 10 ms.
-	exited      bool
+	// ended reports the replicas of lost runs as ended; cancelFirst cancels the first run after 10 ms.
+	ended       bool
 	cancelFirst bool
 	// cancelBeforeSend cancels the first run before it is sent.
 	cancelBeforeSend bool
-	// exitedFirst, if not 0, limits exited to that many of the first lost runs; lost counts the lost runs.
-	exitedFirst int
-	lost        int
+	// endedFirst, if not 0, limits ended to that many of the first lost runs; lost counts the lost runs.
+	endedFirst int
+	lost       int
 
 	mutex    sync.Mutex
 	keys     []quarantine.Key
@@ -90,11 +90,11 @@
 	p.register.mutex.Lock()
 	defer p.register.mutex.Unlock()
 	p.register.endings = append(p.register.endings, ending)
-	if ending != quarantine.Lost && ending != quarantine.Interrupted || !p.register.exited {
+	if ending != quarantine.Lost && ending != quarantine.Interrupted || !p.register.ended {
 		return false
 	}
 	p.register.lost++
-	return p.register.exitedFirst == 0 || p.register.lost <= p.register.exitedFirst
+	return p.register.endedFirst == 0 || p.register.lost <= p.register.endedFirst
 }
 
 func TestRejectedMessageIsAnsweredAtOnce(t *testing.T) {
@@ -102,13 +102,13 @@
 	for name, register := range map[string]*fakeRegister{
 		"known before":           {check: quarantine.Rejected},
 		"known when it waited":   {admit: []quarantine.Verdict{quarantine.Rejected}},
-		"after an ended attempt": {exited: true, admit: []quarantine.Verdict{quarantine.Allowed, quarantine.Rejected}},
+		"after an ended attempt": {ended: true, admit: []quarantine.Verdict{quarantine.Allowed, quarantine.Rejected}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				scripts := map[string]replicatest.Script{"a": answer, "b": answer}
 				sent := 0
-				if register.exited {
+				if register.ended {
 					scripts["a"], sent = replicatest.Lose(), 1
 				}
 				edge := newEdgeUnderTest(t, route.Repeatable, false, scripts)
@@ -135,7 +135,7 @@
 		edge := newEdgeUnderTest(t, route.Stream, true, map[string]replicatest.Script{
 			"a": replicatest.Stream("s1", false, false, "id: 1\ndata: x\n\n"), "b": replicatest.Stream("s2", true, false, "id: 2\ndata: y\n\n"),
 		})
-		register := &fakeRegister{exited: true}
+		register := &fakeRegister{ended: true}
 		edge.Handler.quarantine = register
 		for edge.Handler.budget.take() {
 		}
@@ -164,7 +164,7 @@
 		edge.replicas.Scripts[third] = replicatest.Answer(200, replicatest.Signed, "x")
 		added := replica.Info{ID: "c", Service: "s", Zone: "far", Address: third, Slots: 1}
 		edge.directory.Update([]replica.Info{added}, nil)
-		edge.Handler.quarantine = &fakeRegister{exited: true, exitedFirst: 1}
+		edge.Handler.quarantine = &fakeRegister{ended: true, endedFirst: 1}
 		if recorded, _ := edge.call(nil); recorded.Code != http.StatusOK || len(edge.replicas.Requests()) != 3 {
 			t.Errorf("status %d after %d attempts, want 200 after the third: one ended with its replica, and two are allowed", recorded.Code, len(edge.replicas.Requests()))
 		}
@@ -182,10 +182,10 @@
 			infos = append(infos, replica.Info{ID: string(rune('c' + number)), Service: "s", Zone: "near", Address: address, Slots: 8})
 		}
 		edge.directory.Replace(infos)
-		edge.Handler.quarantine = &fakeRegister{exited: true}
+		edge.Handler.quarantine = &fakeRegister{ended: true}
 		recorded, _ := edge.call(nil)
-		if requests := len(edge.replicas.Requests()); requests != maxExitedReplicas+1 || recorded.Code != http.StatusBadGateway {
-			t.Errorf("%d attempts, want %d; status %d", requests, maxExitedReplicas+1, recorded.Code)
+		if requests := len(edge.replicas.Requests()); requests != maxEndedReplicas+1 || recorded.Code != http.StatusBadGateway {
+			t.Errorf("%d attempts, want %d; status %d", requests, maxEndedReplicas+1, recorded.Code)
 		}
 		edge.replicas.CloseAll()
 	})
@@ -223,7 +223,7 @@
 	}
 }
 
-// TestUnsignedAnswerIsALostRun: the replica may have exited while it sent the header.
+// TestUnsignedAnswerIsALostRun: the replica may have ended while it sent the header.
 func TestUnsignedAnswerIsALostRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unsigned := func(connection net.Conn, request *http.Request) bool {
--- a/internal/forward/route_estimate.go
+++ b/internal/forward/route_estimate.go
@@ -11,7 +11,7 @@
 const (
 	// timeoutWindow is the number of callers' timeouts from which the usual one is estimated.
 	timeoutWindow = 63
-	// assumedTimeouts is how often the route's own timeout is entered in place of callers' timeouts before any were observed.
+	// assumedTimeouts is the number of entries equal to the route's own timeout with which the window starts.
 	assumedTimeouts = 31
 	// medianInterval is the number of observations between two computations of the median.
 	medianInterval = 8
--- a/internal/forward/route_estimate_test.go
+++ b/internal/forward/route_estimate_test.go
@@ -33,6 +33,6 @@
 		expected.observeFirstEvent(after)
 	}
 	if needed := expected.uncontendedLatency(); needed < 60*time.Millisecond || needed > 110*time.Millisecond {
-		t.Errorf("needed is %s where half of the requests take 80 ms", needed)
+		t.Errorf("latency is %s, want about 80 ms, the time of half of the requests", needed)
 	}
 }
--- a/internal/forward/undelivered.go
+++ b/internal/forward/undelivered.go
@@ -32,7 +32,7 @@
 	case e.errorAnswer != nil:
 		e.errorAnswer.write(e.writer)
 	case reason == quarantine.ReasonRejected:
-		// The message may have run, so this is no 503, and a retry is not invited with a Retry-After.
+		// The message may have run, so the status is not 503, and there is no Retry-After, which would invite a retry.
 		http.Error(e.writer, reason, http.StatusBadGateway)
 	case e.runs+len(e.uncountedRuns) == 0:
 		SetRetryAfter(e.writer.Header(), retryAfter(reason))
--- a/internal/quarantine/disagreement_test.go
+++ b/internal/quarantine/disagreement_test.go
@@ -74,8 +74,8 @@
 
 // TestRecalledEndGivesWayToWhatWasSeen guards against verdicts that differ between nodes. A new owner recalled from its
 // log that replicas had ended under its items, before it learned what other nodes had observed, and then kept its own
-// assumed times and run lengths: a replica that ended at 19.0 s after a run of 4.415 s stood there with 20.7 s and a
-// run of 3 s. The owner and the nodes that had observed the ends disagreed for ten minutes.
+// assumed times and run lengths: it recorded 20.7 s and a run of 3 s for a replica that ended at 19.0 s after a run
+// of 4.415 s. The owner and the nodes that had observed the ends disagreed for ten minutes.
 func TestRecalledEndGivesWayToWhatWasSeen(t *testing.T) {
 	inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
 		observer, owner := c.nodes[0], c.nodes[1]
--- a/internal/quarantine/losses.go
+++ b/internal/quarantine/losses.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxUnfinishedRuns is the number of ended replicas and losses of one message together from which it is rejected,
-	// so that the bound holds even where the ends of replicas are not recognized as such.
+	// so that the bound holds even if the ends of replicas are not recognized as such.
 	maxUnfinishedRuns = 2 * maxEndedReplicas
 	// minLossesForApart is the number of losses from which a message is Apart. A single connection may be lost by
 	// chance.
--- a/internal/quarantine/progress_test.go
+++ b/internal/quarantine/progress_test.go
@@ -110,8 +110,8 @@
 }
 
 // TestEndsAtAnUnknownPointAreNotPassed guards the bound on ended replicas while nodes of two builds run together. Nodes
-// of the other build report neither in messages nor in the log how far the answer was. This was read as the beginning
-// of the answer, which every answer has progressed past, and items that crash replicas at an event of their answer
+// of the other build report neither in messages nor in the log how far the answer had progressed. This was taken for the
+// beginning of the answer, which every answer has progressed past, and items that crash replicas at an event of their answer
 // ended four to six of them.
 func TestEndsAtAnUnknownPointAreNotPassed(t *testing.T) {
 	inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -102,7 +102,7 @@
 	HasEvidence(key Key) bool
 	// NextEndRejects reports whether the message is Apart and one more ended replica may reject it.
 	NextEndRejects(key Key) bool
-	// Stable reports whether replicas of the service have ended so rarely of late that a run there is unlikely to meet an
-	// end by chance.
+	// Stable reports whether so few replicas of the service ended recently that the replica of a run there is unlikely to
+	// end for a reason other than the message.
 	Stable(service string) bool
 }
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -24,17 +24,18 @@
 	// refreshInterval is how often a node that has any evidence sends all of it to one other node, so that nodes that
 	// were partitioned or started meanwhile learn of it.
 	refreshInterval = 2 * time.Second
-	// askedPeers is the number of nodes that a starting node asks for their evidence in each round, askTimeout the
-	// timeout for one of them. The pause between rounds is fastAskInterval until fastAskTime has passed, then
-	// askInterval until askTime has passed, then refreshInterval.
+	// askedPeers is the number of nodes that a starting node asks for their evidence in each round. The pause between
+	// rounds is fastAskInterval until fastAskTime has passed, then askInterval until askTime has passed, then
+	// refreshInterval.
 	askedPeers  = 3
 	askInterval = 200 * time.Millisecond
 	// peerPollInterval is how often a node that knows no other member checks for one.
 	peerPollInterval = 10 * time.Millisecond
-	askTimeout       = 300 * time.Millisecond
-	fastAskTime      = 500 * time.Millisecond
-	fastAskInterval  = 50 * time.Millisecond
-	askTime          = 5 * time.Second
+	// askTimeout is the timeout for the answer of one node.
+	askTimeout      = 300 * time.Millisecond
+	fastAskTime     = 500 * time.Millisecond
+	fastAskInterval = 50 * time.Millisecond
+	askTime         = 5 * time.Second
 )
 
 // announce queues a message of an incident, or its losses with noReplica, for the next notice to the other nodes. The
--- a/internal/quarantine/stable_test.go
+++ b/internal/quarantine/stable_test.go
@@ -95,16 +95,16 @@
 	inCluster(t, 3, 4, func(t *testing.T, c *cluster) {
 		member := c.nodes[0]
 		if member.Stable("s") {
-			t.Error("Calm is true right after the start of the node")
+			t.Error("Stable is true right after the start of the node")
 		}
 		time.Sleep(stableWindow)
 		if !member.Stable("s") {
-			t.Error("Calm is false, though no replica ended")
+			t.Error("Stable is false, though no replica ended")
 		}
 		c.runCrashing(c.nodes[1], 0, keyOf("a"))
 		time.Sleep(50 * time.Millisecond)
 		if member.Stable("s") {
-			t.Error("Calm is true right after a replica ended under a run of another node")
+			t.Error("Stable is true right after a replica ended under a run of another node")
 		}
 	})
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -160,7 +160,7 @@
 }
 
 // endedRepeatedlyUnderGrant reports whether several replicas ended under the message while it ran under a grant. Its
-// other ends then count even where another message explains them as well.
+// other ends then count even if another message explains them as well.
 func (e *evidenceStore) endedRepeatedlyUnderGrant(message Key) bool {
 	granted := 0
 	for _, end := range e.byMessage[message] {
