--- a/internal/batch/item_pace.go
+++ b/internal/batch/item_pace.go
@@ -51,9 +51,9 @@
 		return time.Duration(tokens) * defaultTimePerToken
 	}
 	total := float64(tokens) * float64(p.timePerToken)
-	madeShare := 0.0
+	generatedShare := 0.0
 	if expected := p.bytesPerToken * float64(tokens); expected > 0 {
-		madeShare = float64(textSize) / expected
+		generatedShare = float64(textSize) / expected
 	}
-	return time.Duration(total * max(minRemainingShare, 1-madeShare))
+	return time.Duration(total * max(minRemainingShare, 1-generatedShare))
 }
