--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -29,8 +29,8 @@
 
 // markColdWanted marks cold replicas as wanted when warm capacity is short: no replica was picked (best is nil), best is above
 // warmShortageOccupancy, or at least as many replicas of the own zone are cold as warm. If a replica was picked, only cold replicas of the
-// own zone count. Otherwise they are not marked: a cold replica gets requests only with a pass, and passes cost calls to the key-value
-// service.
+// own zone count. In all other cases none is marked, since a cold replica gets requests only with a pass, and passes cost calls to the
+// key-value service.
 func markColdWanted(request *Request, replicas []*replica.Handle, best *replica.Handle, now time.Time) {
 	var cold []*replica.Handle
 	warm := 0
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -12,17 +12,17 @@
 	return p.InAllowedRegion(request.Homes, handle)
 }
 
-// InAllowedRegion reports whether the replica is in one of the regions in homes.
-func (p *Picker) InAllowedRegion(homes region.Set, handle *replica.Handle) bool {
+// InAllowedRegion reports whether the replica is in one of the allowed regions.
+func (p *Picker) InAllowedRegion(allowed region.Set, handle *replica.Handle) bool {
 	// Most requests are not limited to regions and need no lookup of the zone.
-	return !homes.Limited() || homes.Allows(p.topology.RegionOf(handle.Info().Zone))
+	return !allowed.Limited() || allowed.Allows(p.topology.RegionOf(handle.Info().Zone))
 }
 
-// Availability reports on the replicas of a service in the regions in homes: served is true if one of them accepts new requests, free if one of
-// them that has not failed recently also has a free slot.
-func (p *Picker) Availability(service string, homes region.Set, now time.Time) (served, free bool) {
+// Availability reports on the replicas of a service in the allowed regions: served is true if one of them accepts new requests, free if one of
+// them also has a free slot and has not failed or refused a request recently.
+func (p *Picker) Availability(service string, allowed region.Set, now time.Time) (served, free bool) {
 	for _, handle := range p.directory.View().ForService(service) {
-		if !handle.Usable() || !p.InAllowedRegion(homes, handle) {
+		if !handle.Usable() || !p.InAllowedRegion(allowed, handle) {
 			continue
 		}
 		served = true
--- a/internal/membership/growth.go
+++ b/internal/membership/growth.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// JoinTracker tracks when the number of known members last grew. A node that starts together with many
-// others learns of further members for some seconds, and must not act on a view of only a few of
-// them. The zero value has seen no view. It is safe for concurrent use.
+// JoinTracker tracks when the number of known members last grew. A node that starts together with
+// many others learns of further members for some seconds, and must not act on a view of only a few
+// of them. The zero value has seen no view. It is safe for concurrent use.
 type JoinTracker struct {
 	mutex      sync.Mutex
 	members    int
@@ -16,18 +16,18 @@
 
 // SettledFor records the current view and returns the time since the number of members last reached
 // a new maximum.
-func (g *JoinTracker) SettledFor(view *View, now time.Time) time.Duration {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if len(view.Members) > g.members {
-		g.members, g.lastGrowth = len(view.Members), now
+func (t *JoinTracker) SettledFor(view *View, now time.Time) time.Duration {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if len(view.Members) > t.members {
+		t.members, t.lastGrowth = len(view.Members), now
 	}
-	return now.Sub(g.lastGrowth)
+	return now.Sub(t.lastGrowth)
 }
 
 // Joining reports whether a node that has run for uptime may not know all other members yet: always
 // before minWait, and until maxWait while members were added within the last minWait.
-func (g *JoinTracker) Joining(view *View, now time.Time, uptime, minWait, maxWait time.Duration) bool {
-	settled := g.SettledFor(view, now)
+func (t *JoinTracker) Joining(view *View, now time.Time, uptime, minWait, maxWait time.Duration) bool {
+	settled := t.SettledFor(view, now)
 	return uptime < minWait || uptime < maxWait && settled < minWait
 }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -39,9 +39,10 @@
 }
 
 // redirectToOwnZone answers the digest of a joining node of another zone, which names its own zone
-// only, with a few members of that zone. They know as much, so that the records of all members do
-// not cross zones for each node that starts. It returns false if the digest is to be answered in
-// full: few records would be sent, or the sender is itself a hub of its zone.
+// only, with a few members of that zone. The joining node gets all other records from them, so that
+// these do not cross zones for each node that starts. It returns false if the digest is to be
+// answered in full: few records would be sent, no live member of that zone is known, or the sender
+// is itself a hub of its zone.
 func (p *protocol) redirectToOwnZone(from netip.AddrPort, message *membershippb.Digest) bool {
 	if len(message.GetZones()) != 1 {
 		return false
--- a/internal/membership/per_view.go
+++ b/internal/membership/per_view.go
@@ -10,7 +10,8 @@
 	value Value
 }
 
-// Get returns the value that work computes from view.
+// Get returns the value that work computes from view. It calls work only if view is not the latest
+// one that Get was called with.
 func (p *ViewCache[Value]) Get(view *View, work func(*View) Value) Value {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -54,12 +54,12 @@
 
 func (p *protocol) probeOwnZone() {
 	p.lastSuccessor = p.lastSuccessor%ringSuccessors + 1
-	neighbour := p.ringSuccessor(p.lastSuccessor)
-	if neighbour != nil {
-		p.probe(neighbour)
+	successor := p.ringSuccessor(p.lastSuccessor)
+	if successor != nil {
+		p.probe(successor)
 	}
-	notNeighbour := func(candidate *record) bool { return candidate != neighbour }
-	for _, target := range p.sample(p.lookup().contacts[p.self.zone], 1, notNeighbour) {
+	notSuccessor := func(candidate *record) bool { return candidate != successor }
+	for _, target := range p.sample(p.lookup().contacts[p.self.zone], 1, notSuccessor) {
 		p.probe(target)
 	}
 }
@@ -116,7 +116,7 @@
 		case pending.failed:
 		case waited >= p.probeTime(p.timing.ProbeTimeout):
 			pending.failed = true
-			if !p.hasSuspects(pending.target.zone) {
+			if !p.isSuspectZone(pending.target.zone) {
 				p.slowness = min(p.slowness+1, maxSlowness)
 			}
 			p.probeFailed(pending)
@@ -142,14 +142,14 @@
 	p.ping(target, p.lastSequence)
 }
 
-// hasSuspects reports whether another zone has several suspects. Probes that fail there do not
-// indicate that this node is slow.
-func (p *protocol) hasSuspects(zone zoneKey) bool {
+// isSuspectZone reports whether a zone other than this node's has at least suspectZoneThreshold
+// suspects. Probes that fail there do not indicate that this node is slow.
+func (p *protocol) isSuspectZone(zone zoneKey) bool {
 	return zone != p.self.zone && p.lookup().suspects[zone] >= suspectZoneThreshold
 }
 
-// noteAnswer lowers the slowness that failed probes raised, but not below the value that this
-// answer's round trip requires.
+// noteAnswer lowers the slowness that failed probes raised by one, unless this answer is late. The
+// slowness is then at least what the round trip of a direct answer requires.
 func (p *protocol) noteAnswer(pending *probe, direct bool) {
 	needed := 0
 	if direct {
--- a/internal/placement/desired.go
+++ b/internal/placement/desired.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/engine"
 )
 
-// States of an engine.Loaded.
+// States of an engine.LoadedModel.
 const (
 	stateReady   = "ready"
 	stateLoading = "loading"
--- a/internal/roster/follower.go
+++ b/internal/roster/follower.go
@@ -76,10 +76,10 @@
 // Follower follows a node's part of the list at the relays. It is used by one goroutine, except for
 // IsRelay, and for LongByRelay while Run is not running.
 type Follower struct {
-	options FollowerOptions
-	relays  membership.ViewCache[zonerelay.Relays]
-	growth  membership.JoinTracker
-	started time.Time
+	options     FollowerOptions
+	relays      membership.ViewCache[zonerelay.Relays]
+	joinTracker membership.JoinTracker
+	started     time.Time
 
 	// run and version identify the last answer; version is 0 if the whole part is to be requested.
 	// copied reports whether the answer came from a saved copy of the list.
@@ -106,7 +106,7 @@
 // NewFollower returns a Follower that has not polled a relay yet.
 func NewFollower(options FollowerOptions) *Follower {
 	follower := &Follower{options: options, started: clock.Now()}
-	follower.growth.SettledFor(options.Viewer.View(), follower.started)
+	follower.joinTracker.SettledFor(options.Viewer.View(), follower.started)
 	return follower
 }
 
@@ -125,7 +125,7 @@
 // IsRelay reports whether this node is a relay according to its current view.
 func (f *Follower) IsRelay(now time.Time) bool {
 	uptime := now.Sub(f.started)
-	joining := f.growth.Joining(f.options.Viewer.View(), now, uptime, storeRelayDelay, maxJoinWait)
+	joining := f.joinTracker.Joining(f.options.Viewer.View(), now, uptime, storeRelayDelay, maxJoinWait)
 	chosen, hasStore := f.selfChosen()
 	return chosen && !joining && (hasStore || uptime >= edgeRelayDelay)
 }
--- a/internal/roster/last_answers.go
+++ b/internal/roster/last_answers.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// lastAnswerRetention is how long the last answer to a node that no longer asks is kept. After that
+// lastAnswerRetention is how long the last answer to a node that no longer polls is kept. After that
 // the node is sent its whole part again.
 const lastAnswerRetention = 30 * time.Second
 
@@ -40,7 +40,7 @@
 	l.byNode[node] = &lastAnswer{version: version, sent: sent, lastSeen: now}
 }
 
-// sweep drops the last answers to nodes that no longer ask.
+// sweep drops the last answers to nodes that no longer poll.
 func (l *lastAnswers) sweep(now time.Time) {
 	if now.Sub(l.lastSweep) < lastAnswerRetention {
 		return
--- a/internal/roster/long.go
+++ b/internal/roster/long.go
@@ -41,7 +41,7 @@
 }
 
 // askSeeds asks all seeds at once and returns the first answer. starting reports whether a seed
-// responded that does not know the list yet.
+// responded with an error because it does not know the list yet.
 func (f *Follower) askSeeds(ctx context.Context) (response *rosterpb.FollowResponse, starting bool) {
 	type answer struct {
 		response *rosterpb.FollowResponse
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -15,7 +15,7 @@
 	// MaxFullList is the number of replicas up to which each node keeps all of them.
 	MaxFullList = 256
 	// shortAgainAt is the number of replicas up to which a long list becomes short again. It is
-	// lower than MostKeptByEach, so that nodes do not switch back and forth.
+	// lower than MaxFullList, so that nodes do not switch back and forth.
 	shortAgainAt = 192
 )
 
--- a/internal/route/homes.go
+++ b/internal/route/homes.go
@@ -17,7 +17,8 @@
 	return matched.Regions.Intersect(owner.Regions)
 }
 
-// AllowedRegionsOf returns the same for the name of a tenant, which is empty if there is none. A tenant that is no longer declared adds no restriction.
+// AllowedRegionsOf returns the same as AllowedRegions for the name of a tenant, which is empty if there is none. A tenant that is no longer
+// declared adds no restriction.
 func (t *Table) AllowedRegionsOf(matched *Route, tenantName string) region.Set {
 	if t.Tenants == nil || tenantName == "" {
 		return matched.Regions
@@ -31,20 +32,20 @@
 	Regions region.Set
 }
 
-// ConfinedBatchHosts returns the confined homes of all batch routes, with and without each tenant, sorted and without duplicates; nil if the table
-// confines no data.
+// ConfinedBatchHosts returns the confined hosts of all batch routes, without a tenant and with each tenant, sorted and without duplicates; nil if
+// the table confines no data.
 func (t *Table) ConfinedBatchHosts() []ConfinedHost {
 	var found []ConfinedHost
 	for _, batchRoute := range t.Routes {
 		if batchRoute.Kind != Batch {
 			continue
 		}
-		found = appendHome(found, batchRoute, nil)
+		found = appendConfinedHost(found, batchRoute, nil)
 		if t.Tenants == nil {
 			continue
 		}
 		for declared := range t.Tenants.All() {
-			found = appendHome(found, batchRoute, declared)
+			found = appendConfinedHost(found, batchRoute, declared)
 		}
 	}
 	slices.SortFunc(found, func(a, b ConfinedHost) int {
@@ -53,15 +54,15 @@
 	return found
 }
 
-// appendHome adds the home of a route and a tenant if it is confined to regions and not in found yet.
-func appendHome(found []ConfinedHost, matched *Route, owner *tenant.Tenant) []ConfinedHost {
+// appendConfinedHost adds the host of a route if its data is confined to regions for owner, and not in found yet with the same regions.
+func appendConfinedHost(found []ConfinedHost, matched *Route, owner *tenant.Tenant) []ConfinedHost {
 	regions := AllowedRegions(matched, owner)
 	if !regions.Limited() || len(regions.Names()) == 0 {
 		return found
 	}
 	host := HostName(matched.Host)
-	for _, home := range found {
-		if home.Host == host && home.Regions.Equal(regions) {
+	for _, known := range found {
+		if known.Host == host && known.Regions.Equal(regions) {
 			return found
 		}
 	}
--- a/internal/route/homes_test.go
+++ b/internal/route/homes_test.go
@@ -60,9 +60,9 @@
 		got = append(got, home.Host+" "+strings.Join(home.Regions.Names(), ","))
 	}
 	if want := []string{"b north,south", "b south", "c north"}; !slices.Equal(got, want) {
-		t.Errorf("homes %v, want %v", got, want)
+		t.Errorf("confined hosts %v, want %v", got, want)
 	}
 	if homes := NewTable(1, []*Route{{Name: "free", Kind: Batch}}, nil, Limits{}).ConfinedBatchHosts(); homes != nil {
-		t.Errorf("a table that confines nothing has homes %v", homes)
+		t.Errorf("a table that confines nothing has confined hosts %v", homes)
 	}
 }
--- a/internal/routing/filter_model.go
+++ b/internal/routing/filter_model.go
@@ -7,7 +7,7 @@
 	"github.com/sloelift/sloelift/internal/fleet"
 )
 
-// stateReady is the engine.Loaded.State of a model that can serve requests.
+// stateReady is the engine.LoadedModel.State of a model that can serve requests.
 const stateReady = "ready"
 
 // modelPresent drops replicas whose load report does not match the requested model and adapter. A
--- a/internal/snapshotcache/cache.go
+++ b/internal/snapshotcache/cache.go
@@ -34,7 +34,7 @@
 	// ServiceUnanswered reports whether the service answers neither this node nor a node that watches on its behalf.
 	ServiceUnanswered func() bool
 	// Lister returns the node that reads long lists from the service on behalf of the other nodes; found is false if none is known. If Lister is
-	// nil, each node reads them itself. A list is long if it has more than MostShort entries.
+	// nil, each node reads them itself. A list is long if it has more than MaxShortEntries entries.
 	Lister          func() (lister Lister, found bool)
 	MaxShortEntries int
 	// Seeds are nodes to fetch copies from; some may no longer exist.
@@ -118,7 +118,7 @@
 		c.running.Go(func() { c.saveLoop(ctx) })
 		c.running.Go(func() { c.offerCopies(ctx) })
 	}
-	c.running.Go(func() { c.supply(ctx) })
+	c.running.Go(func() { c.fetchUntilListed(ctx) })
 }
 
 // Stop stops all goroutines: fetching from other nodes, offering copies and writing the file.
@@ -172,13 +172,13 @@
 		return nil
 	}
 	if cached.refusesOlder(listing, now) {
-		c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.suppliedRevision).
+		c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.copyRevision).
 			Msg("service_older_than_copy")
 		return platform.KindUnavailable.New("the service lists revision %d, which is older than the copy in use, revision %d",
-			listing.Revision, cached.suppliedRevision)
+			listing.Revision, cached.copyRevision)
 	}
-	if !cached.listed && cached.suppliedRevision > 0 {
-		c.logger.Info().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.suppliedRevision).
+	if !cached.listed && cached.copyRevision > 0 {
+		c.logger.Info().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, listing.Revision).Int64("copy_revision", cached.copyRevision).
 			Str("source", cached.source).Msg("copy_confirmed")
 	}
 	cached.replace(listing, now, "")
@@ -193,7 +193,7 @@
 
 // refusesOlder reports whether a listing is refused because it is older than the copy in use; after olderListingTimeout it is accepted.
 func (c *content) refusesOlder(listing platform.Listing, now time.Time) bool {
-	if c.listed || listing.Revision >= c.suppliedRevision {
+	if c.listed || listing.Revision >= c.copyRevision {
 		return false
 	}
 	if c.olderSince.IsZero() {
@@ -217,7 +217,7 @@
 func (c *Cache) setInUse() {
 	inUse := 0
 	for _, cached := range c.contents {
-		if !cached.listed && cached.suppliedRevision > 0 {
+		if !cached.listed && cached.copyRevision > 0 {
 			inUse++
 		}
 	}
@@ -237,7 +237,7 @@
 // Watch delivers the changes of the service and applies them to the cached content.
 func (c *Cache) Watch(ctx context.Context, prefix string, fromRevision int64) (<-chan platform.WatchEvent, error) {
 	source, err := c.KeyValue.Watch(ctx, prefix, fromRevision)
-	if err != nil || !c.keeps(prefix) {
+	if err != nil || !c.isCached(prefix) {
 		return source, err
 	}
 	events := make(chan platform.WatchEvent)
@@ -255,8 +255,8 @@
 	return events, nil
 }
 
-// keeps reports whether prefix is cached.
-func (c *Cache) keeps(prefix string) bool {
+// isCached reports whether prefix is cached.
+func (c *Cache) isCached(prefix string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.contents[prefix] != nil
--- a/internal/snapshotcache/copy.go
+++ b/internal/snapshotcache/copy.go
@@ -23,9 +23,9 @@
 	confirmedAt time.Time
 	// listed is set once the service has listed the prefix to this process; from then on copies are ignored.
 	listed bool
-	// take receives the copies; suppliedRevision is the revision of the last one, 0 if there was none.
-	take             func(copied platform.Listing)
-	suppliedRevision int64
+	// take receives the copies; copyRevision is the revision of the last one, 0 if there was none.
+	take         func(copied platform.Listing)
+	copyRevision int64
 	// olderSince is when the service first listed an older revision than the copy in use; zero if it has not.
 	olderSince time.Time
 	// encoded caches the message built from entries, revision and takenAt; nil after one of them changed.
--- a/internal/snapshotcache/exchange.go
+++ b/internal/snapshotcache/exchange.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// supply fetches copies and puts them into use until the service has listed all prefixes.
-func (c *Cache) supply(ctx context.Context) {
+// fetchUntilListed fetches copies and puts them into use until the service has listed all prefixes.
+func (c *Cache) fetchUntilListed(ctx context.Context) {
 	if !c.wait(ctx, firstListingTimeout, nil) {
 		return
 	}
@@ -191,8 +191,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for prefix, cached := range c.contents {
-		if !cached.listed && cached.revision > cached.suppliedRevision {
-			cached.suppliedRevision = cached.revision
+		if !cached.listed && cached.revision > cached.copyRevision {
+			cached.copyRevision = cached.revision
 			all = append(all, freshCopy{cached.take, cached.listing()})
 			c.metrics.taken.WithLabelValues(sourceLabel(cached.source)).Inc()
 			c.logger.Warn().Str(logging.FieldPrefix, prefix).Int64(logging.FieldRevision, cached.revision).Int("entries", len(cached.entries)).
--- a/internal/zonerelay/relays.go
+++ b/internal/zonerelay/relays.go
@@ -20,8 +20,7 @@
 
 // Select selects the relays of each zone among its live members: those with a data folder first,
 // because they have more network bandwidth, and among these the first by the hash of their IDs.
-// Adding or removing a member changes no other selection in its zone than the place it takes or
-// leaves.
+// Adding or removing a member changes at most one of the relays of its zone.
 func Select(view *membership.View) Relays {
 	byZone := map[string][]membership.Member{}
 	for _, member := range view.Members {
@@ -33,7 +32,7 @@
 }
 
 // insert adds member to the selected members of its zone if it ranks before one of them, or if
-// fewer than PerZone are selected.
+// fewer than RelaysPerZone are selected.
 func insert(chosen []membership.Member, member membership.Member) []membership.Member {
 	index, _ := slices.BinarySearchFunc(chosen, member, compare)
 	if index >= RelaysPerZone {
@@ -68,8 +67,8 @@
 	return zones
 }
 
-// First returns the relay that ranks first among those of all zones, in the order of Of; found is
-// false if there is no relay.
+// First returns the relay that ranks first among those of all zones, in the order that Select uses
+// within a zone; found is false if there is no relay.
 func (r Relays) First() (first membership.Member, found bool) {
 	for _, relays := range r.byZone {
 		for _, relay := range relays {
--- a/internal/zonerelay/relays_test.go
+++ b/internal/zonerelay/relays_test.go
@@ -38,7 +38,7 @@
 		for _, zone := range relays.Zones() {
 			chosen := relays.InZone(zone)
 			if len(chosen) != RelaysPerZone {
-				t.Fatalf("%d relays of zone %s, want PerZone", len(chosen), zone)
+				t.Fatalf("%d relays of zone %s, want RelaysPerZone", len(chosen), zone)
 			}
 			for _, relay := range chosen {
 				if !relay.Store || relay.Zone != zone || !relays.IsRelay(relay.ID) {
