--- a/internal/coldstart/fleet_events_test.go
+++ b/internal/coldstart/fleet_events_test.go
@@ -23,15 +23,15 @@
 			add(cold+f.randomColdTime(), func() { node.pause(length) })
 		}
 		for range injected.cuts {
-			node, at := f.nodes[f.randomBelow(len(f.nodes))], cold+f.randomColdTime()
-			add(at, func() { node.setCut(true) })
-			add(at+f.randomColdTime(), func() { node.setCut(false) })
+			node, cutAt := f.nodes[f.randomBelow(len(f.nodes))], cold+f.randomColdTime()
+			add(cutAt, func() { node.setCut(true) })
+			add(cutAt+f.randomColdTime(), func() { node.setCut(false) })
 		}
 		for range injected.restarts {
 			node := f.nodes[f.randomBelow(len(f.nodes))]
 			add(cold+f.randomColdTime(), func() { f.restartNode(node, members, replicas, injected) })
 		}
-		if injected.herd {
+		if injected.restartAll {
 			add(cold+f.randomColdTime(), func() {
 				for _, node := range f.nodes {
 					f.restartNode(node, members, replicas, injected)
--- a/internal/coldstart/fleet_test.go
+++ b/internal/coldstart/fleet_test.go
@@ -203,9 +203,9 @@
 		slices.Sort(times)
 		for _, cold := range []time.Duration{coldAt, restoredAt} {
 			var within []time.Duration
-			for _, at := range times {
-				if at >= cold && at < cold+coldDuration {
-					within = append(within, at)
+			for _, arrivedAt := range times {
+				if arrivedAt >= cold && arrivedAt < cold+coldDuration {
+					within = append(within, arrivedAt)
 				}
 			}
 			most = max(most, maxWithinSecond(within))
@@ -232,8 +232,8 @@
 	defer f.mutex.Unlock()
 	count := 0
 	for _, times := range f.arrivals {
-		for _, at := range times {
-			if at >= coldAt+time.Second && at < coldAt+coldDuration {
+		for _, arrivedAt := range times {
+			if arrivedAt >= coldAt+time.Second && arrivedAt < coldAt+coldDuration {
 				count++
 			}
 		}
@@ -247,9 +247,9 @@
 	// unansweredShare is that of faultyStore; wrongViews gives each node an incomplete view of the members.
 	unansweredShare float64
 	wrongViews      bool
-	// pauses, restarts and cuts are the numbers of affected nodes in each cold period; herd restarts all nodes at once.
+	// pauses, restarts and cuts are the numbers of affected nodes in each cold period; restartAll restarts all nodes at once.
 	pauses, restarts, cuts int
-	herd                   bool
+	restartAll             bool
 }
 
 // runScenario runs a fleet through two cold periods of its replicas.
--- a/internal/coldstart/property_test.go
+++ b/internal/coldstart/property_test.go
@@ -33,9 +33,9 @@
 	{name: "views differ", wrongViews: true, unansweredShare: 0.05},
 	{name: "nodes stand still", pauses: 12, unansweredShare: 0.05},
 	{name: "nodes are started again", restarts: 12, wrongViews: true, unansweredShare: 0.05},
-	{name: "all are started again together", herd: true, wrongViews: true, unansweredShare: 0.05},
+	{name: "all are started again together", restartAll: true, wrongViews: true, unansweredShare: 0.05},
 	{name: "nodes are cut off from the store", cuts: 12, wrongViews: true},
-	{name: "all of it", unansweredShare: 0.1, wrongViews: true, pauses: 10, restarts: 8, cuts: 8, herd: true},
+	{name: "all of it", unansweredShare: 0.1, wrongViews: true, pauses: 10, restarts: 8, cuts: 8, restartAll: true},
 }
 
 // coldBound is the number of requests that a cold replica may get per second; passBound, smaller, is what its passes admit together.
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -26,7 +26,7 @@
 	return s.rollOut(now, options)
 }
 
-// settled reports whether every replica that reports its load is in the desired state.
+// settled reports whether every replica that reports its load, and is not leaving, is in the desired state.
 func (s *serviceState) settled() bool {
 	for index := range s.view.replicas {
 		replica := &s.view.replicas[index].replica
@@ -167,8 +167,8 @@
 	return nil, false
 }
 
-// updateSoleReplica updates the only replica in service: the new version is loaded next to the old one, which is unloaded once no
-// requests run.
+// updateSoleReplica returns the next step that updates the only replica in service, or nil if it has to wait: the new version is loaded
+// next to the old one, which is unloaded once no requests run or wait.
 func (s *serviceState) updateSoleReplica(replica *fleet.Replica, difference *gap) action {
 	switch {
 	case len(difference.missing) > 0 || difference.missingAdapter != nil:
--- a/internal/roster/relay_test.go
+++ b/internal/roster/relay_test.go
@@ -55,8 +55,8 @@
 				t.Errorf("first answer of %d bytes for a list of %d replicas", size, count)
 			}
 			known := map[string]bool{}
-			for _, each := range first.GetReplicas() {
-				known[each.GetId()] = true
+			for _, message := range first.GetReplicas() {
+				known[message.GetId()] = true
 			}
 			began := time.Now()
 			time.AfterFunc(100*time.Millisecond, func() {
