--- a/cmd/sloelift/examples_test.go
+++ b/cmd/sloelift/examples_test.go
@@ -120,7 +120,7 @@
 	listed := map[netip.AddrPort]platform.Machine{}
 	for _, machine := range machines {
 		if _, taken := listed[machine.Address]; taken {
-			t.Errorf("address %s stands twice", machine.Address)
+			t.Errorf("address %s is listed twice", machine.Address)
 		}
 		listed[machine.Address] = machine
 	}
--- a/internal/config/relay/protocol_test.go
+++ b/internal/config/relay/protocol_test.go
@@ -81,7 +81,7 @@
 	s.nodes[1].member.Revisions.Configuration = 7
 	s.settle(20, false)
 	if s.nodes[0].ready {
-		t.Error("ready at revision 0 while revision 7 was heard of")
+		t.Error("ready at revision 0 although a peer had reported revision 7")
 	}
 	s.now += readyTimeout
 	s.settle(1, false)
--- a/internal/config/relay/service.go
+++ b/internal/config/relay/service.go
@@ -29,7 +29,7 @@
 	reportInterval = 30 * time.Second
 )
 
-// RevisionReporter is told which revision is in force on this node.
+// RevisionReporter is notified of the revision in force on this node.
 type RevisionReporter interface {
 	SetConfigRevision(revision int64)
 }
--- a/internal/config/store_test.go
+++ b/internal/config/store_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("wanted a ConflictError, got %v", err)
 	}
 	if conflict.Present != 2 || len(conflict.Overwritten) != 1 || conflict.Overwritten[0].Before != "kind: Model\nname: m\nversion: \"2\"\ncontextTokens: 4096\n" {
-		t.Errorf("conflict does not show the present version: %+v", conflict)
+		t.Errorf("conflict does not show the current version: %+v", conflict)
 	}
 	if snapshot, err := store.Load(t.Context()); err != nil || snapshot.Models["m"].Version != "2" {
 		t.Errorf("the loser changed the configuration: %v %v", snapshot, err)
--- a/internal/edge/caller_gone_test.go
+++ b/internal/edge/caller_gone_test.go
@@ -100,8 +100,8 @@
 		for way, disconnect := range waysToDisconnect {
 			t.Run(test.name+", "+way, func(t *testing.T) {
 				reached := make(chan struct{}, 64)
-				harness := newEdgeHarness(t, silentScript, func(made *edgeHarness, options *forward.Options) {
-					test.prepare(made, options, func() {
+				harness := newEdgeHarness(t, silentScript, func(configured *edgeHarness, options *forward.Options) {
+					test.prepare(configured, options, func() {
 						select {
 						case reached <- struct{}{}:
 						default:
@@ -143,9 +143,9 @@
 func TestNothingIsSentForACallerWhoLeftBeforeTheConfiguration(t *testing.T) {
 	for way, disconnect := range waysToDisconnect {
 		t.Run(way, func(t *testing.T) {
-			harness := newEdgeHarness(t, silentScript, func(made *edgeHarness, options *forward.Options) {
-				made.routes = route.NewHolder()
-				options.Routes = made.routes
+			harness := newEdgeHarness(t, silentScript, func(configured *edgeHarness, options *forward.Options) {
+				configured.routes = route.NewHolder()
+				options.Routes = configured.routes
 			})
 			disconnect(harness.send("a", 0))
 			harness.awaitLog(`"request":"a"`)
--- a/internal/edge/connection_limit_test.go
+++ b/internal/edge/connection_limit_test.go
@@ -17,7 +17,9 @@
 	for name, sent := range map[string]string{"idle": "", "slow": "POST /p/x HTTP/1.1\r\nHost: h.exa"} {
 		t.Run(name, func(t *testing.T) {
 			const maxConnections = 8
-			harness := newEdgeHarness(t, silentScript, func(made *edgeHarness, _ *forward.Options) { made.fileDescriptors = 2 * maxConnections })
+			harness := newEdgeHarness(t, silentScript, func(configured *edgeHarness, _ *forward.Options) {
+				configured.fileDescriptors = 2 * maxConnections
+			})
 			var flood []net.Conn
 			for range 5 * maxConnections {
 				connection := harness.connect()
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -62,7 +62,7 @@
 	Logger    zerolog.Logger
 	Network   network.Network
 	Addresses Addresses
-	// Grace is the time that Stop may take; 0 means defaultGrace.
+	// Grace is the time that Stop may take; 0 means defaultGracePeriod.
 	Grace time.Duration
 	// FileDescriptors is the number that the process may have open; 0 means no limit.
 	FileDescriptors int
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -311,6 +311,6 @@
 		t.Fatal("a severed node wrote to its caller")
 	}
 	if _, err := net.Dial("tcp", node.Address().String()); err == nil {
-		t.Fatal("a severed node took a connection")
+		t.Fatal("a severed node accepted a connection")
 	}
 }
--- a/internal/ledger/confined.go
+++ b/internal/ledger/confined.go
@@ -158,17 +158,18 @@
 	return m.placementOf(partition).stores(m.eligibleStores(view))
 }
 
-// MayHold implements Homes.
+// MayHold implements ConfinedLocator.
 func (m *Manager) MayHold(partition PartitionID, zone string) bool {
 	return m.placementOf(partition).allows(zone)
 }
 
-// ConfinementChanged implements Homes. The start of the process counts as a change, since the configuration before it is unknown.
+// ConfinementChanged implements ConfinedLocator. The start of the process counts as a change, since the configuration
+// before it is unknown.
 func (m *Manager) ConfinementChanged() bool {
 	return clock.Since(m.started) < confinementSettleTime || clock.Since(m.confined.changedAt()) < confinementSettleTime
 }
 
-// ConfinedPartitions implements Homes.
+// ConfinedPartitions implements ConfinedLocator.
 func (m *Manager) ConfinedPartitions(key string) []PartitionID {
 	fixed, known := m.directory.fixed()
 	if !known {
@@ -184,7 +185,7 @@
 	return slices.Compact(found)
 }
 
-// ConfinedPartition implements Homes.
+// ConfinedPartition implements ConfinedLocator.
 func (m *Manager) ConfinedPartition(key string, regions region.Set) (PartitionID, error) {
 	partition, reason := m.findWithin(key, regions)
 	if reason == "" {
--- a/internal/ledger/confined_formation.go
+++ b/internal/ledger/confined_formation.go
@@ -90,9 +90,9 @@
 		m.reportNotDurable(partition, regions, len(ensemble.Members))
 		return missing
 	}
-	made := newEnsemble(partition, chooseStores(stores, partition, fixed.replicas, nil), fixed.writeQuorum)
-	made.Regions = regions.Names()
-	return append(missing, made)
+	first := newEnsemble(partition, chooseStores(stores, partition, fixed.replicas, nil), fixed.writeQuorum)
+	first.Regions = regions.Names()
+	return append(missing, first)
 }
 
 // reportNotDurable logs, once, that a partition survives fewer losses than required and accepts no new records.
--- a/internal/ledger/confined_test.go
+++ b/internal/ledger/confined_test.go
@@ -177,7 +177,7 @@
 		for _, node := range c.nodes {
 			node.manager.hints.set(partition, c.nodes[0].id)
 			if owner, known := node.manager.Owner(partition); known {
-				t.Errorf("%s takes %s for the owner", node.id, owner)
+				t.Errorf("%s considers %s to be the owner", node.id, owner)
 			}
 		}
 	})
--- a/internal/ledger/faults_test.go
+++ b/internal/ledger/faults_test.go
@@ -235,7 +235,7 @@
 		c.view.change(owner.id, func(member *membership.Member) { member.State = membership.Suspect })
 		time.Sleep(10 * time.Second)
 		if kept, _ := owner.manager.ownership(0); kept != first || !kept.serving.Load() {
-			t.Fatal("an owner that serves well lost its partition on suspicion")
+			t.Fatal("a healthy owner lost its partition because it was suspected")
 		}
 		c.stop(owner)
 		acknowledged = append(acknowledged, c.put(0, "b"))
--- a/internal/ledger/fx.go
+++ b/internal/ledger/fx.go
@@ -19,7 +19,7 @@
 	"github.com/sloelift/sloelift/internal/transport"
 )
 
-// Module provides *Disk, *Manager, Locator and Homes. It requires a Factory, which must not depend on a Locator.
+// Module provides *Disk, *Manager, Locator and ConfinedLocator. It requires a Factory, which must not depend on a Locator.
 var Module = fx.Module("ledger",
 	fx.Provide(
 		NewDisk,
--- a/internal/ledger/gather.go
+++ b/internal/ledger/gather.go
@@ -6,7 +6,7 @@
 	"github.com/sloelift/sloelift/internal/membership"
 )
 
-// awaitingMembers reports whether this node has started within the last Timing.Gather and does not yet see all full
+// awaitingMembers reports whether this node has started within the last Timing.MemberWait and does not yet see all full
 // members of the partition's ensemble alive. After a power loss of the whole cluster, each node at first sees only
 // itself and prefers itself for all partitions, and gets neither an answer nor an error from members that are not up.
 // An attempt would then last until its requests time out, and the next one would take the partition from the node that
--- a/internal/ledger/gather_test.go
+++ b/internal/ledger/gather_test.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// TestWaitForMembersIsBounded checks that a node waits for a member that does not come back for Timing.Gather at most.
+// TestWaitForMembersIsBounded checks that a node waits for a member that does not come back for Timing.MemberWait at most.
 func TestWaitForMembersIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStorageCluster(t, 12)
--- a/internal/ledger/manager_test.go
+++ b/internal/ledger/manager_test.go
@@ -245,7 +245,7 @@
 			asking.manager.hints.set(partition, "")
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			if got, want := asking.manager.findOwner(ctx, partition), c.owner(partition).id; got != want {
-				t.Errorf("the owner of partition %d is taken to be %q, it is %q", partition, got, want)
+				t.Errorf("the owner of partition %d is reported as %q, it is %q", partition, got, want)
 			}
 			cancel()
 		}
--- a/internal/ledger/protocol/ballot_test.go
+++ b/internal/ledger/protocol/ballot_test.go
@@ -25,7 +25,7 @@
 		t.Fatal("a ballot of an older version was promised")
 	}
 	if answer, _ := state.Append(Append{Ballot: Ballot{1, 1, "a"}, First: 1}); answer.Verdict != VerdictRefused {
-		t.Fatal("an append of an older version was taken")
+		t.Fatal("an append under an older version was accepted")
 	}
 	if promise, _ := state.Prepare(Prepare{Ballot: Ballot{3, 1, "a"}}); promise.Verdict != VerdictOK || promise.Last != 0 {
 		t.Fatalf("under the newer version: %+v", promise)
--- a/internal/ledger/protocol/owner_proposal_test.go
+++ b/internal/ledger/protocol/owner_proposal_test.go
@@ -145,6 +145,6 @@
 	}
 	promise, _ := state.Prepare(Prepare{Ballot: Ballot{Version: 2, Number: 1, Owner: "first"}, Ensemble: wanted})
 	if promise.Proposal.Ensemble.Version != 0 {
-		t.Errorf("a store under version 2 tells of the proposal for it: %+v", promise.Proposal)
+		t.Errorf("a store under version 2 still reports the proposal for that version: %+v", promise.Proposal)
 	}
 }
--- a/internal/ledger/protocol/snapshot_test.go
+++ b/internal/ledger/protocol/snapshot_test.go
@@ -26,6 +26,6 @@
 	owner.SnapshotHeld("a", SnapshotInfo{UpTo: 1, KeepFrom: 2})
 	owner.SnapshotHeld("a", SnapshotInfo{UpTo: 2, KeepFrom: 1})
 	if held := owner.Holdings()[0].Snapshot; held.UpTo != 2 || held.KeepFrom != 2 {
-		t.Errorf("the owner takes the snapshot up to %d for one that needs records from %d on", held.UpTo, held.KeepFrom)
+		t.Errorf("the owner records that the snapshot up to %d needs records from %d on", held.UpTo, held.KeepFrom)
 	}
 }
--- a/internal/ledger/serve_owner.go
+++ b/internal/ledger/serve_owner.go
@@ -22,7 +22,7 @@
 }
 
 // serveRelease releases a partition to the requesting node if that node is the preferred owner and this ownership is
-// older than Timing.Settle, or if this node is leaving or its ownership is not healthy. Otherwise it declines.
+// older than Timing.MinTenure, or if this node is leaving or its ownership is not healthy. Otherwise it declines.
 func (m *Manager) serveRelease(ctx context.Context, _ netip.AddrPort, request *ledgerpb.ReleaseRequest) (*ledgerpb.ReleaseResponse, error) {
 	partition := PartitionID(request.Partition)
 	ownership, present := m.ownership(partition)
@@ -31,8 +31,8 @@
 	}
 	preferred, _ := preferredOwner(m.viewer.View(), partition, m.ownersOf(partition))
 	now := clock.Now()
-	settling := now.Sub(ownership.began) < m.timing.MinTenure
-	if (string(preferred.ID) != request.Successor || settling) && !m.leaving.Load() && ownership.healthy(now) {
+	withinMinTenure := now.Sub(ownership.began) < m.timing.MinTenure
+	if (string(preferred.ID) != request.Successor || withinMinTenure) && !m.leaving.Load() && ownership.healthy(now) {
 		return &ledgerpb.ReleaseResponse{}, nil
 	}
 	if !ownership.release(ctx) {
--- a/internal/ledger/silence_test.go
+++ b/internal/ledger/silence_test.go
@@ -87,8 +87,8 @@
 			node.manager.SetRetiring(map[membership.NodeID]bool{retiring.id: true})
 		}
 		c.eventually("the node is empty", func() bool {
-			emptied, err := c.nodes[0].manager.IsDrained(t.Context(), retiring.id)
-			return err == nil && emptied
+			drained, err := c.nodes[0].manager.IsDrained(t.Context(), retiring.id)
+			return err == nil && drained
 		})
 		if owner := c.owner(0); owner == retiring {
 			t.Error("the retiring node still owns a partition")
@@ -111,8 +111,8 @@
 			node.manager.SetRetiring(map[membership.NodeID]bool{c.nodes[0].id: true})
 		}
 		time.Sleep(10 * time.Second)
-		if emptied, err := c.nodes[1].manager.IsDrained(t.Context(), c.nodes[0].id); err != nil || emptied {
-			t.Errorf("emptied %t, %v, though there is no other store", emptied, err)
+		if drained, err := c.nodes[1].manager.IsDrained(t.Context(), c.nodes[0].id); err != nil || drained {
+			t.Errorf("drained %t, %v, though there is no other store", drained, err)
 		}
 		c.check(0, acknowledged)
 	})
--- a/internal/ledger/spare_test.go
+++ b/internal/ledger/spare_test.go
@@ -61,7 +61,7 @@
 			t.Errorf("%d changes of the ensemble in 12 s, want 4 at most", changes)
 		}
 		if after.FullMembers() != 5 || slices.ContainsFunc(lost, func(node *testNode) bool { return isMember(after, node) }) {
-			t.Errorf("the ensemble is not whole without those that do not answer: %+v", after.Members)
+			t.Errorf("the ensemble is not complete without the stores that do not answer: %+v", after.Members)
 		}
 		c.check(0, acknowledged)
 		c.stopAll()
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -198,7 +198,7 @@
 		damaged = err != nil || response.Status == ledgerpb.Status_STATUS_DAMAGED
 	}
 	if !damaged || !again.Failed() {
-		t.Fatalf("damage noticed %v, store stopped %v", damaged, again.Failed())
+		t.Fatalf("damage detected %v, store stopped %v", damaged, again.Failed())
 	}
 	closeStore(t, again)
 	refilled := open(t, "data", files, &free)
--- a/internal/ledger/takeover.go
+++ b/internal/ledger/takeover.go
@@ -5,7 +5,7 @@
 // maxTakeoverTurn bounds how many checks a node waits for higher-ranked nodes before it takes over a partition.
 const maxTakeoverTurn = 4
 
-// ownerSilent reports whether the local store has received no message from the partition's owner for Timing.Silence
+// ownerSilent reports whether the local store has received no message from the partition's owner for Timing.OwnerSilence
 // plus this node's takeover turn, and this node should therefore try to own the partition. The known ensemble may be
 // out of date, so a store qualifies if it has ever received a message from an owner.
 func (m *Manager) ownerSilent(partition PartitionID, control *partitionControl, now time.Time) bool {
--- a/internal/network/severable_test.go
+++ b/internal/network/severable_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if _, err := dialed.Read(make([]byte, 1)); err == nil {
-		t.Fatal("a paused network let a byte through")
+		t.Fatal("a paused network delivered a byte")
 	}
 	severable.Resume()
 	<-written
--- a/internal/node/role_edge.go
+++ b/internal/node/role_edge.go
@@ -28,13 +28,13 @@
 func newBatchCalls(
 	adapter Adapter,
 	locator ledger.Locator,
-	homes ledger.ConfinedLocator,
+	confined ledger.ConfinedLocator,
 	caller transport.Caller,
 	registrar transport.Registrar,
 	members *membership.Service,
 	logger zerolog.Logger,
 ) BatchCalls {
-	return adapter.Batch(batch.NewClient(locator, homes, caller, registrar, members, logger))
+	return adapter.Batch(batch.NewClient(locator, confined, caller, registrar, members, logger))
 }
 
 // newGate returns the gate that queues online requests while the demand at all nodes exceeds the replicas' capacity.
--- a/internal/platform/follow.go
+++ b/internal/platform/follow.go
@@ -37,7 +37,7 @@
 
 // Follow passes the content below prefix and its changes to follower, until ctx ends or there are too many entries. It lists once
 // and then watches, each watch continuing where the last one ended. It lists again only if the service has compacted the revisions
-// needed, or if Behind signals missed changes.
+// needed, or if ChangesMissed signals it.
 func Follow(ctx context.Context, store KeyValue, prefix string, follower Follower) {
 	retryBackoff := NewBackoffUpTo(maxFollowBackoff)
 	revision := int64(0)
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -63,7 +63,7 @@
 	p.lastReceived.Store(time.Now().UnixNano())
 }
 
-// silentSince reports whether no frame has arrived from the peer since then.
+// silentSince reports whether no frame has arrived from the peer since the time then.
 func (p *peer) silentSince(then time.Time) bool { return p.lastReceived.Load() < then.UnixNano() }
 
 // answersPing pings the peer and reports whether it is alive; any frame that arrives meanwhile counts as an answer.
--- a/internal/transport/tcp_test.go
+++ b/internal/transport/tcp_test.go
@@ -209,6 +209,6 @@
 	}
 	queue.failAll(context.Canceled)
 	if err := queue.put(expiredContext, loopback, frame); err != nil {
-		t.Fatalf("an emptied queue refused a frame: %v", err)
+		t.Fatalf("a queue that was emptied refused a frame: %v", err)
 	}
 }
--- a/lab/deployment/faults.go
+++ b/lab/deployment/faults.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// PauseNode suspends all that a node sends and receives; callers use other nodes.
+// PauseNode suspends all traffic from and to a node; callers use other nodes.
 func (d *Deployment) PauseNode(node *Node) {
 	node.setServing(false)
 	node.pause(true)
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -103,7 +103,7 @@
 	e.history = loadHistory{}
 }
 
-// Address returns where the engine listens.
+// Address returns the address on which the engine listens.
 func (e *Engine) Address() netip.AddrPort {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/lab/engine/engine_test.go
+++ b/lab/engine/engine_test.go
@@ -196,7 +196,7 @@
 	e.Kill()
 	content, err := io.ReadAll(response.Body)
 	if err == nil && bytes.Contains(content, []byte("[DONE]")) {
-		t.Fatal("the stream of a killed engine ended whole")
+		t.Fatal("the stream of a killed engine ended as if complete")
 	}
 	if err := e.Start(""); err != nil {
 		t.Fatal(err)
--- a/lab/engine/scheduler.go
+++ b/lab/engine/scheduler.go
@@ -75,15 +75,15 @@
 func (s *scheduler) planned() Totals {
 	var step Totals
 	for _, entry := range s.running {
-		made := int64(0)
+		decoded := int64(0)
 		if entry.decoding {
-			made = 1
+			decoded = 1
 		}
 		if entry.batch {
-			step.BatchDecoded += made
+			step.BatchDecoded += decoded
 			step.BatchPrefill += int64(entry.prefilling)
 		} else {
-			step.OnlineDecoded += made
+			step.OnlineDecoded += decoded
 			step.OnlinePrefill += int64(entry.prefilling)
 		}
 	}
--- a/lab/hollow/run_test.go
+++ b/lab/hollow/run_test.go
@@ -26,7 +26,7 @@
 				result.RevisionsBack, result.ConfigMissing, result.FalseDeaths, result.NotDetected)
 		}
 		if result.Applied < 40 || result.ConfigSpread.Count < 40*10 || result.Restarts == 0 || result.Failures == 0 {
-			t.Errorf("too little happened: %+v", result)
+			t.Errorf("too few events in the run: %+v", result)
 		}
 		if result.DetectedInZone.Max > 3000 || result.DetectedEverywhere.Max > 8000 || result.ZoneLostMillis > 8000 ||
 			result.ZoneLostMillis < 0 || result.RegionHealMillis < 0 {
--- a/lab/process/process_test.go
+++ b/lab/process/process_test.go
@@ -45,14 +45,14 @@
 	failing, _ := start(t, "/bin/sh", "-c", "exit 3")
 	<-failing.Ended()
 	if err := failing.stopError(); err == nil {
-		t.Error("a process that failed has stopped")
+		t.Error("a process that failed is reported as stopped")
 	}
 	ignoring, logPath := start(t, "/bin/sh", "-c", "trap '' TERM; echo ready; while :; do :; done")
 	awaitOutput(t, logPath)
 	expired, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	if err := ignoring.Stop(expired); err == nil {
-		t.Error("a process that goes on has stopped")
+		t.Error("a process that is still running is reported as stopped")
 	}
 	<-ignoring.Ended()
 }
--- a/lab/roles/run_test.go
+++ b/lab/roles/run_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if report.Broken > 0 {
-		t.Errorf("seeds %v broke a promise", report.Seeds)
+		t.Errorf("seeds %v violated a guarantee", report.Seeds)
 	}
 	return report
 }
