--- a/internal/ledger/takeover.go
+++ b/internal/ledger/takeover.go
@@ -36,11 +36,11 @@
 
 // takeoverTurn returns the number of live nodes with a store that rank above this one, at most maxTakeoverTurn.
 func (m *Manager) takeoverTurn(partition PartitionID) int {
-	before := 0
+	higher := 0
 	for _, member := range m.placementOf(partition).stores(storesOf(m.viewer.View())) {
 		if rank(partition, string(member.ID)) > rank(partition, string(m.self)) {
-			before++
+			higher++
 		}
 	}
-	return min(before, maxTakeoverTurn)
+	return min(higher, maxTakeoverTurn)
 }
--- a/lab/engine/options.go
+++ b/lab/engine/options.go
@@ -46,7 +46,7 @@
 	IsBatch func(marker string) bool
 	// ReserveFetch requests permission to fetch weights from the weight store; nil always permits.
 	ReserveFetch func(name, version, replica string) error
-	// Log records the engine's runs and survives a kill.
+	// Log records the engine's runs and survives a kill; nil means a new log.
 	Log *RunLog
 	// Seed determines which cache events are lost.
 	Seed uint64
--- a/lab/engine/orders.go
+++ b/lab/engine/orders.go
@@ -66,7 +66,7 @@
 			return loaded.Model == order.Model && (order.Version == "" || loaded.Version == order.Version)
 		})
 	case modelengine.OrderUnloadAdapter:
-		e.eachModel(order.Model, func(loaded *modelengine.LoadedModel) {
+		e.forEachModel(order.Model, func(loaded *modelengine.LoadedModel) {
 			loaded.Adapters = slices.DeleteFunc(slices.Clone(loaded.Adapters), func(name string) bool { return name == order.Adapter })
 		})
 	case modelengine.OrderSetRole:
@@ -74,7 +74,8 @@
 	}
 }
 
-func (e *Engine) eachModel(name string, visit func(*modelengine.LoadedModel)) {
+// forEachModel calls visit for each version of the named model that is loaded or loading. The caller holds mutex.
+func (e *Engine) forEachModel(name string, visit func(*modelengine.LoadedModel)) {
 	for index := range e.models {
 		if e.models[index].Model == name {
 			visit(&e.models[index])
@@ -130,7 +131,7 @@
 		return
 	default:
 	}
-	e.eachModel(order.Model, func(loaded *modelengine.LoadedModel) {
+	e.forEachModel(order.Model, func(loaded *modelengine.LoadedModel) {
 		if order.Kind == modelengine.OrderLoadAdapter {
 			loaded.Adapters = append(slices.Clone(loaded.Adapters), order.Adapter)
 		} else if loaded.Version == order.Version {
