--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -4,10 +4,10 @@
 
 var (
 	stalledDescription = prometheus.NewDesc(
-		"sloelift_batch_items_stalled", "Items of open jobs without progress for five seconds, by what they wait for.", []string{"reason"}, nil,
+		"sloelift_batch_items_stalled", "Items of open jobs that have made nothing for five seconds, by what they wait for.", []string{"reason"}, nil,
 	)
 	longestDescription = prometheus.NewDesc(
-		"sloelift_batch_item_stalled_seconds_max", "The longest time for which an item of an open job has made no progress.", nil, nil,
+		"sloelift_batch_item_stalled_seconds_max", "The longest time for which an item of an open job has made nothing.", nil, nil,
 	)
 )
 
--- a/internal/job/metrics.go
+++ b/internal/job/metrics.go
@@ -14,17 +14,17 @@
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
 		itemsWaiting: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "sloelift_job_items_waiting", Help: "Batch items waiting for a credit on this node."}),
+			Name: "sloelift_job_items_waiting", Help: "Batch items that wait for a credit on this node."}),
 		itemsRunning: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "sloelift_job_items_running", Help: "Batch items dispatched by this node and running."}),
+			Name: "sloelift_job_items_running", Help: "Batch items that run from this node."}),
 		itemsCompleted: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "sloelift_job_items_completed_total", Help: "Batch item results recorded by this node, by outcome.",
+			Name: "sloelift_job_items_completed_total", Help: "Batch items recorded from this node, by outcome.",
 		}, []string{"outcome"}),
 		engineCalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "sloelift_job_engine_calls_total",
-			Help: "Engine calls for batch items, including calls that attach to an earlier run."}),
+			Help: "Calls to engines for batch items, attaching ones too."}),
 		jobsAtRisk: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "sloelift_job_at_risk_total", Help: "Times that a job became at risk of missing its deadline."}),
+			Name: "sloelift_job_at_risk_total", Help: "Jobs that were found not to make their deadline."}),
 	}
 	registerer.MustRegister(m.itemsWaiting, m.itemsRunning, m.itemsCompleted, m.engineCalls, m.jobsAtRisk)
 	return m
--- a/internal/ledger/metrics.go
+++ b/internal/ledger/metrics.go
@@ -19,11 +19,11 @@
 		partitions: prometheus.NewDesc("sloelift_ledger_partitions",
 			"Partitions by state: owned here, of these degraded (fewer full members than wanted) or storage_full.", []string{"state"}, nil),
 		fsyncs:  prometheus.NewDesc("sloelift_ledger_store_fsyncs_total", "Synced writes of this node's store.", nil, nil),
-		written: prometheus.NewDesc("sloelift_ledger_store_written_bytes_total", "Bytes written by this node's store, including rewrites by compactions.", nil, nil),
+		written: prometheus.NewDesc("sloelift_ledger_store_written_bytes_total", "Bytes written by this node's store, rewriting counted.", nil, nil),
 		confined: prometheus.NewDesc("sloelift_ledger_confined_partitions",
-			"Known partitions that are confined to regions: all, of these not_durable (they survive too few losses and accept no new records).", []string{"state"}, nil),
-		refused: prometheus.NewDesc("sloelift_ledger_no_home_total", "Records refused because the regions to which they are confined had no durable partition.", nil, nil),
-		failed:  prometheus.NewDesc("sloelift_ledger_store_failed", "1 if this node's store has stopped because of a disk fault.", nil, nil),
+			"Known partitions that are confined to regions: all, of these not_durable (they survive too few losses and take no new records).", []string{"state"}, nil),
+		refused: prometheus.NewDesc("sloelift_ledger_no_home_total", "Records that had no place in the regions to which they are confined.", nil, nil),
+		failed:  prometheus.NewDesc("sloelift_ledger_store_failed", "1 where this node's store has stopped for a fault of its disk.", nil, nil),
 	}
 }
 
--- a/internal/loadshare/relay_handlers.go
+++ b/internal/loadshare/relay_handlers.go
@@ -31,7 +31,7 @@
 func (s *Service) relayQuery(ctx context.Context, from netip.AddrPort, load *loadsharepb.NodeLoad) (*loadsharepb.FleetLoad, error) {
 	exchange, reached := s.reachableExchange()
 	if !reached {
-		return nil, outcome.New(outcome.NotRun, outcome.ReasonUnavailable, "the relaying node reaches no load exchange itself")
+		return nil, outcome.New(outcome.NotRun, outcome.ReasonUnavailable, "no exchange of the load is reached from here either")
 	}
 	load.Reporter = from.String()
 	callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -16,7 +16,7 @@
 	created := &metrics{
 		messages: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "sloelift_quarantine_messages",
-			Help: "Messages under which replicas ended, by verdict.",
+			Help: "Messages under which replicas ended, by what follows.",
 		}, []string{"verdict"}),
 		ended: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "sloelift_quarantine_replicas_ended_total",
