--- a/internal/batch/item_attempt.go
+++ b/internal/batch/item_attempt.go
@@ -32,7 +32,7 @@
 	appendRetryDelay = 200 * time.Millisecond
 )
 
-var errSilent = errors.New("replica sent nothing within the silence timeout")
+var errSilent = errors.New("replica is silent")
 
 // itemVerdict is the result of one attempt at an item.
 type itemVerdict int
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -26,7 +26,7 @@
 )
 
 // errSilenceTimeout reports that a replica sent no data within the silence timeout.
-var errSilenceTimeout = errors.New("replica sent no data within the silence timeout")
+var errSilenceTimeout = errors.New("replica is silent")
 
 // errUnsigned reports a success without the replica's signature: its header may have been cut short.
 var errUnsigned = errors.New("answer has no replica signature")
--- a/internal/placement/fence.go
+++ b/internal/placement/fence.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if current.Revision > request.revision {
-		return 0, platform.KindRefused.New("a fencing token was already taken for configuration revision %d, this node knows only revision %d", current.Revision, request.revision)
+		return 0, platform.KindRefused.New("revision %d was ordered by, %d is known here", current.Revision, request.revision)
 	}
 	next := fenceRecord{
 		Token: max(current.Token, request.atLeast) + 1, Orderer: orderer, Revision: request.revision, WriteID: ulid.Make().String(),
