--- a/internal/changefeed/feed_test.go
+++ b/internal/changefeed/feed_test.go
@@ -193,8 +193,8 @@
 	})
 }
 
-// TestNodesWatchTheServiceWhenWatchersAreSilent checks that nodes that receive nothing from the watchers, though these are alive by their view, watch
-// the service themselves, and stop doing so once they receive messages again.
+// TestNodesWatchTheServiceWhenWatchersAreSilent checks that nodes that receive nothing from the watchers, though these are alive by their
+// view, watch the service themselves, and stop doing so once they receive messages again.
 func TestNodesWatchTheServiceWhenWatchersAreSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFeeds(6)
--- a/internal/changefeed/watchers.go
+++ b/internal/changefeed/watchers.go
@@ -12,8 +12,9 @@
 const (
 	// watcherCount is the number of nodes that watch the service for all nodes.
 	watcherCount = 2
-	// watcherHold is how long the service holds a watch call of a node that watches for changes, followerHold that of other nodes, for
-	// prefixes that are not urgent. A watch that was cut without a reset is noticed only when this time is over.
+	// watcherHold is how long the service holds a watch call of a watcher or of a node that watches for itself, followerHold that of other
+	// nodes, whose own calls are only for prefixes that are not urgent. A watch that was cut without a reset is noticed only when
+	// this time is over.
 	watcherHold  = time.Second
 	followerHold = 20 * time.Second
 )
--- a/internal/discovery/replicas.go
+++ b/internal/discovery/replicas.go
@@ -104,8 +104,8 @@
 // publishPart makes this node's part of the list the content of the directory; copied is true if the list is an older copy.
 func (s *Service) publishPart(copied bool) {
 	part := roster.Part{Node: string(s.node), Zone: s.zone, Width: s.keeper.Width(clock.Now())}
-	replicas, elsewhere := s.roster.Part(part)
-	s.keeper.Replace(replicas, elsewhere, copied)
+	replicas, unlistedSlots := s.roster.Part(part)
+	s.keeper.Replace(replicas, unlistedSlots, copied)
 	s.partPublished = true
 }
 
--- a/internal/discovery/service.go
+++ b/internal/discovery/service.go
@@ -81,7 +81,8 @@
 
 // Copies supplies older copies of the keys below a prefix.
 type Copies interface {
-	// CachePrefix calls take with copies of the prefix, each newer than the one before, until the prefix is listed or settled.
+	// CachePrefix calls take with copies of the prefix, each newer than the one before, until the prefix is listed or
+	// DropCopies is called for it.
 	CachePrefix(prefix string, take func(copied platform.Listing))
 	// DropCopies ends the supply for a prefix whose content is learned in another way.
 	DropCopies(prefix string)
--- a/internal/evacuation/register.go
+++ b/internal/evacuation/register.go
@@ -20,7 +20,7 @@
 type ReplicaDirectory interface {
 	// SetEvacuated replaces the set of evacuated zones.
 	SetEvacuated(zones map[string]bool)
-	// NoteEvacuationEnded records that the evacuation of a zone ends now, where SetEvacuated was never called with that zone.
+	// NoteEvacuationEnded records that an evacuation of the zone that SetEvacuated never named has ended, as of now.
 	NoteEvacuationEnded(zone string)
 }
 
--- a/internal/evacuation/register_test.go
+++ b/internal/evacuation/register_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestOlderRevisionsAreIgnoredInAnyOrder: listings and changes arrive late, repeatedly and out of order. The newest state that has arrived is always in
-// force, and the last state in the end.
+// TestOlderRevisionsAreIgnoredInAnyOrder: listings and changes arrive late, repeatedly and out of order. The newest state that has arrived is
+// always in force, and the last state in the end.
 func TestOlderRevisionsAreIgnoredInAnyOrder(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -232,7 +232,7 @@
 	return changed, deleted
 }
 
-// TestListingEndsACopy: a node that started from a copy accepts the service's own listing, also where the service was restored to an older
+// TestListingEndsACopy: a node that started from a copy accepts the service's own listing, even if the service was restored to an older
 // revision. After that it ignores older listings.
 func TestListingEndsACopy(t *testing.T) {
 	register := newTestRegister(t)
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -41,7 +41,7 @@
 	evidenceLeaving
 )
 
-// evidenceReported is the outcome of a call of this node to a replica.
+// evidenceReported reports the outcome of one call of this node to a replica.
 type evidenceReported struct {
 	replica string
 	kind    evidenceKind
--- a/internal/fleet/load_messages.go
+++ b/internal/fleet/load_messages.go
@@ -140,7 +140,7 @@
 	return detail
 }
 
-// States of engine.Loaded.
+// States of engine.LoadedModel.
 const (
 	loadedReady   = "ready"
 	loadedLoading = "loading"
--- a/internal/job/faults_test.go
+++ b/internal/job/faults_test.go
@@ -308,7 +308,7 @@
 			t.Errorf("%d results at the former owner, %d items completed", len(all), ended.Completed)
 		}
 		if again, err := cluster.nodes[0].service.Status(t.Context(), "registry", status.ID); err != nil || again.Phase != ended.Phase {
-			t.Errorf("the former owner says %+v, %v of a job that ended as %s", again, err, ended.Phase)
+			t.Errorf("the former owner returned %+v, %v for a job that ended as %s", again, err, ended.Phase)
 		}
 	})
 }
--- a/internal/job/item_run_test.go
+++ b/internal/job/item_run_test.go
@@ -63,7 +63,7 @@
 			return true
 		})
 		if count != 10 || cluster.engine.cancels != 10 {
-			t.Fatalf("%d items went on, %d runs cancelled", count, cluster.engine.cancels)
+			t.Fatalf("%d items resumed, %d runs cancelled", count, cluster.engine.cancels)
 		}
 	})
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -91,7 +91,7 @@
 				t.Fatal(err)
 			}
 			if _, records := log.Records(); len(records) != 0 {
-				t.Errorf("%d records of the cut off upload are kept", len(records))
+				t.Errorf("%d records of the interrupted upload are kept", len(records))
 			}
 		}
 	})
@@ -155,11 +155,11 @@
 		}()
 		time.Sleep(2 * time.Second)
 		if cut.Load() != 0 {
-			t.Fatalf("the cancel cut %d calls off", cut.Load())
+			t.Fatalf("the cancel interrupted %d engine calls", cut.Load())
 		}
 		select {
 		case <-acknowledged:
-			t.Fatal("acknowledged with calls under way")
+			t.Fatal("the cancel was acknowledged with engine calls pending")
 		default:
 		}
 		close(answer)
--- a/internal/job/record_reader.go
+++ b/internal/job/record_reader.go
@@ -127,8 +127,8 @@
 	minNearbyResults = 16
 )
 
-// resultWindow reads results by position. Where results of a job lie close together in
-// the log, one read covers many of them; where they are mixed with other records, each is
+// resultWindow reads results by position. If results of a job lie close together in
+// the log, one read covers many of them; if they are mixed with other records, each is
 // read alone, so that few unneeded records are read. It is not safe for concurrent use.
 type resultWindow struct {
 	owned   ledger.Owned
--- a/internal/job/takeover_test.go
+++ b/internal/job/takeover_test.go
@@ -83,7 +83,7 @@
 		for sent := range 8 {
 			select {
 			case <-quiesced:
-				t.Fatal("quiet with attempts under way")
+				t.Fatal("Quiesce returned with attempts pending")
 			default:
 			}
 			if sent < refused {
--- a/internal/loadshare/board.go
+++ b/internal/loadshare/board.go
@@ -106,7 +106,7 @@
 	b.replaceReport(from, next)
 }
 
-// replaceReport replaces a node's last report by next, or removes it where next is nil. The caller must hold mutex.
+// replaceReport replaces a node's last report by next, or removes it if next is nil. The caller must hold mutex.
 func (b *Board) replaceReport(from netip.AddrPort, next *report) {
 	last := b.reports[from]
 	b.replace(b.reports, from, next, b.reportedDemands, &b.reportedNodes, func(sum *total, change replica.Use) {
@@ -138,7 +138,7 @@
 	})
 }
 
-// replaceRelay replaces another exchange's last load by next, or removes it where next is nil. The caller must hold mutex.
+// replaceRelay replaces another exchange's last load by next, or removes it if next is nil. The caller must hold mutex.
 func (b *Board) replaceRelay(from netip.AddrPort, next *report) {
 	b.replace(b.relays, from, next, b.relayedDemands, &b.relayedNodes, func(sum *total, change replica.Use) {
 		sum.relayed = sum.relayed.Plus(change, 1)
@@ -210,7 +210,7 @@
 	}
 }
 
-// Answer returns the loads that changed since knownVersion, or all of them where that is a version of another run or too old.
+// Answer returns the loads that changed since knownVersion, or all of them if that is a version of another run or too old.
 func (b *Board) Answer(knownRun, knownVersion uint64) *loadsharepb.FleetLoad {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -225,7 +225,7 @@
 	return b.fleetLoad(changed, whole)
 }
 
-// AnswerTo answers a query: with the loads of the replicas that it names, or, where it names none, with the changes since the version that it
+// AnswerTo answers a query: with the loads of the replicas that it names, or, if it names none, with the changes since the version that it
 // names.
 func (b *Board) AnswerTo(query *loadsharepb.NodeLoad) *loadsharepb.FleetLoad {
 	if len(query.GetOf()) == 0 {
@@ -256,7 +256,7 @@
 	}
 }
 
-// changesToRelay returns the reported loads that changed since the given version, or all of them where whole is set, and the current version.
+// changesToRelay returns the reported loads that changed since the given version, or all of them if whole is set, and the current version.
 func (b *Board) changesToRelay(since uint64, whole bool) (*loadsharepb.ExchangeLoad, uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/loadshare/fleet.go
+++ b/internal/loadshare/fleet.go
@@ -46,7 +46,7 @@
 	return f.run, f.version
 }
 
-// answerAge returns the age of the last answer; known is false where there was none.
+// answerAge returns the age of the last answer; known is false if there was none.
 func (f *fleet) answerAge(now time.Time) (age time.Duration, known bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/loadshare/questions.go
+++ b/internal/loadshare/questions.go
@@ -41,7 +41,7 @@
 	background sync.WaitGroup
 }
 
-// route returns the route to use; known is false where there is none.
+// route returns the route to use; known is false if there is none.
 func (q *queries) route(topo topology, now time.Time) (chosen route, known bool) {
 	if len(topo.routes) == 0 {
 		return route{}, false
@@ -66,7 +66,7 @@
 	return q.misses == 0
 }
 
-// start returns a channel that is closed when the query in flight ends. Where there is none, it runs query in the background. After stop it
+// start returns a channel that is closed when the query in flight ends. If there is none, it runs query in the background. After stop it
 // runs none and returns a closed channel.
 func (q *queries) start(query func() error) (done <-chan struct{}) {
 	q.mutex.Lock()
@@ -149,7 +149,7 @@
 // startQuery starts a query in the background unless one is in flight; the returned channel is closed when that ends.
 func (s *Service) startQuery() (done <-chan struct{}) { return s.queries.start(s.query) }
 
-// query reports this node's load to an exchange and applies the answer. It returns nil where no exchange is known.
+// query reports this node's load to an exchange and applies the answer. It returns nil if no exchange is known.
 func (s *Service) query() error {
 	now := clock.Now()
 	topo := s.currentTopology()
--- a/internal/loadshare/relay_handlers.go
+++ b/internal/loadshare/relay_handlers.go
@@ -26,7 +26,7 @@
 		})
 }
 
-// relayQuery relays another node's query to this node's exchange. A query is relayed only once: where this node reaches no exchange directly,
+// relayQuery relays another node's query to this node's exchange. A query is relayed only once: if this node reaches no exchange directly,
 // it returns an unavailable error at once, and the querying node tries another route.
 func (s *Service) relayQuery(ctx context.Context, from netip.AddrPort, load *loadsharepb.NodeLoad) (*loadsharepb.FleetLoad, error) {
 	exchange, reached := s.reachableExchange()
@@ -43,8 +43,8 @@
 	return answer, nil
 }
 
-// reachableExchange returns the exchange that this node queries directly. reachable is false where this node uses a relay or is itself the
-// exchange, or where its first route has not answered lately.
+// reachableExchange returns the exchange that this node queries directly. reachable is false if this node uses a relay or is itself the
+// exchange, or if its first route has not answered lately.
 func (s *Service) reachableExchange() (exchange netip.AddrPort, reachable bool) {
 	topo := s.currentTopology()
 	chosen, known := s.queries.route(topo, clock.Now())
--- a/internal/loadshare/service.go
+++ b/internal/loadshare/service.go
@@ -143,14 +143,14 @@
 	s.options.Demands, s.options.OnAnswer = demands, onAnswer
 }
 
-// OthersDemand returns the other nodes' demand for service; known is false where the last answer is older than answerStaleAfter.
+// OthersDemand returns the other nodes' demand for service; known is false if the last answer is older than answerStaleAfter.
 func (s *Service) OthersDemand(service string, now time.Time) (others Demand, known bool) {
 	others, age := s.fleet.otherDemand(service, now)
 	return others, age <= answerStaleAfter
 }
 
-// OthersLoad returns the other nodes' demand for service; the zero Demand where the last answer is older than reportStaleAfter. For a while after
-// a change of route its Batch is 0, since the previous exchange may still count this node's own items.
+// OthersLoad returns the other nodes' demand for service; the zero Demand if the last answer is older than reportStaleAfter. For a
+// while after a change of route its Batch is 0, since the previous exchange may still count this node's own items.
 func (s *Service) OthersLoad(service string, now time.Time) Demand {
 	others, age := s.fleet.otherDemand(service, now)
 	if age > reportStaleAfter {
--- a/internal/loadshare/topology.go
+++ b/internal/loadshare/topology.go
@@ -15,7 +15,7 @@
 
 // route is a way to reach an exchange, directly or through a relay.
 type route struct {
-	// node is the exchange or, where relayed is set, the node that relays messages to its own exchange.
+	// node is the exchange or, if relayed is set, the node that relays messages to its own exchange.
 	node    netip.AddrPort
 	relayed bool
 }
@@ -25,12 +25,12 @@
 type topology struct {
 	// self is this node's own address.
 	self netip.AddrPort
-	// isExchange is set where this node is the exchange of its zone.
+	// isExchange is set if this node is the exchange of its zone.
 	isExchange bool
 	// exchanges are all exchanges that this node may report to, its own first. Those of other zones are used when one does not answer, in
 	// an order that differs from node to node.
 	exchanges []netip.AddrPort
-	// routes are in order of preference; empty where there is no exchange. A node with callers that is partitioned from the storage nodes
+	// routes are in order of preference; empty if there is no exchange. A node with callers that is partitioned from the storage nodes
 	// reaches them through other nodes with callers.
 	routes []route
 }
--- a/internal/loadshare/ways.go
+++ b/internal/loadshare/ways.go
@@ -44,7 +44,7 @@
 	s.deliverReport(previous, topo, &loadsharepb.NodeLoad{Origin: s.origin()}, now)
 }
 
-// deliverReport sends a report over a route, or records it where this node is the exchange itself.
+// deliverReport sends a report over a route, or records it if this node is the exchange itself.
 func (s *Service) deliverReport(target route, topo topology, load *loadsharepb.NodeLoad, now time.Time) {
 	if target.node == topo.self {
 		s.board.recordReport(target.node, load, now)
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -49,7 +49,7 @@
 	return min(1, standInSlackFraction*a.slack(limit)/(limit.RequestsPerSecond*detectionTime.Seconds()))
 }
 
-// usesLeases reports whether grantors lease the limit in parts from the edges. They do where the slack is too small to cover grantors whose
+// usesLeases reports whether grantors lease the limit in parts from the edges. They do if the slack is too small to cover grantors whose
 // only agreement is their view of the membership.
 func (a Allowance) usesLeases(limit tenant.Limit) bool {
 	return a.slack(limit) < leaseBelowSlackFraction*(limit.RequestsPerSecond*a.Window.Seconds()+limit.Burst)
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -84,7 +84,7 @@
 	return share
 }
 
-// serve takes requests from the bucket. It returns nil where this node is no longer the grantor or holds no parts.
+// serve takes requests from the bucket. It returns nil if this node is no longer the grantor or holds no parts.
 func (b *borrower) serve(request *quotapb.GrantRequest, now time.Time) *quotapb.GrantResponse {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -149,7 +149,7 @@
 }
 
 // beginRenewal returns the edges that are to be asked for their parts, and the channel that is closed when the renewal ends. It returns nil
-// where a renewal is already in flight or none is due.
+// if a renewal is already in flight or none is due.
 func (b *borrower) beginRenewal(candidates []membership.Member, now time.Time) (due []membership.Member, renewal chan struct{}) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -177,7 +177,7 @@
 	b.firstRenewalDone = true
 }
 
-// pendingRenewal returns the channel that is closed when the renewal in flight ends; nil where there is none.
+// pendingRenewal returns the channel that is closed when the renewal in flight ends; nil if there is none.
 func (b *borrower) pendingRenewal() chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -190,7 +190,7 @@
 	return now.Sub(b.lastUsed) > idleAfter
 }
 
-// grantFromParts answers a request from leased parts. Where this node holds none, the answer refers the requester elsewhere.
+// grantFromParts answers a request from leased parts. If this node holds none, the answer refers the requester elsewhere.
 func (s *Service) grantFromParts(ctx context.Context, request *quotapb.GrantRequest, ranked ranking) *quotapb.GrantResponse {
 	if clock.Since(s.started) < startupSettleTime {
 		return &quotapb.GrantResponse{Elsewhere: true}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -51,7 +51,7 @@
 	b.expectedRetries = max(0, b.expectedRetries-added)
 }
 
-// take takes up to wanted requests and returns how many it took. Where it took fewer, retryAfter is the time until a refused request can be
+// take takes up to wanted requests and returns how many it took. If it took fewer, retryAfter is the time until a refused request can be
 // expected to be admitted, given that the requests refused before it are retried first.
 func (b *bucket) take(wanted int, share float64, now time.Time) (taken int, retryAfter time.Duration) {
 	b.refill(share, now)
--- a/internal/quota/contact.go
+++ b/internal/quota/contact.go
@@ -51,7 +51,7 @@
 	return now.Sub(c.failedAt) < contactRetryInterval
 }
 
-// established reports whether this edge is connected to another one, or knows of no other live edge. It probes some of them where there was
+// established reports whether this edge is connected to another one, or knows of no other live edge. It probes some of them if there was
 // no recent contact.
 func (c *contact) established(ctx context.Context, service *Service, ranked ranking) bool {
 	others := ranked.others()
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -6,7 +6,7 @@
 //
 // The slack is the number of requests by which a tenant may exceed its limit in one window (Allowance).
 //
-// Where the slack is small against the limit, the limit is leased in parts: each edge owns an equal part of it (lender) and leases that part
+// If the slack is small compared with the limit, the limit is leased in parts: each edge owns an equal part of it (lender) and leases that part
 // to one grantor at a time (borrower). The limit then holds whichever edges act as grantors.
 //
 // For the other tenants the following keeps the sum of all grants below the limit and its slack:
--- a/internal/quota/grantor.go
+++ b/internal/quota/grantor.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// relayTimeout bounds the wait for a higher-ranked edge: a round trip between zones takes some milliseconds, also where the other edge
-	// has a fifth of a core. An edge that is paused for longer, because it has used up its CPU quota, is stood in for, and takes the
-	// tenant back when it is asked again.
+	// relayTimeout bounds the wait for a higher-ranked edge: a round trip between zones takes some milliseconds, even if the other edge
+	// has a fifth of a core. If an edge is paused for longer because it has used up its CPU quota, the next edge stands in for it until a
+	// request reaches it again.
 	relayTimeout = 30 * time.Millisecond
 	// releaseTimeout bounds the wait for the former grantors. It delays the first request after a change of grantor.
 	releaseTimeout = 25 * time.Millisecond
@@ -41,11 +41,11 @@
 	lastUsed time.Time
 	// released is set when another node has taken over as grantor.
 	released bool
-	// startedAt is when this node began to grant; zero where the previous grantor handed over.
+	// startedAt is when this node began to grant; zero if the previous grantor handed over.
 	startedAt time.Time
 }
 
-// grant relays a request to the higher-ranked edges, and answers it as the tenant's grantor where none of them does.
+// grant relays a request to the higher-ranked edges, and answers it as the tenant's grantor if none of them does.
 func (s *Service) grant(ctx context.Context, request *quotapb.GrantRequest) *quotapb.GrantResponse {
 	ranked := s.rankingOf(request.GetTenant())
 	if ranked.selfIndex < 0 || s.mayNotHaveJoined(ranked) {
@@ -71,14 +71,14 @@
 	return &quotapb.GrantResponse{Elsewhere: true}
 }
 
-// startTime returns when this node began to grant; zero where the previous grantor handed over.
+// startTime returns when this node began to grant; zero if the previous grantor handed over.
 func (g *grantState) startTime() time.Time {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.startedAt
 }
 
-// shareOf returns the share of the limit that this node grants, having started at startedAt. Where some edges are not considered alive, the
+// shareOf returns the share of the limit that this node grants, having started at startedAt. If some edges are not considered alive, the
 // other side of a partition may detect it later than this one and grant the whole limit until then.
 func (s *Service) shareOf(ranked ranking, limit tenant.Limit, startedAt, now time.Time) float64 {
 	otherSideMayGrant := ranked.liveShare < 1 && !startedAt.IsZero() && now.Sub(startedAt) < detectionTime
@@ -93,7 +93,7 @@
 	return ranked.knownCount <= 1 && clock.Since(s.started) < joinGracePeriod
 }
 
-// askPeer asks another edge for a grant. It returns nil where the edge does not answer or does not grant. The order of any two edges is the
+// askPeer asks another edge for a grant. It returns nil if the edge does not answer or does not grant. The order of any two edges is the
 // same in every view, so a relayed request only moves to higher ranks and cannot loop.
 func (s *Service) askPeer(ctx context.Context, peer membership.Member, request *quotapb.GrantRequest, timeout time.Duration) *quotapb.GrantResponse {
 	if s.unreachable(peer, clock.Now()) {
@@ -118,7 +118,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := s.caller.Call(callCtx, peer.PeerAddress, method, request, response); err != nil {
-		// Where the caller's context ended first the edge might still have answered, so this is no timeout of the edge.
+		// If the caller's context ended first, the edge might still have answered, so this is no timeout of the edge.
 		s.noteCallFailure(peer, ctx.Err() == nil && callCtx.Err() != nil, clock.Now())
 		return err
 	}
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// noteCallFailure records that an edge did not answer. timedOut is set where the connection was not refused either, as it is where the edge's
-// process has ended.
+// noteCallFailure records that an edge did not answer. timedOut is set if the call timed out; a refused connection, as after the end
+// of the edge's process, is no timeout.
 func (s *Service) noteCallFailure(peer membership.Member, timedOut bool, now time.Time) {
 	s.unreached.MarkUnreached(peer.PeerAddress, now)
 	if timedOut && s.zones.Get(peer.Zone).NoteSilence(string(peer.ID), now) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// grantStateOf returns the tenant's state. Where this node has none, or an idle one, it takes over from the previous grantor first.
+// grantStateOf returns the tenant's state. If this node has none, or an idle one, it takes over from the previous grantor first.
 func (s *Service) grantStateOf(ctx context.Context, request *quotapb.GrantRequest, ranked ranking) *grantState {
 	name := request.GetTenant()
 	s.mutex.Lock()
@@ -179,7 +179,7 @@
 	close(g.ready)
 }
 
-// serve takes requests from the bucket. It returns nil where another node has taken over, or the state is not ready.
+// serve takes requests from the bucket. It returns nil if another node has taken over, or the state is not ready.
 func (g *grantState) serve(request *quotapb.GrantRequest, share float64, now time.Time) *quotapb.GrantResponse {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -238,7 +238,7 @@
 	return true
 }
 
-// lastBucket returns the bucket of g; nil where g is nil.
+// lastBucket returns the bucket of g; nil if g is nil.
 func (g *grantState) lastBucket() *bucket {
 	if g == nil {
 		return nil
@@ -259,7 +259,7 @@
 }
 
 // releaseFormerGrantors makes the edges that may have granted before this one stop, and waits for their answers. endedHolders has an entry
-// for each that did grant: its lease holder, or an empty string where it leased no parts. level is the lowest level that one of them had
+// for each that did grant: its lease holder, or an empty string if it leased no parts. level is the lowest level that one of them had
 // left.
 func (s *Service) releaseFormerGrantors(ctx context.Context, tenantName string, ranked ranking) (level float64, endedHolders []string) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -40,7 +40,7 @@
 
 func newLender(now time.Time) *lender { return &lender{started: now, parts: map[string]*partLease{}} }
 
-// lease is the result of a call for a part; it is refused where share is 0.
+// lease is the result of a call for a part; it is refused if share is 0.
 type lease struct {
 	// share is the leased share of the part, from 0 to 1.
 	share float64
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -143,7 +143,7 @@
 		before := len(cluster.admitted)
 		cluster.load(holder, 1, 700, 6*time.Second)
 		if more := len(cluster.admitted) - before; more < 510 {
-			t.Errorf("%d requests in 6 s on both sides, want 510 or more: 360 by the larger side, 160 by the cut edges, which began with slack", more)
+			t.Errorf("%d requests in 6 s on both sides, want 510 or more: 360 by the larger side, 160 by the isolated edges, which started with slack", more)
 		}
 		cluster.isolate()
 		cluster.updateViews()
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestLevelOfEarlierPartitionIsNotGrantedAgain: the level that an edge had left from an earlier partition is not granted again in addition to the grantor on the
-// other side of the present one.
+// TestLevelOfEarlierPartitionIsNotGrantedAgain: the level that an edge had left from an earlier partition is not granted again in addition to
+// what the grantor on the other side of the current partition grants.
 func TestLevelOfEarlierPartitionIsNotGrantedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t, 10)
@@ -208,7 +208,7 @@
 				ranking{liveShare: share, knownCount: 10, edges: service.rankingOf(holder.Name).edges[:1]}, previous,
 			)
 			if level := bucket.level; level > maxLevel {
-				t.Errorf("with %.1f of the edges alive it goes on with %.1f, want %.1f at most", share, level, maxLevel)
+				t.Errorf("with %.1f of the edges alive the level is %.1f, want %.1f at most", share, level, maxLevel)
 			}
 		}
 		cluster.stop()
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -14,7 +14,7 @@
 type ranking struct {
 	// edges are the live edges: the grantor first, then those that stand in for it, in order.
 	edges []membership.Member
-	// selfIndex is this node's index in edges; -1 where it is not among them.
+	// selfIndex is this node's index in edges; -1 if it is not among them.
 	selfIndex int
 	// leaving are the edges that are stopping. They still serve for a while and may have granted.
 	leaving []membership.Member
--- a/internal/quota/requester.go
+++ b/internal/quota/requester.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// enqueue adds the request to the next call. It returns a nil waiter and a verdict where the request is refused without a call.
+// enqueue adds the request to the next call. It returns a nil waiter and a verdict if the request is refused without a call.
 func (r *requester) enqueue(limit tenant.Limit, version int64, now time.Time) (queued *waiter, verdict Verdict) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -101,7 +101,7 @@
 	return queued, Verdict{}
 }
 
-// abandon marks a request whose caller no longer waits. Where it was already granted, the grant is given back.
+// abandon marks a request whose caller no longer waits. If it was already granted, the grant is given back.
 func (r *requester) abandon(queued *waiter) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// nextBatch takes the pending requests. Where there are none, or the Service has stopped, it refuses those left, clears asking and returns
+// nextBatch takes the pending requests. If there are none, or the Service has stopped, it refuses those left, clears asking and returns
 // nil.
 func (r *requester) nextBatch() (batch []*waiter, request *quotapb.GrantRequest) {
 	r.mutex.Lock()
@@ -155,7 +155,7 @@
 	return batch, request
 }
 
-// requestGrant asks the edges in rank order for a grant; nil where none of them grants.
+// requestGrant asks the edges in rank order for a grant; nil if none of them grants.
 func (s *Service) requestGrant(request *quotapb.GrantRequest) *quotapb.GrantResponse {
 	ranked := s.rankingOf(request.GetTenant())
 	asked := 0
@@ -187,7 +187,7 @@
 	return s.grant(ctx, request)
 }
 
-// resolve decides the requests of a batch by the grantor's response, or by the local bucket where response is nil.
+// resolve decides the requests of a batch by the grantor's response, or by the local bucket if response is nil.
 func (r *requester) resolve(batch []*waiter, request *quotapb.GrantRequest, response *quotapb.GrantResponse, now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -235,7 +235,7 @@
 	return r.localBucket.take(wanted, 1, now)
 }
 
-// noteRefusal makes further requests be refused locally for a while where the grantor refused, and logs the refusal. The caller must hold
+// noteRefusal makes further requests be refused locally for a while if the grantor refused, and logs the refusal. The caller must hold
 // mutex.
 func (r *requester) noteRefusal(count int, retryAfter time.Duration, decidedBy string, now time.Time) {
 	r.retryAt = now.Add(retryAfter)
--- a/internal/quota/service.go
+++ b/internal/quota/service.go
@@ -145,7 +145,7 @@
 }
 
 // unreachable reports whether a peer recently did not answer, or is in a zone that is partitioned off. It starts a probe of such a zone when
-// one is due. This node itself always counts as reachable, also where the rest of its zone is not: otherwise it would not lend itself its own
+// one is due. This node itself always counts as reachable, even if the rest of its zone is not: otherwise it would not lend itself its own
 // part.
 func (s *Service) unreachable(peer membership.Member, now time.Time) bool {
 	if peer.ID == s.viewer.View().Self {
--- a/internal/replica/directory.go
+++ b/internal/replica/directory.go
@@ -37,14 +37,14 @@
 type View struct {
 	byService map[string][]*Handle
 	byID      map[string]*Handle
-	// unlistedSlots counts, by service, the slots of replicas outside the directory if this node keeps only a subset of all replicas.
+	// unlistedSlots counts, by service, the slots of replicas outside the directory if this node keeps only a part of all replicas.
 	unlistedSlots map[string]int
 }
 
 // ForService returns the replicas of service, sorted by ID.
 func (v *View) ForService(service string) []*Handle { return v.byService[service] }
 
-// Slots returns the total slots of the replicas of service that take new requests, including those outside this node's subset.
+// Slots returns the total slots of the replicas of service that take new requests, including those outside this node's part.
 func (v *View) Slots(service string) int {
 	slots, now := 0, clock.Now()
 	for _, handle := range v.byService[service] {
@@ -55,7 +55,7 @@
 	return slots + v.unlistedSlots[service]
 }
 
-// WorkingSlots is like Slots but leaves out replicas that are down. Slots outside this node's subset are assumed to be up in the same
+// WorkingSlots is like Slots but leaves out replicas that are down. Slots outside this node's part are assumed to be up in the same
 // proportion as those inside it.
 func (v *View) WorkingSlots(service string, now time.Time) int {
 	working, declared := 0, 0
@@ -73,7 +73,7 @@
 	return working + v.unlistedSlots[service]*working/declared
 }
 
-// IsPartial reports whether the directory is only a subset: some replicas outside it take requests.
+// IsPartial reports whether the directory is only a part: some replicas outside it take requests.
 func (v *View) IsPartial() bool {
 	for _, slots := range v.unlistedSlots {
 		if slots > 0 {
--- a/internal/replica/failures.go
+++ b/internal/replica/failures.go
@@ -7,7 +7,7 @@
 	minAvoidance = 200 * time.Millisecond
 	maxAvoidance = 3 * time.Second
 	// minOthersAvoiding is the number of other nodes that must avoid a replica for this node to avoid it too. One would be too few:
-	// where half of the replicas lose one response in twenty, each node avoids some three replicas at any time, but two nodes hardly
+	// if half of the replicas lose one response in twenty, each node avoids some three replicas at any time, but two nodes hardly
 	// ever the same one.
 	minOthersAvoiding = 2
 	// ownAnswerWindow is how long bytes of a response received here outweigh the failures that other nodes report.
--- a/internal/replica/part_test.go
+++ b/internal/replica/part_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestSlotsOfAPart checks that slots outside a node's subset count in full in Slots, and in WorkingSlots in the same proportion as those
+// TestSlotsOfAPart checks that slots outside a node's part count in full in Slots, and in WorkingSlots in the same proportion as those
 // inside it.
 func TestSlotsOfAPart(t *testing.T) {
 	directory := NewDirectory()
@@ -15,12 +15,12 @@
 		{ID: "c", Service: "s", Slots: 8, Draining: true},
 	})
 	if directory.View().IsPartial() {
-		t.Error("a directory of all replicas counts as a subset")
+		t.Error("a directory of all replicas counts as partial")
 	}
 	directory.SetUnlistedSlots(map[string]int{"s": 800, "t": 0})
 	now := time.Now()
 	if view := directory.View(); !view.IsPartial() || view.Slots("s") != 816 || view.WorkingSlots("s", now) != 816 {
-		t.Errorf("%d slots, %d of them working, or not counted as a subset; want 816 of both",
+		t.Errorf("%d slots, %d of them working, or not counted as partial; want 816 of both",
 			view.Slots("s"), view.WorkingSlots("s", now))
 	}
 	for range downAfter {
@@ -31,10 +31,10 @@
 	}
 	directory.Replace([]Info{{ID: "a", Service: "s", Slots: 8}})
 	if view := directory.View(); view.Slots("s") != 808 {
-		t.Errorf("%d slots after the subset changed, want 808", view.Slots("s"))
+		t.Errorf("%d slots after the part changed, want 808", view.Slots("s"))
 	}
 	directory.SetUnlistedSlots(nil)
 	if view := directory.View(); view.Slots("s") != 8 || view.IsPartial() {
-		t.Errorf("%d slots without unlisted ones, want 8, or counted as a subset", view.Slots("s"))
+		t.Errorf("%d slots without unlisted ones, want 8, or counted as partial", view.Slots("s"))
 	}
 }
--- a/internal/replica/report_test.go
+++ b/internal/replica/report_test.go
@@ -16,8 +16,8 @@
 	return load, err
 }
 
-// TestLoadReportOfAnotherIncarnationIsRejected checks that a load report of another incarnation is not recorded, and that one of a later incarnation
-// shows that the one in the directory has ended. A report or entry without a start time matches any incarnation.
+// TestLoadReportOfAnotherIncarnationIsRejected checks that a load report of another incarnation is not recorded, and that one of a later
+// incarnation shows that the one in the directory has ended. A report or entry without a start time matches any incarnation.
 func TestLoadReportOfAnotherIncarnationIsRejected(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:1000")
 	for _, test := range []struct {
@@ -39,7 +39,7 @@
 			err := replica.NewClient(network, replicatest.Headers).PollLoad(t.Context(), handle,
 				replica.LoadReport{Path: "/load", Parse: parseBorn})
 			if (err == nil) != test.isNoted {
-				t.Errorf("Ask returned error %v, want report recorded %t", err, test.isNoted)
+				t.Errorf("PollLoad returned error %v, want report recorded %t", err, test.isNoted)
 			}
 			if ended := handle.Down(time.Now()); ended != test.hasEnded {
 				t.Errorf("replica is down: %t, want %t", ended, test.hasEnded)
--- a/internal/retirement/service.go
+++ b/internal/retirement/service.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// checkInterval is the time between two checks whether a node is empty.
+	// checkInterval is the time between two checks whether a node is drained.
 	checkInterval = 300 * time.Millisecond
 	// callTimeout bounds one check and the write of its result.
 	callTimeout = 2 * time.Second
@@ -163,11 +163,11 @@
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	state := Running
-	emptied, err := s.emptier.IsDrained(ctx, node)
+	drained, err := s.emptier.IsDrained(ctx, node)
 	if err != nil {
 		return written
 	}
-	if emptied {
+	if drained {
 		state = Done
 	}
 	if state == written {
--- a/internal/retirement/service_test.go
+++ b/internal/retirement/service_test.go
@@ -24,7 +24,7 @@
 	return "status/" + node, []byte("done")
 }
 
-// recordingEmptier records the retiring nodes; all nodes are empty at once.
+// recordingEmptier records the retiring nodes; all nodes count as drained at once.
 type recordingEmptier struct {
 	retiring map[membership.NodeID]bool
 	calls    int
