--- a/internal/discovery/copies_test.go
+++ b/internal/discovery/copies_test.go
@@ -119,7 +119,7 @@
 func (s *storeOnlyRecorder) ReplaceByCopy() {}
 
 // TestCopiesBringOperatorsRequests checks that a node that starts while the store is down gets operators' requests, such as evacuations,
-// from copies, but only for those followers that take copies.
+// from copies, but only for those followers that take copies. Followers that act on requests, such as retirement, take none.
 func TestCopiesBringOperatorsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, copies := newScriptedStore(), suppliedCopies{}
@@ -135,7 +135,7 @@
 		defer service.Stop()
 		copies["op/"](copyOf(7, "op/evacuate/east", "{}"))
 		if len(withCopies.copied) != 1 || withCopies.copied[0].Revision != 7 || len(withCopies.listed)+len(withoutCopies.listed) != 0 {
-			t.Errorf("copied %d, listed %d and %d", len(withCopies.copied), len(withCopies.listed), len(withoutCopies.listed))
+			t.Errorf("%d copies and %d listings, %d listings at the follower without copies; want 1 copy and no listings", len(withCopies.copied), len(withCopies.listed), len(withoutCopies.listed))
 		}
 	})
 }
--- a/internal/evacuation/register.go
+++ b/internal/evacuation/register.go
@@ -20,7 +20,8 @@
 type ReplicaDirectory interface {
 	// SetEvacuated replaces the set of evacuated zones.
 	SetEvacuated(zones map[string]bool)
-	// NoteEvacuationEnded records that an evacuation of the zone that SetEvacuated never named has ended, as of now.
+	// NoteEvacuationEnded records the end, now, of an evacuation of the zone that SetEvacuated never named, because it was
+	// over before this process learned of it.
 	NoteEvacuationEnded(zone string)
 }
 
