--- a/internal/evacuation/register.go
+++ b/internal/evacuation/register.go
@@ -20,7 +20,8 @@
 type ReplicaDirectory interface {
 	// SetEvacuated replaces the set of evacuated zones.
 	SetEvacuated(zones map[string]bool)
-	// NoteEvacuationEnded records that the evacuation of a zone ends now, where SetEvacuated was never called with that zone.
+	// NoteEvacuationEnded records the end, now, of an evacuation of the zone that SetEvacuated never named, because it was
+	// over before this process learned of it.
 	NoteEvacuationEnded(zone string)
 }
 
